--- a/swiftdeck/bench/cache.py
+++ b/swiftdeck/bench/cache.py
@@ -1,4 +1,5 @@
 """A finite prefix cache that drops the least recently used."""
+
 from collections import OrderedDict
 
 import attrs
--- a/swiftdeck/bench/caller.py
+++ b/swiftdeck/bench/caller.py
@@ -1,4 +1,5 @@
 """A stand-in for callers: agents with growing conversations, and short calls, with a record of every return."""
+
 import asyncio
 
 import msgspec
@@ -22,26 +23,90 @@
         self.serial += 1
         return f"{self.name}/{tenant}/{self.serial}"
 
-    async def call(self, tenant, route, parts, maxTokens=64, idempotency="", timeoutS=90, isLast=False, stream=True,
-                   key=None, door=None, marker="", talk="", turn=0, leaveAfter=None, slowS=0.0, link=None):
+    async def call(
+        self,
+        tenant,
+        route,
+        parts,
+        maxTokens=64,
+        idempotency="",
+        timeoutS=90,
+        isLast=False,
+        stream=True,
+        key=None,
+        door=None,
+        marker="",
+        talk="",
+        turn=0,
+        leaveAfter=None,
+        slowS=0.0,
+        link=None,
+    ):
         """One try; gives what came back and records it. With the marker of an earlier try it is the same call again."""
         if not marker:
             marker = self._marker(tenant)
             parts = [*parts[:-1], f"{parts[-1]} [[{marker}]]"]
         door, key = door or self.random.choice(self.doors), key or self.keys[tenant]
-        self.record("try", marker=marker, tenant=tenant, route=route, idempotency=idempotency, door=door, talk=talk, turn=turn,
-                    router=self.routers.get(door, ""), key=keyDigest(key))
-        result = {"status": 0, "code": 0, "notRun": False, "call": "", "run": "", "whole": False, "pieces": 0, "wrong": ""}
+        self.record(
+            "try",
+            marker=marker,
+            tenant=tenant,
+            route=route,
+            idempotency=idempotency,
+            door=door,
+            talk=talk,
+            turn=turn,
+            router=self.routers.get(door, ""),
+            key=keyDigest(key),
+        )
+        result = {
+            "status": 0,
+            "code": 0,
+            "notRun": False,
+            "call": "",
+            "run": "",
+            "whole": False,
+            "pieces": 0,
+            "wrong": "",
+        }
         try:
             async with asyncio.timeout(timeoutS):
-                await self._talk(door, key, route, parts, maxTokens, idempotency, isLast, stream, marker, result,
-                                 leaveAfter, slowS, link)
+                await self._talk(
+                    door,
+                    key,
+                    route,
+                    parts,
+                    maxTokens,
+                    idempotency,
+                    isLast,
+                    stream,
+                    marker,
+                    result,
+                    leaveAfter,
+                    slowS,
+                    link,
+                )
         except TimeoutError:
             result["gaveUp"] = True
         self.record("return", marker=marker, tenant=tenant, route=route, **result)
         return result | {"parts": parts, "marker": marker}
 
-    async def _talk(self, door, key, route, parts, maxTokens, idempotency, isLast, stream, marker, result, leaveAfter, slowS, kept):
+    async def _talk(
+        self,
+        door,
+        key,
+        route,
+        parts,
+        maxTokens,
+        idempotency,
+        isLast,
+        stream,
+        marker,
+        result,
+        leaveAfter,
+        slowS,
+        kept,
+    ):
         ip, _, port = door.rpartition(":")
         link = kept or await connect(ip, int(port), 2000)
         if isFault(link):
@@ -51,7 +116,9 @@
             headers = [("authorization", f"Bearer {key}"), ("content-type", "application/json")]
             headers += [("idempotency-key", idempotency)] if idempotency else []
             headers += [("conversation-end", "1")] if isLast else []
-            body = msgspec.json.encode({"model": route, "parts": parts, "maxTokens": maxTokens, "stream": stream})
+            body = msgspec.json.encode(
+                {"model": route, "parts": parts, "maxTokens": maxTokens, "stream": stream}
+            )
             got = await link.exchange("POST", "/v1/calls", headers, body, door)
             if isFault(got):
                 result["status"] = -2
@@ -61,7 +128,11 @@
             if got.headers.get("content-type") != "text/event-stream":
                 whole = await got.whole()
                 answer = {} if isFault(whole) else msgspec.json.decode(whole)
-                result |= {name: answer[name] for name in ("code", "notRun", "call", "run", "reason") if name in answer}
+                result |= {
+                    name: answer[name]
+                    for name in ("code", "notRun", "call", "run", "reason")
+                    if name in answer
+                }
                 result["whole"] = bool(answer.get("end"))
                 result["sentTo"] = "" if result["whole"] else answer.get("worker", "")
                 due = "".join(f"[[{marker}]]{seq} " for seq in range(max(1, maxTokens // 16)))
@@ -90,7 +161,11 @@
                 result["wrong"] = "piece of another run"
             result["run"], result["call"] = piece["run"], piece["call"]
             if piece.get("end"):
-                result["whole"], result["usage"], result["worker"] = True, piece.get("usage", {}), piece.get("worker", "")
+                result["whole"], result["usage"], result["worker"] = (
+                    True,
+                    piece.get("usage", {}),
+                    piece.get("worker", ""),
+                )
                 result["waitedMs"] = piece.get("waitedMs", 0)
                 continue
             if piece["text"] != f"[[{marker}]]{result['pieces']} ":
@@ -102,10 +177,22 @@
         talk = self._marker(tenant)
         parts = [self.book[route], f"case {talk} " + "x" * grow * 4]
         for turn in range(turns):
-            got = await self.insist(tenant, route, parts, idempotency=self._marker(tenant), isLast=turn == turns - 1, talk=talk, turn=turn)
+            got = await self.insist(
+                tenant,
+                route,
+                parts,
+                idempotency=self._marker(tenant),
+                isLast=turn == turns - 1,
+                talk=talk,
+                turn=turn,
+            )
             if not got["whole"]:
                 return turn
-            parts = [*got["parts"], f"said {turn}", "y" * int(grow * 4 * self.random.uniform(0.3, 2))]
+            parts = [
+                *got["parts"],
+                f"said {turn}",
+                "y" * int(grow * 4 * self.random.uniform(0.3, 2)),
+            ]
             await asyncio.sleep(self._gapS() if gap is None else gap)
         return turns
 
@@ -140,13 +227,23 @@
     async def shorts(self, tenant, route="tag", everyS=0.5):
         """Short calls until told to stop, each on its own."""
         while not self.stopping:
-            asyncio.ensure_future(self.call(tenant, route, [self.book[route], "ad"], maxTokens=16, **self._manner()))
+            asyncio.ensure_future(
+                self.call(tenant, route, [self.book[route], "ad"], maxTokens=16, **self._manner())
+            )
             await asyncio.sleep(self.random.expovariate(1 / everyS))
 
     def _manner(self):
         """How a caller behaves: most read a stream to its end, some take it whole, go away midway, or read slowly."""
         draw = self.random.random() if self.returns else 1.0
-        return {"stream": False} if draw < 0.3 else {"leaveAfter": 0} if draw < 0.35 else {"slowS": 0.3} if draw < 0.4 else {}
+        return (
+            {"stream": False}
+            if draw < 0.3
+            else {"leaveAfter": 0}
+            if draw < 0.35
+            else {"slowS": 0.3}
+            if draw < 0.4
+            else {}
+        )
 
     async def kept(self, tenant, route="tag", everyS=1.0):
         """Short calls over one connection that is kept alive for as long as its router lives, with the key of its first day."""
@@ -157,8 +254,17 @@
                 link = await connect(door.rpartition(":")[0], int(door.rpartition(":")[2]), 2000)
                 link = None if isFault(link) else link
             if link is not None:
-                got = await self.call(tenant, route, [self.book[route], "ad"], maxTokens=16, key=key, door=door, link=link, stream=False,
-                                      timeoutS=60)
+                got = await self.call(
+                    tenant,
+                    route,
+                    [self.book[route], "ad"],
+                    maxTokens=16,
+                    key=key,
+                    door=door,
+                    link=link,
+                    stream=False,
+                    timeoutS=60,
+                )
                 if got["status"] < 1 or got.get("gaveUp"):
                     link.close()
                     link = None
@@ -166,9 +272,19 @@
 
     async def run(self, seconds, agents, shortEveryS):
         """The traffic of a site: long checks as agents, short calls ten times as often."""
-        tasks = [asyncio.ensure_future(self.agents(tenant)) for tenant, count in agents.items() for _ in range(count)]
-        tasks += [asyncio.ensure_future(self.shorts(tenant, everyS=shortEveryS)) for tenant in agents]
-        tasks += [asyncio.ensure_future(self.kept(tenant, everyS=shortEveryS)) for tenant in list(agents)[:3] if self.returns]
+        tasks = [
+            asyncio.ensure_future(self.agents(tenant))
+            for tenant, count in agents.items()
+            for _ in range(count)
+        ]
+        tasks += [
+            asyncio.ensure_future(self.shorts(tenant, everyS=shortEveryS)) for tenant in agents
+        ]
+        tasks += [
+            asyncio.ensure_future(self.kept(tenant, everyS=shortEveryS))
+            for tenant in list(agents)[:3]
+            if self.returns
+        ]
         await asyncio.sleep(seconds)
         self.stopping = True
         await asyncio.wait(tasks, timeout=30)
--- a/swiftdeck/bench/checker.py
+++ b/swiftdeck/bench/checker.py
@@ -1,4 +1,5 @@
 """Judges a run by the records of stand-ins and operators alone: one check for each rule of the brief."""
+
 from bisect import bisect_right
 from collections import Counter, defaultdict
 
@@ -46,7 +47,14 @@
 
     def chainFell(self, fromMs, toMs) -> bool:
         """Whether two cores were not well between two times, so that no claim could be made for a while."""
-        return sum(self.fell(name, fromMs, toMs) for name in list(self.spans) if name.startswith("core")) > 1
+        return (
+            sum(
+                self.fell(name, fromMs, toMs)
+                for name in list(self.spans)
+                if name.startswith("core")
+            )
+            > 1
+        )
 
     def keeperFell(self, fromMs, toMs) -> bool:
         """Whether a keeper was not well at some time between two."""
@@ -66,14 +74,18 @@
         asked = tries.get(item["marker"])
         if asked and asked["route"] != "tag":
             runs[(asked["tenant"], asked["idempotency"] or item["marker"])].append(item["run"])
-    yield from (f"{key} ran {len(names)} times: {names}" for key, names in runs.items() if len(names) > 1)
+    yield from (
+        f"{key} ran {len(names)} times: {names}" for key, names in runs.items() if len(names) > 1
+    )
 
 
 def notRunStays(records, apart, extra):
     """What was promised not to run did not run, before or after."""
     ran = {item["call"]: item["atMs"] for item in _of(records, "run")}
     tries = Counter(item["marker"] for item in _of(records, "try"))
-    markers = {item["marker"]: item["atMs"] for item in _of(records, "run") if tries[item["marker"]] == 1}
+    markers = {
+        item["marker"]: item["atMs"] for item in _of(records, "run") if tries[item["marker"]] == 1
+    }
     for item in _of(records, "return"):
         atMs = ran.get(item.get("call") or None) or markers.get(item["marker"])
         if item["notRun"] and atMs is not None:
@@ -96,8 +108,11 @@
     runs = {item["run"]: item["tenant"] for item in _of(records, "run")}
     for item in _of(records, "prefill"):
         reader = runs.get(item["run"])
-        yield from (f"{reader} read a prefix of {maker} in {item['run']}" for maker, _ in item["origins"]
-                    if maker != reader and (maker in apart or reader in apart))
+        yield from (
+            f"{reader} read a prefix of {maker} in {item['run']}"
+            for maker, _ in item["origins"]
+            if maker != reader and (maker in apart or reader in apart)
+        )
 
 
 def weightsMatch(records, apart, extra):
@@ -105,10 +120,16 @@
     runs = {item["run"]: item for item in _of(records, "run")}
     for item in _of(records, "prefill"):
         run = runs.get(item["run"], {})
-        yield from (f"{item['run']} under {run.get('weights')} read a prefix of {made}" for _, made in item["origins"]
-                    if made != run.get("weights"))
-    yield from (f"{item['run']} asked {item['weights']}, loaded {item['loaded']}" for item in runs.values()
-                if item["weights"] != item["loaded"])
+        yield from (
+            f"{item['run']} under {run.get('weights')} read a prefix of {made}"
+            for _, made in item["origins"]
+            if made != run.get("weights")
+        )
+    yield from (
+        f"{item['run']} asked {item['weights']}, loaded {item['loaded']}"
+        for item in runs.values()
+        if item["weights"] != item["loaded"]
+    )
 
 
 def _acknowledged(records):
@@ -118,20 +139,35 @@
 def _undecided(records):
     """Changes that may or may not be obeyed."""
     known = {item["answer"]["changeId"] for item in _acknowledged(records)}
-    return [item for item in _of(records, "change") if item["status"] not in (200, 400, 409, 422)
-            and item["answer"].get("changeId") not in known]
+    return [
+        item
+        for item in _of(records, "change")
+        if item["status"] not in (200, 400, 409, 422)
+        and item["answer"].get("changeId") not in known
+    ]
 
 
 def _weightsIn(item):
     """Weights that a change names, by model."""
-    return {name: model["weights"] for name, model in (item["document"].get("models") or {}).items()
-            if model and "weights" in model}
+    return {
+        name: model["weights"]
+        for name, model in (item["document"].get("models") or {}).items()
+        if model and "weights" in model
+    }
 
 
 def oldWeightsEnd(records, apart, extra):
     """Fifteen seconds after new weights are acknowledged no call starts on others; none runs that only a refusal named."""
-    models = {worker["name"]: worker["model"] for item in _of(records, "list") for worker in item["workers"]}
-    named = [(item["atMs"], item["answer"]["version"], *pair) for item in _acknowledged(records) for pair in _weightsIn(item).items()]
+    models = {
+        worker["name"]: worker["model"]
+        for item in _of(records, "list")
+        for worker in item["workers"]
+    }
+    named = [
+        (item["atMs"], item["answer"]["version"], *pair)
+        for item in _acknowledged(records)
+        for pair in _weightsIn(item).items()
+    ]
     maybe = {pair for item in _undecided(records) for pair in _weightsIn(item).items()}
     for item in _of(records, "run"):
         model = models.get(item["who"], next(iter(models.values()), ""))
@@ -164,7 +200,9 @@
         if version not in changes:
             break
         item = changes[version]
-        document = merge(document, item["document"]) if item["method"] == "PATCH" else item["document"]
+        document = (
+            merge(document, item["document"]) if item["method"] == "PATCH" else item["document"]
+        )
         made[version] = msgspec.json.encode(document, order="sorted")
     reads = [item for item in _of(records, "read") if item["status"] == 200 and "document" in item]
     for item in reads:
@@ -172,8 +210,10 @@
         if due is not None and due != msgspec.json.encode(item["document"], order="sorted"):
             yield f"version {item['version']} was read at {item['atMs']} otherwise than it was acknowledged"
     if any(_of(records, "dayEnds")) and not any(
-            item["atMs"] >= max(each["atMs"] for each in _of(records, "dayEnds")) and item["version"] >= max(changes, default=0)
-            for item in reads):
+        item["atMs"] >= max(each["atMs"] for each in _of(records, "dayEnds"))
+        and item["version"] >= max(changes, default=0)
+        for item in reads
+    ):
         yield "the configuration was not read back at the end of the day"
 
 
@@ -188,9 +228,12 @@
 
 def _keysAt(records):
     """(ack time, tenant, digests) of each acknowledged change of keys, in the order of versions."""
-    return [(item["atMs"], name, set((tenant or {}).get("keys", [])), tenant is None)
-            for item in sorted(_acknowledged(records), key=lambda item: item["answer"]["version"])
-            for name, tenant in (item["document"].get("tenants") or {}).items() if tenant is None or "keys" in tenant]
+    return [
+        (item["atMs"], name, set((tenant or {}).get("keys", [])), tenant is None)
+        for item in sorted(_acknowledged(records), key=lambda item: item["answer"]["version"])
+        for name, tenant in (item["document"].get("tenants") or {}).items()
+        if tenant is None or "keys" in tenant
+    ]
 
 
 def refusedIsNotObeyed(records, apart, extra):
@@ -198,11 +241,26 @@
     sure, maybe = _acknowledged(records), _undecided(records)
     for table in ("tenants", "routes"):
         taken = {name for item in [*sure, *maybe] for name in item["document"].get(table) or {}}
-        refused = {name for item in _of(records, "change") if item["status"] in (409, 422)
-                   for name in item["document"].get(table) or {}} - taken
-        yield from (f"{item['run']} of {item[table[:-1]]}" for item in _of(records, "run") if item.get(table[:-1]) in refused)
-    keys, gone = _keysAt(records), [(item["atMs"], name) for item in sure
-                                    for name, route in (item["document"].get("routes") or {}).items() if route is None]
+        refused = {
+            name
+            for item in _of(records, "change")
+            if item["status"] in (409, 422)
+            for name in item["document"].get(table) or {}
+        } - taken
+        yield from (
+            f"{item['run']} of {item[table[:-1]]}"
+            for item in _of(records, "run")
+            if item.get(table[:-1]) in refused
+        )
+    keys, gone = (
+        _keysAt(records),
+        [
+            (item["atMs"], name)
+            for item in sure
+            for name, route in (item["document"].get("routes") or {}).items()
+            if route is None
+        ],
+    )
     changing = {name for item in maybe for name in item["document"].get("tenants") or {}}
     tries = {item["marker"]: item for item in _of(records, "try")}
     for item in _of(records, "run"):
@@ -212,11 +270,18 @@
         mine = [(atMs, digests) for atMs, name, digests, _ in keys if name == asked["tenant"]]
         before = [digests for atMs, digests in mine if atMs < asked["atMs"]][-1:]
         after = [digests for atMs, digests in mine if asked["atMs"] <= atMs]
-        if "key" in asked and before and asked["tenant"] not in changing and not any(
-                asked["key"] in digests for digests in [*before, *after]):
+        if (
+            "key" in asked
+            and before
+            and asked["tenant"] not in changing
+            and not any(asked["key"] in digests for digests in [*before, *after])
+        ):
             yield f"{item['run']} of {asked['tenant']} with a key that was taken before {asked['atMs']}"
-        yield from (f"{item['run']} by route {name}, which was taken away at {atMs}" for atMs, name in gone
-                    if name == asked["route"] and atMs < asked["atMs"])
+        yield from (
+            f"{item['run']} by route {name}, which was taken away at {atMs}"
+            for atMs, name in gone
+            if name == asked["route"] and atMs < asked["atMs"]
+        )
 
 
 def drainingIsLeft(records, apart, extra):
@@ -230,7 +295,11 @@
                     since[name] = None
                 elif since.get(name) is None:
                     since[name] = item["atMs"]
-        elif item["kind"] == "run" and since.get(item["who"]) is not None and item["atMs"] > since[item["who"]] + 3000:
+        elif (
+            item["kind"] == "run"
+            and since.get(item["who"]) is not None
+            and item["atMs"] > since[item["who"]] + 3000
+        ):
             yield f"{item['run']} reached {item['who']} at {item['atMs']}, draining since {since[item['who']]}"
 
 
@@ -249,23 +318,38 @@
         if item["whole"] or item.get("gaveUp") or item.get("left"):
             continue
         isLost = item["status"] in (-1, -2) or 140 <= item["code"] < 145 or item["status"] == 200
-        workers = {where.get(item["run"]), item.get("sentTo"),
-                   *(run["who"] for run in runs[item["marker"]] if run["atMs"] >= asked["atMs"])} - {None, ""}
-        if isLost and not falls.fell(asked.get("router", ""), asked["atMs"], item["atMs"]) and not any(
-                falls.fell(name, asked["atMs"], item["atMs"]) for name in workers):
-            yield (f"{item['marker']} broke at {item['atMs']} with code {item['code']}, status {item['status']}, "
-                   f"while {sorted(workers)} and {asked.get('router')} served")
+        workers = {
+            where.get(item["run"]),
+            item.get("sentTo"),
+            *(run["who"] for run in runs[item["marker"]] if run["atMs"] >= asked["atMs"]),
+        } - {None, ""}
+        if (
+            isLost
+            and not falls.fell(asked.get("router", ""), asked["atMs"], item["atMs"])
+            and not any(falls.fell(name, asked["atMs"], item["atMs"]) for name in workers)
+        ):
+            yield (
+                f"{item['marker']} broke at {item['atMs']} with code {item['code']}, status {item['status']}, "
+                f"while {sorted(workers)} and {asked.get('router')} served"
+            )
 
 
 def laterCallsPass(records, apart, extra):
     """A later call of an admitted conversation neither waits nor is refused for want of room while its worker serves."""
     falls, last, tries = Falls(records), {}, {}
-    shown = [(item["atMs"], {worker["name"]: worker["draining"] for worker in item["workers"]}) for item in _of(records, "list")]
+    shown = [
+        (item["atMs"], {worker["name"]: worker["draining"] for worker in item["workers"]})
+        for item in _of(records, "list")
+    ]
 
     def serves(name, fromMs, toMs):
         seen = [workers for atMs, workers in shown if atMs <= fromMs][-1:] + [
-            workers for atMs, workers in shown if fromMs < atMs <= toMs]
-        return not falls.fell(name, fromMs - BACK_MS, toMs) and all(not workers.get(name, True) for workers in seen)
+            workers for atMs, workers in shown if fromMs < atMs <= toMs
+        ]
+        return not falls.fell(name, fromMs - BACK_MS, toMs) and all(
+            not workers.get(name, True) for workers in seen
+        )
+
     for back in _of(records, "try", "return"):
         if back["kind"] == "try":
             tries[back["marker"]] = back
@@ -275,15 +359,26 @@
         if not talk:
             continue
         before, last[talk] = last.get(talk), back
-        if asked["turn"] < 1 or before is None or not before["whole"] or asked["atMs"] - before["atMs"] > PAUSE_MS:
+        if (
+            asked["turn"] < 1
+            or before is None
+            or not before["whole"]
+            or asked["atMs"] - before["atMs"] > PAUSE_MS
+        ):
             continue
-        if falls.chainFell(before["atMs"], back["atMs"]) or falls.keeperFell(before["atMs"] - 10000, back["atMs"]) or falls.fell(asked["router"], asked["atMs"], back["atMs"]) or (
-                falls.fell("platform", before["atMs"], back["atMs"])):
+        if (
+            falls.chainFell(before["atMs"], back["atMs"])
+            or falls.keeperFell(before["atMs"] - 10000, back["atMs"])
+            or falls.fell(asked["router"], asked["atMs"], back["atMs"])
+            or (falls.fell("platform", before["atMs"], back["atMs"]))
+        ):
             continue
         isHeldUp = back["code"] in (110, 111, 112) or back["whole"] and back.get("waitedMs", 0) > 0
         if isHeldUp and serves(before.get("worker"), before["atMs"], back["atMs"]):
-            yield (f"{asked['marker']}, turn {asked['turn']}, code {back['code']}, waited {back.get('waitedMs')} ms at "
-                   f"{back['atMs']} while {before.get('worker')} served")
+            yield (
+                f"{asked['marker']}, turn {asked['turn']}, code {back['code']}, waited {back.get('waitedMs')} ms at "
+                f"{back['atMs']} while {before.get('worker')} served"
+            )
 
 
 PAUSE_MS = 2500
@@ -295,13 +390,21 @@
     for item in _of(records, "change"):
         for name, model in (item["document"].get("models") or {}).items():
             if model and "cap" in model and item["status"] not in (400, 409, 422):
-                spans[name].append((item.get("askedMs", item["atMs"]), item["atMs"] if item["status"] == 200 else 1 << 60,
-                                    model["cap"]))
+                spans[name].append(
+                    (
+                        item.get("askedMs", item["atMs"]),
+                        item["atMs"] if item["status"] == 200 else 1 << 60,
+                        model["cap"],
+                    )
+                )
 
     def capOf(name, atMs):
         mine = spans[name]
         newest = max((ack for _, ack, _ in mine if ack <= atMs - LATE_MS), default=0)
-        return max((cap for asked, ack, cap in mine if asked <= atMs and ack >= newest), default=1 << 30)
+        return max(
+            (cap for asked, ack, cap in mine if asked <= atMs and ack >= newest), default=1 << 30
+        )
+
     return capOf
 
 
@@ -311,7 +414,11 @@
 def startsWithinCap(records, apart, extra):
     """No conversation starts on a worker that runs calls of K others, but for those that moved or whose router is cut off."""
     falls, capOf, running = Falls(records), _capsAt(records), defaultdict(dict)
-    models = {worker["name"]: worker["model"] for item in _of(records, "list") for worker in item["workers"]}
+    models = {
+        worker["name"]: worker["model"]
+        for item in _of(records, "list")
+        for worker in item["workers"]
+    }
     tries = {item["marker"]: item for item in _of(records, "try")}
     ends = {item["run"]: item["atMs"] for item in _of(records, "ran")}
     homes = {}
@@ -329,10 +436,18 @@
         hasMoved = homes.get(talk, worker) != worker or not item["run"].endswith("-1")
         isStart = talk not in homes
         homes[talk] = worker
-        others = {other for other, router, _ in here.values() if other != talk
-                  and not falls.fell(router, atMs - 20000, atMs)}
+        others = {
+            other
+            for other, router, _ in here.values()
+            if other != talk and not falls.fell(router, atMs - 20000, atMs)
+        }
         cap = capOf(models.get(worker), atMs)
-        if isStart and not hasMoved and len(others) >= cap and not falls.keeperFell(atMs - 10000, atMs):
+        if (
+            isStart
+            and not hasMoved
+            and len(others) >= cap
+            and not falls.keeperFell(atMs - 10000, atMs)
+        ):
             yield f"{item['run']} started on {worker} at {atMs} beside {len(others)} others, cap {cap}"
         if not hasMoved:
             here[item["run"]] = (talk, asked.get("router", ""), ends.get(item["run"], 1 << 60))
@@ -351,7 +466,10 @@
             asked = tries.get(item["marker"])
             if asked is None or falls.fell(asked.get("router", ""), asked["atMs"], item["atMs"]):
                 continue
-            tookMs, boundMs = item["atMs"] - asked["atMs"], WAIT_MS.get(asked["route"], 10000) + 1500
+            tookMs, boundMs = (
+                item["atMs"] - asked["atMs"],
+                WAIT_MS.get(asked["route"], 10000) + 1500,
+            )
             if item["code"] in (*REFUSALS, 145):
                 if not item.get("retryAfter"):
                     yield f"{item['marker']} was refused with {item['code']} and no time to come back"
@@ -364,15 +482,28 @@
 
 def triesAreFew(records, apart, extra):
     """Extra tries stay within one in five of the calls made or begun in ten seconds, plus the allowance, over all models."""
-    runs = [(item["atMs"], item["marker"], int(item["run"].rsplit("-", 1)[1])) for item in _of(records, "run") if "-" in item["run"]]
+    runs = [
+        (item["atMs"], item["marker"], int(item["run"].rsplit("-", 1)[1]))
+        for item in _of(records, "run")
+        if "-" in item["run"]
+    ]
     extras = [atMs for atMs, _, leg in runs if leg > 1]
-    seen = sorted([(item["atMs"], item["marker"]) for item in _of(records, "try")]
-                  + [(atMs, marker) for atMs, marker, leg in runs if leg == 1])
+    seen = sorted(
+        [(item["atMs"], item["marker"]) for item in _of(records, "try")]
+        + [(atMs, marker) for atMs, marker, leg in runs if leg == 1]
+    )
     times = [atMs for atMs, _ in seen]
     for atMs in extras:
         spent = bisect_right(extras, atMs) - bisect_right(extras, atMs - 10000)
         if spent > extra:
-            calls = len({marker for _, marker in seen[bisect_right(times, atMs - 10000):bisect_right(times, atMs)]})
+            calls = len(
+                {
+                    marker
+                    for _, marker in seen[
+                        bisect_right(times, atMs - 10000) : bisect_right(times, atMs)
+                    ]
+                }
+            )
             if spent > 0.2 * calls + extra:
                 yield f"{spent} extra tries in the ten seconds before {atMs}, of {calls} calls"
 
@@ -386,10 +517,31 @@
         before = {route for atMs, route in served if endMs - 30000 < atMs <= endMs}
         after = {route for atMs, route in served if endMs < atMs <= endMs + 12000}
         if last > endMs + 12000:
-            yield from (f"no call of route {route} served from {endMs} to {endMs + 12000}" for route in sorted(before - after))
-
-
-RULES = {rule.__name__: rule for rule in (
-    runsOnce, notRunStays, piecesBelong, apartStaysApart, weightsMatch, oldWeightsEnd, versionsStand, readBackWhole, ackIsQuick,
-    refusedIsNotObeyed, drainingIsLeft, notCutOff, laterCallsPass, startsWithinCap, returnedAtOnce, triesAreFew,
-    serviceReturns)}
+            yield from (
+                f"no call of route {route} served from {endMs} to {endMs + 12000}"
+                for route in sorted(before - after)
+            )
+
+
+RULES = {
+    rule.__name__: rule
+    for rule in (
+        runsOnce,
+        notRunStays,
+        piecesBelong,
+        apartStaysApart,
+        weightsMatch,
+        oldWeightsEnd,
+        versionsStand,
+        readBackWhole,
+        ackIsQuick,
+        refusedIsNotObeyed,
+        drainingIsLeft,
+        notCutOff,
+        laterCallsPass,
+        startsWithinCap,
+        returnedAtOnce,
+        triesAreFew,
+        serviceReturns,
+    )
+}
--- a/swiftdeck/bench/fleet.py
+++ b/swiftdeck/bench/fleet.py
@@ -1,4 +1,5 @@
 """Starts a whole site on loopback as separate processes, drives its traffic, breaks things, and checks the records."""
+
 import asyncio
 import json
 import os
@@ -22,7 +23,16 @@
 class Fleet:
     """The processes of one site; the only part of the project that starts others."""
 
-    def __init__(self, folder, site="hinokuni", basePort=21000, routers=9, workers=None, speed=0.05, room=400000):
+    def __init__(
+        self,
+        folder,
+        site="hinokuni",
+        basePort=21000,
+        routers=9,
+        workers=None,
+        speed=0.05,
+        room=400000,
+    ):
         self.folder = Path(folder)
         (self.folder / "records").mkdir(parents=True, exist_ok=True)
         self.site = planSite(site, basePort=basePort, routers=routers, workers=workers)
@@ -32,34 +42,79 @@
 
     def start(self, name, *words):
         """Start one process."""
-        self.processes[name] = subprocess.Popen([sys.executable, "-m", *words], stdout=self.log, stderr=self.log,
-                                                stdin=subprocess.DEVNULL, env=os.environ | {"PYTHONHASHSEED": "0"})
+        self.processes[name] = subprocess.Popen(
+            [sys.executable, "-m", *words],
+            stdout=self.log,
+            stderr=self.log,
+            stdin=subprocess.DEVNULL,
+            env=os.environ | {"PYTHONHASHSEED": "0"},
+        )
 
     def startNode(self, node):
         """Start a core or a router from a settings file."""
         role = "core" if node["name"].startswith("core") else "router"
-        lines = {"name": node["name"], "inner": node["inner"], "http": node["http"], "zone": node["zone"],
-                 "seeds": self.site.seeds()}
-        lines |= {"dataFolder": str(self.folder / node["name"])} if role == "core" else {
-            "platform": self.site.platform, "store": self.site.store}
+        lines = {
+            "name": node["name"],
+            "inner": node["inner"],
+            "http": node["http"],
+            "zone": node["zone"],
+            "seeds": self.site.seeds(),
+        }
+        lines |= (
+            {"dataFolder": str(self.folder / node["name"])}
+            if role == "core"
+            else {"platform": self.site.platform, "store": self.site.store}
+        )
         path = self.folder / f"{node['name']}.toml"
         path.write_text("".join(f"{name} = {json.dumps(value)}\n" for name, value in lines.items()))
         self.start(node["name"], "swiftdeck.programs.deck", role, "--settings", str(path))
 
     def startWorker(self, worker, weights="w1"):
         """Start a worker stand-in."""
-        self.start(worker["name"], "swiftdeck.programs.bench", "worker", "--name", worker["name"], "--addr", worker["addr"],
-                   "--store", self.site.store, "--weights", weights, "--speed", str(self.speed), "--room", str(self.room),
-                   "--record", str(self.folder / "records" / f"{worker['name']}.jsonl"))
+        self.start(
+            worker["name"],
+            "swiftdeck.programs.bench",
+            "worker",
+            "--name",
+            worker["name"],
+            "--addr",
+            worker["addr"],
+            "--store",
+            self.site.store,
+            "--weights",
+            weights,
+            "--speed",
+            str(self.speed),
+            "--room",
+            str(self.room),
+            "--record",
+            str(self.folder / "records" / f"{worker['name']}.jsonl"),
+        )
 
     def startAll(self):
         """Start the whole site."""
         plan = self.folder / "workers.json"
         plan.write_text(json.dumps(self.site.workers))
-        self.start("platform", "swiftdeck.programs.bench", "platform", "--addr", self.site.platform, "--workers", str(plan),
-                   "--record", str(self.folder / "records" / "platform.jsonl"))
-        self.start("store", "swiftdeck.programs.bench", "store", "--addr", self.site.store,
-                   "--record", str(self.folder / "records" / "store.jsonl"))
+        self.start(
+            "platform",
+            "swiftdeck.programs.bench",
+            "platform",
+            "--addr",
+            self.site.platform,
+            "--workers",
+            str(plan),
+            "--record",
+            str(self.folder / "records" / "platform.jsonl"),
+        )
+        self.start(
+            "store",
+            "swiftdeck.programs.bench",
+            "store",
+            "--addr",
+            self.site.store,
+            "--record",
+            str(self.folder / "records" / "store.jsonl"),
+        )
         for worker in self.site.workers:
             self.startWorker(worker)
         for node in [*self.site.cores, *self.site.routers]:
@@ -100,8 +155,15 @@
         """One change, recorded."""
         askedMs = bootMs()
         got = await self.ask(method, f"/v1/config?base={base}", document)
-        self.record("change", method=method, base=base, document=document, status=0 if not got else got[0],
-                    answer={} if not got else got[1], askedMs=askedMs)
+        self.record(
+            "change",
+            method=method,
+            base=base,
+            document=document,
+            status=0 if not got else got[0],
+            answer={} if not got else got[1],
+            askedMs=askedMs,
+        )
         return got
 
     async def configure(self, limitS=60, **model):
@@ -126,8 +188,15 @@
     async def drive(self, seconds, faults, shortEveryS=0.8, seed=1):
         """Traffic for some time while faults happen; gives what the checker says."""
         doors = [node["http"] for node in self.site.routers]
-        caller = Caller("c", doors, FileRecord(self.folder / "records" / "caller.jsonl", "caller"), random.Random(seed),
-                        self.site.keys, scale=0.5, routers={node["http"]: node["name"] for node in self.site.routers})
+        caller = Caller(
+            "c",
+            doors,
+            FileRecord(self.folder / "records" / "caller.jsonl", "caller"),
+            random.Random(seed),
+            self.site.keys,
+            scale=0.5,
+            routers={node["http"]: node["name"] for node in self.site.routers},
+        )
         caller.returns = 3
         traffic = asyncio.ensure_future(caller.run(seconds, self.site.agents, shortEveryS))
         sampling = asyncio.ensure_future(self._sampling())
@@ -139,8 +208,15 @@
         askedMs, got = bootMs(), await self.ask("GET", "/v1/config")
         if got and got[0] == 200:
             self.record("read", status=200, askedMs=askedMs, **got[1])
-        self.record("versions", seen=[(await fetchJson(node["http"], "GET", "/v1/status", timeoutMs=2000) or (0, {}))[1].get("version")
-                                      for node in [*self.site.cores, *self.site.routers]])
+        self.record(
+            "versions",
+            seen=[
+                (await fetchJson(node["http"], "GET", "/v1/status", timeoutMs=2000) or (0, {}))[
+                    1
+                ].get("version")
+                for node in [*self.site.cores, *self.site.routers]
+            ],
+        )
 
     async def _sampling(self):
         """What the kernel counts for each core and router, every ten seconds."""
@@ -150,21 +226,40 @@
                 try:
                     stat = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
                     files = len(os.listdir(f"/proc/{process.pid}/fd"))
-                    logBytes = sum(path.stat().st_size for path in (self.folder / node["name"]).glob("*.log"))
+                    logBytes = sum(
+                        path.stat().st_size for path in (self.folder / node["name"]).glob("*.log")
+                    )
                 except OSError:
                     continue
                 status = await fetchJson(node["http"], "GET", "/v1/status", timeoutMs=2000)
-                self.record("sample", name=node["name"], pid=process.pid, files=files, logBytes=logBytes,
-                            tasks=status[1].get("tasks", 0) if status and status[0] == 200 else 0,
-                            cpuMs=(int(stat[11]) + int(stat[12])) * 1000 // os.sysconf("SC_CLK_TCK"),
-                            residentKiB=int(stat[21]) * os.sysconf("SC_PAGE_SIZE") // 1024)
+                self.record(
+                    "sample",
+                    name=node["name"],
+                    pid=process.pid,
+                    files=files,
+                    logBytes=logBytes,
+                    tasks=status[1].get("tasks", 0) if status and status[0] == 200 else 0,
+                    cpuMs=(int(stat[11]) + int(stat[12])) * 1000 // os.sysconf("SC_CLK_TCK"),
+                    residentKiB=int(stat[21]) * os.sysconf("SC_PAGE_SIZE") // 1024,
+                )
             await asyncio.sleep(10.0)
 
     async def breakThings(self, seconds):
         """Each fault in turn, with time to recover between them; the last one is the closing fault."""
-        steps = (self.killed("worker2"), self.killed("router3"), self.killed("core2"), self.killed("keeper"), self.frozen("keeper"),
-                 self.frozen("core3"), self.emptied("core1"), self.released("worker3"), self.weighed("w2"), self.rolled(),
-                 self.powerLost(), self.killed("keeper"))
+        steps = (
+            self.killed("worker2"),
+            self.killed("router3"),
+            self.killed("core2"),
+            self.killed("keeper"),
+            self.frozen("keeper"),
+            self.frozen("core3"),
+            self.emptied("core1"),
+            self.released("worker3"),
+            self.weighed("w2"),
+            self.rolled(),
+            self.powerLost(),
+            self.killed("keeper"),
+        )
         pauseS = seconds / (len(steps) + 2)
         await asyncio.sleep(pauseS)
         for step in steps:
@@ -245,7 +340,9 @@
         """New weights are named."""
         got = await self.ask("GET", "/v1/config")
         if got and got[0] == 200:
-            got = await self.change("PATCH", {"models": {self.site.model: {"weights": weights}}}, got[1]["version"])
+            got = await self.change(
+                "PATCH", {"models": {self.site.model: {"weights": weights}}}, got[1]["version"]
+            )
             self.weights = weights if got and got[0] == 200 else self.weights
 
     async def rolled(self):
@@ -280,18 +377,34 @@
         gaps = []
         for kill in [item for item in records if item["kind"] == "kill" and "asWhat" in item]:
             after = [atMs for atMs in served if atMs > kill["atMs"]]
-            longest = max((b - a for a, b in zip([kill["atMs"], *after], after) if a < kill["atMs"] + 12000), default=-1)
+            longest = max(
+                (b - a for a, b in zip([kill["atMs"], *after], after) if a < kill["atMs"] + 12000),
+                default=-1,
+            )
             gaps.append({"fault": kill["asWhat"], "longestGapMs": longest})
         samples = [item for item in records if item["kind"] == "sample"]
         steady, cpuMs = {}, 0
         for name in sorted({item["name"] for item in samples}):
             mine = [item for item in samples if item["name"] == name]
             whole = [item for item in mine if item["pid"] == mine[-1]["pid"]][2:]
-            cpuMs += sum(max(0, b["cpuMs"] - a["cpuMs"]) for a, b in zip(mine, mine[1:]) if a["pid"] == b["pid"]
-                         and name.startswith("router"))
+            cpuMs += sum(
+                max(0, b["cpuMs"] - a["cpuMs"])
+                for a, b in zip(mine, mine[1:])
+                if a["pid"] == b["pid"] and name.startswith("router")
+            )
             if len(whole) > 1:
-                steady[name] = {key: [whole[0][key], whole[-1][key]] for key in ("residentKiB", "files", "tasks", "logBytes")}
-        sums = {"routerCpuMsPerCall": round(cpuMs / max(1, len(served)), 2), "steady": steady, "returns": len(back), "served": len(served), "codes": Counter(str(item["code"]) for item in back),
-                "agents": sum(item["kind"] == "agent" for item in records), "gaps": gaps,
-                "versions": next((item["seen"] for item in records if item["kind"] == "versions"), [])}
+                steady[name] = {
+                    key: [whole[0][key], whole[-1][key]]
+                    for key in ("residentKiB", "files", "tasks", "logBytes")
+                }
+        sums = {
+            "routerCpuMsPerCall": round(cpuMs / max(1, len(served)), 2),
+            "steady": steady,
+            "returns": len(back),
+            "served": len(served),
+            "codes": Counter(str(item["code"]) for item in back),
+            "agents": sum(item["kind"] == "agent" for item in records),
+            "gaps": gaps,
+            "versions": next((item["seen"] for item in records if item["kind"] == "versions"), []),
+        }
         return check(records, apart={self.site.apart}), sums
--- a/swiftdeck/bench/growth.py
+++ b/swiftdeck/bench/growth.py
@@ -1,4 +1,5 @@
 """What a configuration of many routes costs on real processes: acknowledgements, and the longest stall of a loop."""
+
 import asyncio
 import time
 
@@ -33,7 +34,10 @@
     await fleet.configure()
     version, model, growMs = 1, fleet.site.model, []
     for start in range(0, routes, STEP):
-        part = {f"grown-{number}": {"model": model, "repeatable": True} for number in range(start, min(routes, start + STEP))}
+        part = {
+            f"grown-{number}": {"model": model, "repeatable": True}
+            for number in range(start, min(routes, start + STEP))
+        }
         growMs.append(await _patch(fleet, {"routes": part}, version))
         version += 1
     await asyncio.sleep(2.0)
@@ -49,5 +53,9 @@
     for task in watching:
         task.cancel()
     acks.sort()
-    return {"routes": routes, "ackMs": [round(acks[0]), round(acks[len(acks) // 2]), round(acks[-1])],
-            "growMostMs": round(max(growMs, default=0)), "stallMs": {name: round(max(each, default=-1)) for name, each in told.items()}}
+    return {
+        "routes": routes,
+        "ackMs": [round(acks[0]), round(acks[len(acks) // 2]), round(acks[-1])],
+        "growMostMs": round(max(growMs, default=0)),
+        "stallMs": {name: round(max(each, default=-1)) for name, each in told.items()},
+    }
--- a/swiftdeck/bench/measure.py
+++ b/swiftdeck/bench/measure.py
@@ -1,4 +1,5 @@
 """Measurements of the design in virtual time; each gives figures that its command repeats."""
+
 import contextlib
 import random
 import statistics
@@ -18,7 +19,11 @@
 def spread(values):
     """Least, median and most."""
     values = sorted(values)
-    return [round(values[0], 3), round(statistics.median(values), 3), round(values[-1], 3)] if values else []
+    return (
+        [round(values[0], 3), round(statistics.median(values), 3), round(values[-1], 3)]
+        if values
+        else []
+    )
 
 
 def thrash(seed):
@@ -38,8 +43,13 @@
             before = [next(full.walk(key)) for key in keys]
             moved = sum(old != next(less.walk(key)) for old, key in zip(before, keys))
             most = max(before.count(name) for name in names) / len(keys) * count
-            yield {"workers": count, "places": places, "moved": round(moved / len(keys), 4), "ideal": round(1 / count, 4),
-                   "fullestShare": round(most, 3)}
+            yield {
+                "workers": count,
+                "places": places,
+                "moved": round(moved / len(keys), 4),
+                "ideal": round(1 / count, 4),
+                "fullestShare": round(most, 3),
+            }
 
 
 def failover(seed):
@@ -49,20 +59,38 @@
         town.world.run(12)
         town.call("saga", "tag", ["a", "b"])
         position = {"head": 0, "middle": 1, "tail": 2}.get(victim)
-        name = (town.keeper() if victim == "keeper" else "worker1" if victim == "worker" else
-                next(each for each in town.routerNames() if each != town.keeper()) if victim == "router" else
-                next(each for each in town.coreNames() if town.up[each].agreement.position() == position))
+        name = (
+            town.keeper()
+            if victim == "keeper"
+            else "worker1"
+            if victim == "worker"
+            else next(each for each in town.routerNames() if each != town.keeper())
+            if victim == "router"
+            else next(
+                each for each in town.coreNames() if town.up[each].agreement.position() == position
+            )
+        )
         town.world.kill(name)
         town.caller.doors = [town.addresses[each]["http"] for each in town.routerNames()]
         startS = town.world.now
-        while not town.call("saga", "check", ["a", f"{town.world.now}"], idempotency=f"k{town.world.now}", isLast=True)["whole"]:
+        while not town.call(
+            "saga",
+            "check",
+            ["a", f"{town.world.now}"],
+            idempotency=f"k{town.world.now}",
+            isLast=True,
+        )["whole"]:
             town.world.run(0.1)
         servedS, base = town.world.now - startS, town.version
         for _ in range(8):
             got = town.change("PATCH", {"models": {"screener": {"cap": 9}}}, base, changeId="after")
             if got and got[0] == 200:
                 break
-        yield {"killed": victim, "onceOnlyCallS": round(servedS, 2), "changeS": round(town.world.now - startS, 2)}
+        yield {
+            "killed": victim,
+            "onceOnlyCallS": round(servedS, 2),
+            "changeS": round(town.world.now - startS, 2),
+        }
 
 
 def acks(seed):
@@ -71,7 +99,10 @@
         for routes in (0, 1000, 5000):
             town = Town(seed, routers=routers, workers=1).start()
             if routes:
-                town.change("PATCH", {"routes": {f"r{number}": {"model": "screener"} for number in range(routes)}})
+                town.change(
+                    "PATCH",
+                    {"routes": {f"r{number}": {"model": "screener"} for number in range(routes)}},
+                )
             took = []
             for number in range(5):
                 startS = town.world.now
@@ -83,7 +114,9 @@
 def fetch(seed):
     """Simulated milliseconds of the first turn after a move of a 100,000-token conversation."""
     for how in ("recompute", "peer", "store", "slow peer"):
-        town = Town(seed, routers=2, workers=2, speed=1.0).start(cap=8, idleMs=60000, fetches=how != "recompute")
+        town = Town(seed, routers=2, workers=2, speed=1.0).start(
+            cap=8, idleMs=60000, fetches=how != "recompute"
+        )
         first = town.call("saga", "check", ["long " * 80000, "mine"], isLast=False)
         town.world.run(2)
         if how == "store":
@@ -92,13 +125,20 @@
             town.up[first["worker"]].linkS = 30.0
 
         async def leave():
-            (town.up["platform"].remove if how == "store" else town.up["platform"].drain)(first["worker"])
+            (town.up["platform"].remove if how == "store" else town.up["platform"].drain)(
+                first["worker"]
+            )
+
         town.world.do("platform", leave)
         town.world.run(2)
         startS = town.world.now
         moved = town.call("saga", "check", [*first["parts"], "said", "next"], maxTokens=16)
-        yield {"from": how, "turnMs": int((town.world.now - startS) * 1000), "hitParts": moved.get("usage", {}).get("hitParts"),
-               "whole": moved["whole"]}
+        yield {
+            "from": how,
+            "turnMs": int((town.world.now - startS) * 1000),
+            "hitParts": moved.get("usage", {}).get("hitParts"),
+            "whole": moved["whole"],
+        }
 
 
 def outage(seed):
@@ -109,7 +149,13 @@
         town.up[worker["name"]].quirk = "die midway"
     box = []
     for number in range(200):
-        box.append(town.spawn(lambda number=number: town.caller.call("oita", "tag", ["book", str(number)], stream=False)))
+        box.append(
+            town.spawn(
+                lambda number=number: town.caller.call(
+                    "oita", "tag", ["book", str(number)], stream=False
+                )
+            )
+        )
         town.world.run(0.1)
     town.world.run(until=lambda: all(box), limitS=60)
     runs = sum(item["kind"] == "run" for item in town.records)
@@ -122,8 +168,15 @@
         for how in ("by warmth", "without regard"):
             with contextlib.ExitStack() as stack:
                 if how == "without regard":
-                    stack.enter_context(mock.patch("swiftdeck.traffic.index.PrefixIndex.depth", lambda self, worker, chain: 0))
-                    stack.enter_context(mock.patch("swiftdeck.traffic.ring.Ring.walk", _anyOrder(seed)))
+                    stack.enter_context(
+                        mock.patch(
+                            "swiftdeck.traffic.index.PrefixIndex.depth",
+                            lambda self, worker, chain: 0,
+                        )
+                    )
+                    stack.enter_context(
+                        mock.patch("swiftdeck.traffic.ring.Ring.walk", _anyOrder(seed))
+                    )
                 yield {"site": site, "placed": how} | _warmth(seed, site)
 
 
@@ -134,22 +187,44 @@
         state, log, written, rewrites, longestMs, limit = ChainState(), 0, 0, 0, 0.0, 1 << 20
         rng = random.Random(seed)
         for number in range(int(86400 * perS * 1.1)):
-            key, run = f"tenant{number % 8}:{rng.getrandbits(128):032x}", f"{rng.getrandbits(80):020x}"
+            key, run = (
+                f"tenant{number % 8}:{rng.getrandbits(128):032x}",
+                f"{rng.getrandbits(80):020x}",
+            )
             for op in (CLAIM, FINISH):
-                entry = state.examine({"t": "claims", "id": f"batch/router{number % 9}/{rng.getrandbits(64):x}",
-                                       "ops": [[key, run, f"{rng.getrandbits(128):032x}", op]]})
+                entry = state.examine(
+                    {
+                        "t": "claims",
+                        "id": f"batch/router{number % 9}/{rng.getrandbits(64):x}",
+                        "ops": [[key, run, f"{rng.getrandbits(128):032x}", op]],
+                    }
+                )
                 entry["elapsedMs"] = int(500 / perS)
-                size = len(Journal.frame({"k": "e", "n": number, "b": msgspec.msgpack.encode(entry)}))
+                size = len(
+                    Journal.frame({"k": "e", "n": number, "b": msgspec.msgpack.encode(entry)})
+                )
                 state.apply(entry)
                 log, written = log + size, written + size
                 if log > limit:
                     startS = time.perf_counter()
                     data = state.toBytes()
                     longestMs = max(longestMs, (time.perf_counter() - startS) * 1000)
-                    log, written, rewrites, limit = len(data), written + len(data), rewrites + 1, max(1 << 20, 4 * len(data))
-        yield {"callsPerS": perS, "claims": len(state.stored.claims), "stateMB": round(len(state.toBytes()) / 1e6, 1),
-               "memoryMB": round(tracemalloc.get_traced_memory()[0] / 1e6, 1), "logMostMB": round(limit / 1e6, 1),
-               "writtenMB": round(written / 1e6), "rewrites": rewrites, "longestEncodeMs": round(longestMs)}
+                    log, written, rewrites, limit = (
+                        len(data),
+                        written + len(data),
+                        rewrites + 1,
+                        max(1 << 20, 4 * len(data)),
+                    )
+        yield {
+            "callsPerS": perS,
+            "claims": len(state.stored.claims),
+            "stateMB": round(len(state.toBytes()) / 1e6, 1),
+            "memoryMB": round(tracemalloc.get_traced_memory()[0] / 1e6, 1),
+            "logMostMB": round(limit / 1e6, 1),
+            "writtenMB": round(written / 1e6),
+            "rewrites": rewrites,
+            "longestEncodeMs": round(longestMs),
+        }
         tracemalloc.stop()
 
 
@@ -158,6 +233,7 @@
 
     def walk(self, key):
         yield from order.sample(self.workers, len(self.workers))
+
     return walk
 
 
@@ -167,17 +243,43 @@
         town.up[worker["name"]].cache.room = 13000
     tenants = list(town.site.keys)
     startMs = town.world.now * 1000
-    town.spawn(lambda: town.caller.run(seconds, {name: int(at < 2) for at, name in enumerate(tenants)}, 0.8))
+    town.spawn(
+        lambda: town.caller.run(
+            seconds, {name: int(at < 2) for at, name in enumerate(tenants)}, 0.8
+        )
+    )
     town.world.run(seconds + 30)
-    runs = {item["run"]: item for item in town.records if item["kind"] == "run" and item["atMs"] > startMs}
-    turns = {item["marker"]: item["turn"] for item in town.records if item["kind"] == "try" and item.get("talk")}
-    prefills = [(runs[item["run"]], item) for item in town.records if item["kind"] == "prefill" and item["run"] in runs]
+    runs = {
+        item["run"]: item
+        for item in town.records
+        if item["kind"] == "run" and item["atMs"] > startMs
+    }
+    turns = {
+        item["marker"]: item["turn"]
+        for item in town.records
+        if item["kind"] == "try" and item.get("talk")
+    }
+    prefills = [
+        (runs[item["run"]], item)
+        for item in town.records
+        if item["kind"] == "prefill" and item["run"] in runs
+    ]
     shared = [item["hitParts"] >= 1 for run, item in prefills if not turns.get(run["marker"])]
-    later = [item["hitParts"] >= item["parts"] - 2 for run, item in prefills if turns.get(run["marker"])]
+    later = [
+        item["hitParts"] >= item["parts"] - 2 for run, item in prefills if turns.get(run["marker"])
+    ]
     checks = sum(run["route"] == "check" for run in runs.values())
-    return {"checks": checks, "shorts": len(runs) - checks, "sharedTextHits": round(sum(shared) / max(1, len(shared)), 3),
-            "laterTurnHits": round(sum(later) / max(1, len(later)), 3),
-            "computedTokensPerCall": round(sum(item["newTokens"] for _, item in prefills) / max(1, len(prefills)))}
+    return {
+        "checks": checks,
+        "shorts": len(runs) - checks,
+        "sharedTextHits": round(sum(shared) / max(1, len(shared)), 3),
+        "laterTurnHits": round(sum(later) / max(1, len(later)), 3),
+        "computedTokensPerCall": round(
+            sum(item["newTokens"] for _, item in prefills) / max(1, len(prefills))
+        ),
+    }
 
 
-MEASURES = {each.__name__: each for each in (thrash, ring, failover, acks, fetch, outage, warm, day)}
+MEASURES = {
+    each.__name__: each for each in (thrash, ring, failover, acks, fetch, outage, warm, day)
+}
--- a/swiftdeck/bench/outer/balancer.py
+++ b/swiftdeck/bench/outer/balancer.py
@@ -1,4 +1,5 @@
 """A stand-in for the platform's address: which nodes get new connections."""
+
 import asyncio
 
 from swiftdeck.http.client import fetchJson
@@ -22,5 +23,11 @@
 
     def doors(self):
         """(Name, front address) of the nodes that are in; of all, where fewer than half are."""
-        ready = [(name, front) for name, (front, _) in self.nodes.items() if self.misses.get(name, 2) < 2]
-        return ready if 2 * len(ready) >= len(self.nodes) else [(name, front) for name, (front, _) in self.nodes.items()]
+        ready = [
+            (name, front) for name, (front, _) in self.nodes.items() if self.misses.get(name, 2) < 2
+        ]
+        return (
+            ready
+            if 2 * len(ready) >= len(self.nodes)
+            else [(name, front) for name, (front, _) in self.nodes.items()]
+        )
--- a/swiftdeck/bench/outer/checker.py
+++ b/swiftdeck/bench/outer/checker.py
@@ -1,4 +1,5 @@
 """Judges a run of the platform's stand-ins by their records alone: one check for each rule of the platform's page."""
+
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 
@@ -26,7 +27,11 @@
     def in_touch(self, machine, at_ms, since_ms=None):
         """Whether a machine and the core were calm for long enough before a time, and since another."""
         begin_ms = (at_ms if since_ms is None else since_ms) - self.contact_ms
-        return not any(a <= at_ms and b >= begin_ms for name, a, b in self.troubles if name == machine or name.startswith("core"))
+        return not any(
+            a <= at_ms and b >= begin_ms
+            for name, a, b in self.troubles
+            if name == machine or name.startswith("core")
+        )
 
 
 class Records:
@@ -42,9 +47,14 @@
         for item in self.of("run"):
             self.runs[item["id"]].append(item)
         told = {item["version"]: item["atMs"] for item in self.of("told") if item["status"] == 200}
-        refused = {item["version"] for item in self.of("told") if item["status"] and item["status"] != 200}
-        self.configs = [read_config(item, told.get(item["version"], FOREVER)) for item in self.of("sent")
-                        if not item["bad"] and (item["version"] not in refused or item["version"] in told)]
+        refused = {
+            item["version"] for item in self.of("told") if item["status"] and item["status"] != 200
+        }
+        self.configs = [
+            read_config(item, told.get(item["version"], FOREVER))
+            for item in self.of("sent")
+            if not item["bad"] and (item["version"] not in refused or item["version"] in told)
+        ]
 
     def of(self, *kinds):
         """Records of some kinds."""
@@ -56,7 +66,14 @@
 
     def route(self, asked):
         """A configuration's route of a try, the newest that has one."""
-        return next((found for config in reversed(self.configs) if (found := config.find(asked)) is not None), None)
+        return next(
+            (
+                found
+                for config in reversed(self.configs)
+                if (found := config.find(asked)) is not None
+            ),
+            None,
+        )
 
     def may_repeat(self, asked):
         """Whether a try may run more than once."""
@@ -78,24 +95,41 @@
 
     def find(self, asked):
         """The route of a try, or None."""
-        fits = [each for each in self.routes if each["hostname"] == asked["host"] and asked["target"].startswith(each["path-start"])]
+        fits = [
+            each
+            for each in self.routes
+            if each["hostname"] == asked["host"] and asked["target"].startswith(each["path-start"])
+        ]
         return max(fits, key=lambda each: len(each["path-start"]), default=None)
 
     def services(self, asked):
         """Services that may run a try."""
         route = self.find(asked)
-        if route is None or not route.get("public") and self.keyed and asked["key"] not in self.keys:
+        if (
+            route is None
+            or not route.get("public")
+            and self.keyed
+            and asked["key"] not in self.keys
+        ):
             return set()
-        return {each["backend"] for each in route.get("traffic-split") or () if each["share"] > 0} or {route["backend"]}
+        return {
+            each["backend"] for each in route.get("traffic-split") or () if each["share"] > 0
+        } or {route["backend"]}
 
 
 def read_config(item, told_ms):
     """A configuration from its record."""
     document = item["document"]
     customers = document.get("customers")
-    return Config(item["version"], item["atMs"], told_ms, document["routes"],
-                  {key: each["name"] for each in customers or () for key in each["api-keys"]},
-                  {each["name"]: bool(each.get("isolated")) for each in customers or ()}, customers is not None)
+    return Config(
+        item["version"],
+        item["atMs"],
+        told_ms,
+        document["routes"],
+        {key: each["name"] for each in customers or () for key in each["api-keys"]},
+        {each["name"]: bool(each.get("isolated")) for each in customers or ()},
+        customers is not None,
+    )
 
 
 def mixed(records, bounds):
@@ -126,64 +160,100 @@
         if asked is None:
             yield f"{item['id']} was never sent"
             continue
-        if (asked["method"], asked["target"], asked["body"]) != (item["method"], item["target"], item["body"]):
+        if (asked["method"], asked["target"], asked["body"]) != (
+            item["method"],
+            item["target"],
+            item["body"],
+        ):
             yield f"{item['id']} ran as something else"
         if item["keyed"]:
             yield f"{item['id']} ran with its key passed on"
-        if item["tenant"] not in (records.key_holders(asked["key"]) or {""}) | ({""} if not asked["key"] else set()):
+        if item["tenant"] not in (records.key_holders(asked["key"]) or {""}) | (
+            {""} if not asked["key"] else set()
+        ):
             yield f"{item['id']} ran for tenant {item['tenant']!r}"
 
 
 def twice(records, bounds):
     """A once-only request that ran more than once."""
-    yield from (f"{name} ran {len(runs)} times" for name, runs in records.runs.items()
-                if len(runs) > 1 and name in records.tries and not records.may_repeat(records.tries[name]))
+    yield from (
+        f"{name} ran {len(runs)} times"
+        for name, runs in records.runs.items()
+        if len(runs) > 1 and name in records.tries and not records.may_repeat(records.tries[name])
+    )
 
 
 def refused(records, bounds):
     """A once-only request that was promised not to run and has run, or runs later."""
-    yield from (f"{item['id']} got {item['status']} and ran" for item in records.of("result")
-                if item["status"] in PROMISES and item["id"] in records.runs and not records.may_repeat(records.tries[item["id"]]))
+    yield from (
+        f"{item['id']} got {item['status']} and ran"
+        for item in records.of("result")
+        if item["status"] in PROMISES
+        and item["id"] in records.runs
+        and not records.may_repeat(records.tries[item["id"]])
+    )
 
 
 def route(records, bounds):
     """A service that runs what no configuration allows to go to it."""
     for item in records.of("run"):
         asked = records.tries.get(item["id"])
-        if asked and not any(item["service"] in config.services(asked) for config in records.configs):
+        if asked and not any(
+            item["service"] in config.services(asked) for config in records.configs
+        ):
             yield f"{item['id']} ran at service {item['service']}"
 
 
 def stale(records, bounds):
     """A run on memory that was made under another version of its model."""
     runs = {item["run"]: item for item in records.of("run")}
-    yield from (f"{runs[item['run']]['id']} ran on version {runs[item['run']]['version']} with parts of {version}"
-                for item in records.of("read") for _, version in item["origins"] if version != runs[item["run"]]["version"])
+    yield from (
+        f"{runs[item['run']]['id']} ran on version {runs[item['run']]['version']} with parts of {version}"
+        for item in records.of("read")
+        for _, version in item["origins"]
+        if version != runs[item["run"]]["version"]
+    )
 
 
 def wall(records, bounds):
     """A run on memory of another tenant where one of the two is kept apart."""
     runs = {item["run"]: item for item in records.of("run")}
-    apart = {name for config in records.configs for name, is_apart in config.apart.items() if is_apart}
-    yield from (f"{runs[item['run']]['id']} of {runs[item['run']]['tenant']} used parts of {tenant}" for item in records.of("read")
-                for tenant, _ in item["origins"] if tenant != runs[item["run"]]["tenant"] and {tenant, runs[item["run"]]["tenant"]} & apart)
+    apart = {
+        name for config in records.configs for name, is_apart in config.apart.items() if is_apart
+    }
+    yield from (
+        f"{runs[item['run']]['id']} of {runs[item['run']]['tenant']} used parts of {tenant}"
+        for item in records.of("read")
+        for tenant, _ in item["origins"]
+        if tenant != runs[item["run"]]["tenant"] and {tenant, runs[item["run"]]["tenant"]} & apart
+    )
 
 
 def order(records, bounds):
     """A stream that lacks a piece, repeats one, joins runs that may not be joined, or looks complete too early."""
-    counts = {item["id"]: item.get("events", 0) for item in records.of("answer") if not item["body"]}
+    counts = {
+        item["id"]: item.get("events", 0) for item in records.of("answer") if not item["body"]
+    }
     after = {item["run"]: int(item["after"] or 0) for item in records.of("run")}
     for item in records.of("result"):
         if item["mode"] != "streaming" or item["status"] != 200:
             continue
         asked, events = records.tries[item["id"]], item["events"]
         numbers, begin = [number for number, _, _ in events], asked["after"]
-        if numbers != list(range(begin + 1, begin + 1 + len(numbers))) or any(name != item["id"] for _, name, _ in events):
+        if numbers != list(range(begin + 1, begin + 1 + len(numbers))) or any(
+            name != item["id"] for _, name, _ in events
+        ):
             yield f"{item['id']} has pieces {numbers} after {begin}"
-        if item["complete"] and (begin + len(numbers) != counts.get(item["id"]) or item.get("rest")):
+        if item["complete"] and (
+            begin + len(numbers) != counts.get(item["id"]) or item.get("rest")
+        ):
             yield f"{item['id']} is complete with {len(numbers)} pieces of {counts.get(item['id'])}"
         joins = [(one, two) for one, two in zip(events, events[1:]) if one[2] != two[2]]
-        if any(after.get(two[2]) != one[0] for one, two in joins) or joins and not records.may_repeat(asked):
+        if (
+            any(after.get(two[2]) != one[0] for one, two in joins)
+            or joins
+            and not records.may_repeat(asked)
+        ):
             yield f"{item['id']} joins pieces of several runs"
 
 
@@ -202,9 +272,12 @@
 
         def between(a, b):
             return bisect_right(asked, b) - bisect_left(asked, a)
+
         for at, end in enumerate(times):
             count = at + 1 - bisect_left(times, end - window + 1)
-            most = max(between(end - window - back, end - back) for back in (0, window // 2, window))
+            most = max(
+                between(end - window - back, end - back) for back in (0, window // 2, window)
+            )
             if count > bounds.retry_ratio * most + bounds.extra_retries:
                 yield f"{service} got {count} further tries for {most} requests up to {end}"
 
@@ -216,7 +289,9 @@
         workers[item["worker"]].append(item)
     for worker, orders in workers.items():
         for before, now in zip(orders, orders[1:]):
-            if now["fence"] < before["fence"] and (not bounds.checks_fences or now["status"] in (200, 202)):
+            if now["fence"] < before["fence"] and (
+                not bounds.checks_fences or now["status"] in (200, 202)
+            ):
                 yield f"{worker} got fence {now['fence']} after {before['fence']}"
             if now["owner"] != before["owner"] and now["atMs"] - before["atMs"] < bounds.lease_ms:
                 yield f"{worker} got orders of {before['owner']} and {now['owner']} at {before['atMs']} and {now['atMs']}"
@@ -231,21 +306,37 @@
     named = records.of("named")
     for item in records.of("run"):
         asked = records.tries.get(item["id"])
-        late = [each for each in named if each["model"] == item["model"] and item["version"] < each["version"]
-                and item["atMs"] > each["atMs"] + bounds.version_ms]
-        if asked and late and bounds.in_touch(asked["router"], item["atMs"], min(each["atMs"] for each in late)):
+        late = [
+            each
+            for each in named
+            if each["model"] == item["model"]
+            and item["version"] < each["version"]
+            and item["atMs"] > each["atMs"] + bounds.version_ms
+        ]
+        if (
+            asked
+            and late
+            and bounds.in_touch(asked["router"], item["atMs"], min(each["atMs"] for each in late))
+        ):
             yield f"{item['id']} began on version {item['version']}"
 
 
 def drain(records, bounds):
     """A request that reaches a worker long after the list showed it as leaving."""
-    shown, turned = {}, {(item["id"], item["worker"]) for item in records.of("refused") if item["status"] == 421}
+    shown, turned = (
+        {},
+        {(item["id"], item["worker"]) for item in records.of("refused") if item["status"] == 421},
+    )
     for item in records.of("shown"):
         shown.setdefault(item["worker"], item["atMs"])
     for item in records.of("arrive"):
         asked = records.tries.get(item["id"])
-        if (asked and item["atMs"] > shown.get(item["worker"], FOREVER) + bounds.drain_ms and (item["id"], item["worker"]) not in turned
-                and bounds.in_touch(asked["router"], item["atMs"])):
+        if (
+            asked
+            and item["atMs"] > shown.get(item["worker"], FOREVER) + bounds.drain_ms
+            and (item["id"], item["worker"]) not in turned
+            and bounds.in_touch(asked["router"], item["atMs"])
+        ):
             yield f"{item['id']} reached {item['worker']} {item['atMs'] - shown[item['worker']]} ms after it was shown as leaving"
 
 
@@ -253,7 +344,11 @@
     """A request handled as only an older configuration allows; what must not be in force; what was acknowledged and is gone."""
     results = {item["id"]: item for item in records.of("result")}
     for name, asked in records.tries.items():
-        told = [each for each in records.configs if each.told_ms + bounds.apply_within_ms < asked["atMs"]]
+        told = [
+            each
+            for each in records.configs
+            if each.told_ms + bounds.apply_within_ms < asked["atMs"]
+        ]
         if not told or not bounds.in_touch(asked["router"], asked["atMs"]):
             continue
         newest = max(told, key=lambda each: each.version)
@@ -263,12 +358,20 @@
             yield f"{name} ran as only a configuration before {newest.version} allows"
         if results.get(name, {}).get("status") in TURNED_AWAY and all(allowed):
             yield f"{name} got {results[name]['status']}, while {newest.version} and all later ones allow it"
-    yield from (f"{item['version']} is invalid and was acknowledged" for item in records.of("told") if item["bad"] and item["status"] == 200)
+    yield from (
+        f"{item['version']} is invalid and was acknowledged"
+        for item in records.of("told")
+        if item["bad"] and item["status"] == 200
+    )
     bases = defaultdict(set)
     for item in records.of("told"):
         if item["status"] == 200:
             bases[item["base"]].add(item["version"])
-    yield from (f"{sorted(versions)} were both acknowledged on top of {base}" for base, versions in bases.items() if len(versions) > 1)
+    yield from (
+        f"{sorted(versions)} were both acknowledged on top of {base}"
+        for base, versions in bases.items()
+        if len(versions) > 1
+    )
     told = [each for each in records.configs if each.told_ms < FOREVER]
     sent = {item["version"]: item["document"] for item in records.of("sent")}
     for item in records.of("readBack")[-1:]:
@@ -277,8 +380,21 @@
             yield f"read back {got and got['version']}, acknowledged {newest}"
 
 
-RULES = {"MIXED": mixed, "UNASKED": unasked, "TWICE": twice, "REFUSED": refused, "ROUTE": route, "STALE": stale, "WALL": wall,
-         "ORDER": order, "BUDGET": budget, "ONE": one, "VERSION": version, "DRAIN": drain, "CONFIG": config}
+RULES = {
+    "MIXED": mixed,
+    "UNASKED": unasked,
+    "TWICE": twice,
+    "REFUSED": refused,
+    "ROUTE": route,
+    "STALE": stale,
+    "WALL": wall,
+    "ORDER": order,
+    "BUDGET": budget,
+    "ONE": one,
+    "VERSION": version,
+    "DRAIN": drain,
+    "CONFIG": config,
+}
 
 
 def check(items, bounds=None) -> dict:
--- a/swiftdeck/bench/outer/client.py
+++ b/swiftdeck/bench/outer/client.py
@@ -1,4 +1,5 @@
 """A stand-in for the platform's clients, which keep to its page and record what they sent and got."""
+
 import asyncio
 import itertools
 import re
@@ -18,30 +19,93 @@
         self.name, self.record, self.random, self.doors = name, record, random, doors
         self.serial, self.kept = itertools.count(1), {}
 
-    async def ask(self, host, path, key="", method="POST", body=b"{}", kind="safe", resumable=False, model="", parts=(), out=12,
-                  within_ms=6000, aim_ms=600, gap_ms=250, tries=3, keeps=True, door=None, headers=()):
+    async def ask(
+        self,
+        host,
+        path,
+        key="",
+        method="POST",
+        body=b"{}",
+        kind="safe",
+        resumable=False,
+        model="",
+        parts=(),
+        out=12,
+        within_ms=6000,
+        aim_ms=600,
+        gap_ms=250,
+        tries=3,
+        keeps=True,
+        door=None,
+        headers=(),
+    ):
         """One request with its further tries; gives the last result."""
         loop = asyncio.get_running_loop()
         end_s, root, events = loop.time() + within_ms / 1000, f"{self.name}-{next(self.serial)}", []
-        silence_s = max(2.0, 4 * aim_ms / 1000, 8 * gap_ms / 1000) if kind == "streaming" else within_ms / 1000
+        silence_s = (
+            max(2.0, 4 * aim_ms / 1000, 8 * gap_ms / 1000)
+            if kind == "streaming"
+            else within_ms / 1000
+        )
         for turn in range(tries):
             name = f"{root}.{turn}"
-            lines = [("Swiftdeck-Request-Id", name), ("Swiftdeck-Time-Left-Ms", str(max(1, int((end_s - loop.time()) * 1000)))), *headers]
+            lines = [
+                ("Swiftdeck-Request-Id", name),
+                ("Swiftdeck-Time-Left-Ms", str(max(1, int((end_s - loop.time()) * 1000)))),
+                *headers,
+            ]
             lines += [("Authorization", f"Bearer {key}")] if key else []
             lines += [("Accept", "text/event-stream")] if kind == "streaming" else []
-            lines += [("Swiftdeck-Model", model), ("Swiftdeck-Token-Count", f"{sum(each for _, each in parts)},{out}"),
-                      ("Swiftdeck-Prompt-Prefix", ",".join(f"{part}:{tokens}" for part, tokens in parts))] if model else []
+            lines += (
+                [
+                    ("Swiftdeck-Model", model),
+                    ("Swiftdeck-Token-Count", f"{sum(each for _, each in parts)},{out}"),
+                    (
+                        "Swiftdeck-Prompt-Prefix",
+                        ",".join(f"{part}:{tokens}" for part, tokens in parts),
+                    ),
+                ]
+                if model
+                else []
+            )
             lines += [("Last-Event-Id", str(events[-1][0]))] if events and resumable else []
             chosen = door or self._door()
             if chosen is None:
                 await asyncio.sleep(0.2)
                 continue
-            self.record("try", id=name, root=root, host=host, target=path, key=key, method=method, body=digest(body), router=chosen[0],
-                        mode=kind, resumable=resumable, endMs=int(within_ms), after=events[-1][0] if events else 0)
-            got = {"id": name, "router": chosen[0], "status": 0, "end": "", "sent": False, "complete": False, "seal": "", "events": [],
-                   "body": "", "ownId": "", "retryAfter": 0.0, "mode": kind}
+            self.record(
+                "try",
+                id=name,
+                root=root,
+                host=host,
+                target=path,
+                key=key,
+                method=method,
+                body=digest(body),
+                router=chosen[0],
+                mode=kind,
+                resumable=resumable,
+                endMs=int(within_ms),
+                after=events[-1][0] if events else 0,
+            )
+            got = {
+                "id": name,
+                "router": chosen[0],
+                "status": 0,
+                "end": "",
+                "sent": False,
+                "complete": False,
+                "seal": "",
+                "events": [],
+                "body": "",
+                "ownId": "",
+                "retryAfter": 0.0,
+                "mode": kind,
+            }
             try:
-                await self._try(chosen[1], host, path, method, body, lines, got, end_s, silence_s, keeps)
+                await self._try(
+                    chosen[1], host, path, method, body, lines, got, end_s, silence_s, keeps
+                )
             finally:
                 self.record("result", **got)
             events += got["events"]
@@ -76,7 +140,9 @@
         try:
             async with asyncio.timeout_at(end_s):
                 async with asyncio.timeout(silence_s) as silence:
-                    await self._read(link, host, path, method, body, headers, got, silence, silence_s)
+                    await self._read(
+                        link, host, path, method, body, headers, got, silence, silence_s
+                    )
         except TimeoutError:
             got["end"] = "silence or deadline"
         if got["end"] == "whole" and keeps and got["keep"]:
@@ -91,14 +157,22 @@
             got["end"] = f"no answer: {answer.reason}"
             return
         head, data = answer.headers, bytearray()
-        got |= {"status": answer.status, "seal": head.get("swiftdeck-server-seal", ""), "ownId": head.get("swiftdeck-request-id", ""),
-                "retryAfter": float(head.get("retry-after", 0)), "keep": head.get("connection", "") != "close"}
+        got |= {
+            "status": answer.status,
+            "seal": head.get("swiftdeck-server-seal", ""),
+            "ownId": head.get("swiftdeck-request-id", ""),
+            "retryAfter": float(head.get("retry-after", 0)),
+            "keep": head.get("connection", "") != "close",
+        }
         async for piece in answer.pieces():
             data += piece
             silence.reschedule(asyncio.get_running_loop().time() + silence_s)
             if got["mode"] == "streaming" and answer.status == 200:
                 end = data.rfind(b"\n\n") + 2 if b"\n\n" in data else 0
-                got["events"] += [[int(number), name.decode(), run.decode()] for number, name, _, run in EVENT.findall(data[:end])]
+                got["events"] += [
+                    [int(number), name.decode(), run.decode()]
+                    for number, name, _, run in EVENT.findall(data[:end])
+                ]
                 del data[:end]
         got["complete"] = answer.fault is None
         got["end"] = "whole" if got["complete"] else f"cut: {answer.fault.reason}"
--- a/swiftdeck/bench/outer/listing.py
+++ b/swiftdeck/bench/outer/listing.py
@@ -1,4 +1,5 @@
 """A stand-in for the platform's list of workers."""
+
 import asyncio
 from collections import deque
 
@@ -10,7 +11,13 @@
     """Shows what workers there are, some time after it is so, page by page, and not too often."""
 
     def __init__(self, addr, record, lag_ms=400, rate_per_s=20, page=3):
-        self.addr, self.record, self.lag_ms, self.rate_per_s, self.page = addr, record, lag_ms, rate_per_s, page
+        self.addr, self.record, self.lag_ms, self.rate_per_s, self.page = (
+            addr,
+            record,
+            lag_ms,
+            rate_per_s,
+            page,
+        )
         self.shown, self.calls, self.over = {}, deque(), 0
         self.http = HttpServer(self.handle)
 
@@ -26,7 +33,10 @@
     def _show(self, entries):
         now = {each["id"]: each for each in entries}
         for name, entry in now.items():
-            if entry["server-state"] == "draining" and self.shown.get(name, {}).get("server-state") != "draining":
+            if (
+                entry["server-state"] == "draining"
+                and self.shown.get(name, {}).get("server-state") != "draining"
+            ):
                 self.record("shown", worker=name, state="draining")
         for name in self.shown.keys() - now.keys():
             self.record("shown", worker=name, state="gone")
@@ -46,4 +56,10 @@
         at = int(exchange.query.get("page-token", "p-0").removeprefix("p-"))
         entries = list(self.shown.values())
         after = at + self.page
-        return await exchange.give(200, {"app-servers": entries[at:after], "next-token": f"p-{after}" if after < len(entries) else None})
+        return await exchange.give(
+            200,
+            {
+                "app-servers": entries[at:after],
+                "next-token": f"p-{after}" if after < len(entries) else None,
+            },
+        )
--- a/swiftdeck/bench/outer/operator.py
+++ b/swiftdeck/bench/outer/operator.py
@@ -1,4 +1,5 @@
 """A stand-in for the platform's operator."""
+
 import asyncio
 import copy
 
@@ -27,12 +28,20 @@
 
     async def put(self, document, version, base=None, is_bad=False):
         """Send a whole configuration; gives the status."""
-        return await self._change("PUT", document | {"version": version}, document | {"version": version}, base, is_bad)
+        return await self._change(
+            "PUT", document | {"version": version}, document | {"version": version}, base, is_bad
+        )
 
     async def patch(self, version, put=None, remove=None, base=None, is_bad=False):
         """Send a change of named items; gives the status."""
-        body = {"version": version} | ({"put-items": put} if put else {}) | ({"remove-names": remove} if remove else {})
-        return await self._change("PATCH", body, patched(self.document, put, remove) | {"version": version}, base, is_bad)
+        body = (
+            {"version": version}
+            | ({"put-items": put} if put else {})
+            | ({"remove-names": remove} if remove else {})
+        )
+        return await self._change(
+            "PATCH", body, patched(self.document, put, remove) | {"version": version}, base, is_bad
+        )
 
     async def _change(self, method, body, document, base, is_bad):
         base = self.document["version"] if base is None else base
@@ -62,7 +71,11 @@
         while loop.time() < end_s:
             doors = self.doors()
             self.turn += 1
-            got = await fetchJson(doors[self.turn % len(doors)], method, path, body, headers, 1000) if doors else None
+            got = (
+                await fetchJson(doors[self.turn % len(doors)], method, path, body, headers, 1000)
+                if doors
+                else None
+            )
             if got and got[0] < 500 and got[0] not in (408, 429):
                 return got[0]
             await asyncio.sleep(pause_s)
--- a/swiftdeck/bench/outer/parts.py
+++ b/swiftdeck/bench/outer/parts.py
@@ -1,4 +1,5 @@
 """What a worker or a store keeps of prompts, and its reports of it."""
+
 import asyncio
 
 import attrs
@@ -75,10 +76,19 @@
         number = self.number
         await asyncio.sleep(self.late_s)
         is_lost = bool(since < number - TOLD_MOST)
-        return {"epoch": self.epoch, "next-token": number, "lost": is_lost,
-                "events": [each for each in self.events if since < each[0] <= number]}
+        return {
+            "epoch": self.epoch,
+            "next-token": number,
+            "lost": is_lost,
+            "events": [each for each in self.events if since < each[0] <= number],
+        }
 
     def listed(self):
         """All that is kept."""
-        return {"epoch": self.epoch, "next-token": self.number,
-                "held": [[salt, name, kept.tokens, kept.model] for (salt, name), kept in self.held.items()]}
+        return {
+            "epoch": self.epoch,
+            "next-token": self.number,
+            "held": [
+                [salt, name, kept.tokens, kept.model] for (salt, name), kept in self.held.items()
+            ],
+        }
--- a/swiftdeck/bench/outer/store.py
+++ b/swiftdeck/bench/outer/store.py
@@ -1,4 +1,5 @@
 """A stand-in for a store of kept parts."""
+
 import asyncio
 
 import msgspec
@@ -13,15 +14,19 @@
 async def give_reports(cache, exchange):
     """Answer the calls for reports, if this is one."""
     if exchange.path == "/swiftdeck/kv-events":
-        got = await cache.reports(int(exchange.query.get("since", "0")), int(exchange.headers.get("wait-ms", "0")))
+        got = await cache.reports(
+            int(exchange.query.get("since", "0")), int(exchange.headers.get("wait-ms", "0"))
+        )
         await exchange.give(200, got)
     elif exchange.path == "/swiftdeck/kv-list":
         await exchange.give(200, cache.listed())
     elif exchange.path == PARTS and exchange.method == "POST":
         asked = exchange.json()
         found = cache.first(asked["salt"], asked["model"], asked["names"])
-        await asyncio.sleep(0.001 + 1e-6 * sum(each.tokens for each in found[asked["above"]:]))
-        await exchange.give(200, [[each.tokens, each.model, each.tenant, each.version] for each in found])
+        await asyncio.sleep(0.001 + 1e-6 * sum(each.tokens for each in found[asked["above"] :]))
+        await exchange.give(
+            200, [[each.tokens, each.model, each.tenant, each.version] for each in found]
+        )
     else:
         return False
     return True
--- a/swiftdeck/bench/outer/worker.py
+++ b/swiftdeck/bench/outer/worker.py
@@ -1,4 +1,5 @@
 """A stand-in for a worker of the platform: batches, kept parts, orders, streams, and troubles on demand."""
+
 import asyncio
 import hashlib
 import itertools
@@ -29,7 +30,14 @@
         self.versions, self.is_named, self.checks_fences = dict(versions), is_named, checks_fences
         self.cache, self.runs = PartCache(plan["room"], random), itertools.count(1)
         self.quirk, self.quirk_share, self.is_leaving, self.last_answer = "", 1.0, False, b""
-        self.active, self.queue, self.busy, self.orders, self.fence, self.order_task = {}, [], None, 0, 0, None
+        self.active, self.queue, self.busy, self.orders, self.fence, self.order_task = (
+            {},
+            [],
+            None,
+            0,
+            0,
+            None,
+        )
         self.http = HttpServer(self.handle, idleMs=plan.get("idle_ms", 20000))
 
     @property
@@ -42,44 +50,84 @@
         self.reading = asyncio.Lock()
         ip, _, port = self.plan["address"].rpartition(":")
         await self.http.start(ip, int(port))
-        self.record("up", worker=self.name, service=self.plan["backend"], versions=dict(self.versions))
+        self.record(
+            "up", worker=self.name, service=self.plan["backend"], versions=dict(self.versions)
+        )
 
     def entry(self):
         """This worker on the platform's list."""
-        return {"id": self.name, "backend": self.plan["backend"], "address": self.plan["address"], "zone": self.plan["zone"],
-                "version": "v1", "capacity": self.plan["capacity"], "server-state": "draining" if self.is_leaving else "ready",
-                "warmup-left-ms": 0, "phase": "both", "models": self._models()}
+        return {
+            "id": self.name,
+            "backend": self.plan["backend"],
+            "address": self.plan["address"],
+            "zone": self.plan["zone"],
+            "version": "v1",
+            "capacity": self.plan["capacity"],
+            "server-state": "draining" if self.is_leaving else "ready",
+            "warmup-left-ms": 0,
+            "phase": "both",
+            "models": self._models(),
+        }
 
     def _models(self):
-        return [{"name": name, "version": version, "adapters": []} for name, version in self.versions.items()]
+        return [
+            {"name": name, "version": version, "adapters": []}
+            for name, version in self.versions.items()
+        ]
 
     async def handle(self, exchange):
         """One exchange of any kind."""
         if await give_reports(self.cache, exchange):
             return None
         if exchange.path == "/swiftdeck/report":
-            return await exchange.give(200, {
-                "phase": "both", "models": self._models(), "busy": self.busy is not None, "call-count": self.orders,
-                "queued": len(self.queue), "active": len(self.active), "cache-used": 0, "cache-total": self.plan["room"], "handles": 0})
+            return await exchange.give(
+                200,
+                {
+                    "phase": "both",
+                    "models": self._models(),
+                    "busy": self.busy is not None,
+                    "call-count": self.orders,
+                    "queued": len(self.queue),
+                    "active": len(self.active),
+                    "cache-used": 0,
+                    "cache-total": self.plan["room"],
+                    "handles": 0,
+                },
+            )
         if exchange.path == "/swiftdeck/order":
             return await self._order(exchange)
         if exchange.path == "/health":
-            return await exchange.whole(503 if self.is_leaving else 200, [("Swiftdeck-Worker-Id", self.name)], b"")
+            return await exchange.whole(
+                503 if self.is_leaving else 200, [("Swiftdeck-Worker-Id", self.name)], b""
+            )
         return await self._request(exchange)
 
     async def _order(self, exchange):
         asked = exchange.json()
         status = self._order_status(asked) if isinstance(asked, dict) else 400
-        self.record("order", worker=self.name, owner=str(asked.get("owner")), fence=asked.get("fence"), model=asked.get("model"),
-                    version=asked.get("version"), status=status)
+        self.record(
+            "order",
+            worker=self.name,
+            owner=str(asked.get("owner")),
+            fence=asked.get("fence"),
+            model=asked.get("model"),
+            version=asked.get("version"),
+            status=status,
+        )
         if status == 202:
             self.orders += 1
             self.busy = asked["model"]
-            self.order_task = asyncio.ensure_future(self._load(asked["model"], asked["version"], asked.get("method", "wait")))
+            self.order_task = asyncio.ensure_future(
+                self._load(asked["model"], asked["version"], asked.get("method", "wait"))
+            )
         return await exchange.give(status, {})
 
     def _order_status(self, asked):
-        if asked.get("operation") != "version" or not asked.get("owner") or not isinstance(asked.get("fence"), int):
+        if (
+            asked.get("operation") != "version"
+            or not asked.get("owner")
+            or not isinstance(asked.get("fence"), int)
+        ):
             return 400
         if not self.is_named(asked.get("model"), asked.get("version")):
             return 400
@@ -111,7 +159,9 @@
             refusal = await self._wait(exchange, head, model)
         if refusal is not None:
             self.record("refused", worker=self.name, id=name, status=refusal)
-            return await exchange.whole(refusal, [("Swiftdeck-Request-Id", name), ("Swiftdeck-Not-Run", "1")], b"")
+            return await exchange.whole(
+                refusal, [("Swiftdeck-Request-Id", name), ("Swiftdeck-Not-Run", "1")], b""
+            )
         run = f"{self.name}#{next(self.runs)}"
         self.active[run] = exchange
         whole = False
@@ -129,18 +179,32 @@
             return 400
         if head.get("swiftdeck-expected-worker", self.name) != self.name:
             return 421
-        if int(head.get("swiftdeck-expected-version") or self.versions.get(model, 0)) != self.versions.get(model, 0):
+        if int(
+            head.get("swiftdeck-expected-version") or self.versions.get(model, 0)
+        ) != self.versions.get(model, 0):
             return 421
         is_full = self.quirk == "full" and self.random.random() < self.quirk_share
-        return 503 if is_full or self.busy and self.busy == model or len(self.queue) >= self.plan.get("queue", 8) else None
+        return (
+            503
+            if is_full
+            or self.busy
+            and self.busy == model
+            or len(self.queue) >= self.plan.get("queue", 8)
+            else None
+        )
 
     async def _wait(self, exchange, head, model):
         """Wait for a slot, the more urgent first; a status where none comes."""
         entry = [int(head.get("swiftdeck-urgency") or 5), next(self.runs)]
         self.queue.append(entry)
-        end_s = asyncio.get_running_loop().time() + float(head.get("swiftdeck-time-left-ms") or 1000) / 1000
+        end_s = (
+            asyncio.get_running_loop().time()
+            + float(head.get("swiftdeck-time-left-ms") or 1000) / 1000
+        )
         try:
-            while asyncio.get_running_loop().time() < end_s and not (self.busy and self.busy == model):
+            while asyncio.get_running_loop().time() < end_s and not (
+                self.busy and self.busy == model
+            ):
                 if len(self.active) < self.plan["capacity"] and min(self.queue) is entry:
                     return None
                 await asyncio.sleep(0.005)
@@ -149,13 +213,33 @@
             self.queue.remove(entry)
 
     async def _run(self, exchange, head, name, model, run):
-        tenant, salt, version = head.get("swiftdeck-tenant", ""), head.get("swiftdeck-cache-salt", ""), self.versions.get(model, 0)
+        tenant, salt, version = (
+            head.get("swiftdeck-tenant", ""),
+            head.get("swiftdeck-cache-salt", ""),
+            self.versions.get(model, 0),
+        )
         parts = parts_of(head.get("swiftdeck-prompt-prefix", "")) if model else []
         quirk = self.quirk if self.random.random() < self.quirk_share else ""
-        end_s = asyncio.get_running_loop().time() + float(head.get("swiftdeck-time-left-ms") or 60000) / 1000
-        self.record("run", worker=self.name, service=self.plan["backend"], id=name, run=run, tenant=tenant, version=version, model=model,
-                    method=exchange.method, target=exchange.target.decode("latin-1"), body=digest(exchange.body),
-                    keyed="authorization" in head, after=head.get("last-event-id", ""), quirk=quirk)
+        end_s = (
+            asyncio.get_running_loop().time()
+            + float(head.get("swiftdeck-time-left-ms") or 60000) / 1000
+        )
+        self.record(
+            "run",
+            worker=self.name,
+            service=self.plan["backend"],
+            id=name,
+            run=run,
+            tenant=tenant,
+            version=version,
+            model=model,
+            method=exchange.method,
+            target=exchange.target.decode("latin-1"),
+            body=digest(exchange.body),
+            keyed="authorization" in head,
+            after=head.get("last-event-id", ""),
+            quirk=quirk,
+        )
         if quirk == "silence":
             await asyncio.sleep(max(0, end_s - asyncio.get_running_loop().time()) + 1)
         if quirk == "reset":
@@ -177,21 +261,42 @@
         if head.get("swiftdeck-cache-source"):
             await self._pull(head["swiftdeck-cache-source"], salt, model, names)
         found = self.cache.first(salt, model, names)
-        missing = sum(part.tokens for part in parts[len(found):])
-        self.record("read", run=run, new=missing, origins=sorted({(each.tenant, each.version) for each in found}))
+        missing = sum(part.tokens for part in parts[len(found) :])
+        self.record(
+            "read",
+            run=run,
+            new=missing,
+            origins=sorted({(each.tenant, each.version) for each in found}),
+        )
         for at in range(0, missing, CHUNK):
             async with self.reading:
                 await asyncio.sleep(min(CHUNK, missing - at) / READ_PER_S)
         if self.versions.get(model) == version:
-            for part in parts[len(found):]:
+            for part in parts[len(found) :]:
                 self.cache.keep(salt, part.name, KeptPart(part.tokens, model, tenant, version))
         if head.get("swiftdeck-cache-target"):
-            kept = [(name, self.cache.held[salt, name]) for name in names if (salt, name) in self.cache.held]
-            told = {"salt": salt, "parts": [[name, [one.tokens, one.model, one.tenant, one.version]] for name, one in kept]}
-            asyncio.ensure_future(fetchJson(head["swiftdeck-cache-target"], "PUT", PARTS, told, timeoutMs=500))
+            kept = [
+                (name, self.cache.held[salt, name])
+                for name in names
+                if (salt, name) in self.cache.held
+            ]
+            told = {
+                "salt": salt,
+                "parts": [
+                    [name, [one.tokens, one.model, one.tenant, one.version]] for name, one in kept
+                ],
+            }
+            asyncio.ensure_future(
+                fetchJson(head["swiftdeck-cache-target"], "PUT", PARTS, told, timeoutMs=500)
+            )
 
     async def _pull(self, source, salt, model, names):
-        asked = {"salt": salt, "model": model, "names": names, "above": len(self.cache.first(salt, model, names))}
+        asked = {
+            "salt": salt,
+            "model": model,
+            "names": names,
+            "above": len(self.cache.first(salt, model, names)),
+        }
         got = await fetchJson(source, "POST", PARTS, asked, timeoutMs=300)
         if not isFault(got) and got[0] == 200:
             for name, kept in zip(names, got[1]):
@@ -199,21 +304,29 @@
             self.record("pulled", source=source, parts=len(got[1]))
 
     def _head(self, status, name, seal, version, more):
-        lines = [("Swiftdeck-Request-Id", name), *([("Swiftdeck-Server-Seal", seal)] if status < 300 and seal else [])]
+        lines = [
+            ("Swiftdeck-Request-Id", name),
+            *([("Swiftdeck-Server-Seal", seal)] if status < 300 and seal else []),
+        ]
         lines += [("Swiftdeck-Weight-Versions", str(version))] if version else []
         lines += [("Connection", "close")] if self.is_leaving else []
         return [*lines, ("Keep-Alive", f"timeout={max(1, self.http.idleMs // 1000)}"), *more]
 
     async def _answer(self, exchange, head, name, run, version, quirk, end_s):
         is_stream = "text/event-stream" in head.get("accept", "")
-        seal, status = f"{self.name}.{run}.{self.random.getrandbits(32):x}", 500 if quirk == "failing" else 200
+        seal, status = (
+            f"{self.name}.{run}.{self.random.getrandbits(32):x}",
+            500 if quirk == "failing" else 200,
+        )
         seal = "" if quirk == "unsealed" else seal
         if is_stream and status == 200:
             return await self._stream(exchange, head, name, run, seal, version, quirk, end_s)
         body = f"{name} {run} ".encode() * 20
         await asyncio.sleep(0.02)
         self.record("answer", id=name, run=run, seal=seal, status=status, body=digest(body))
-        exchange.begin(status, self._head(status, name, seal, version, [("Content-Length", str(len(body)))]))
+        exchange.begin(
+            status, self._head(status, name, seal, version, [("Content-Length", str(len(body)))])
+        )
         await exchange.piece(body[:40])
         if quirk == "cut":
             exchange.abort()
@@ -226,7 +339,16 @@
         count = int(head.get("swiftdeck-token-count", "0,12").partition(",")[2] or 12)
         after = int(head.get("last-event-id") or 0)
         self.record("answer", id=name, run=run, seal=seal, status=200, body="", events=count)
-        exchange.begin(200, self._head(200, name, seal, version, [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]))
+        exchange.begin(
+            200,
+            self._head(
+                200,
+                name,
+                seal,
+                version,
+                [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")],
+            ),
+        )
         for number in range(after + 1, count + 1):
             await asyncio.sleep(STEP_S * (1 + len(self.active) / 8))
             if asyncio.get_running_loop().time() >= end_s:
--- a/swiftdeck/bench/platform.py
+++ b/swiftdeck/bench/platform.py
@@ -1,4 +1,5 @@
 """A stand-in for the platform: the list of workers, and what it says of them."""
+
 from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, isFault
 from swiftdeck.http.server import HttpServer
 
--- a/swiftdeck/bench/record.py
+++ b/swiftdeck/bench/record.py
@@ -1,4 +1,5 @@
 """What a stand-in saw, a line of JSON each."""
+
 import time
 import typing
 
@@ -23,7 +24,9 @@
         self.file, self.who = open(path, "ab", buffering=0), who
 
     def __call__(self, kind: str, **fields):
-        self.file.write(msgspec.json.encode({"atMs": bootMs(), "who": self.who, "kind": kind} | fields) + b"\n")
+        self.file.write(
+            msgspec.json.encode({"atMs": bootMs(), "who": self.who, "kind": kind} | fields) + b"\n"
+        )
 
 
 class ListRecord:
@@ -33,14 +36,20 @@
         self.items, self.who, self.clock = items, who, clock
 
     def __call__(self, kind: str, **fields):
-        self.items.append({"atMs": int(self.clock() * 1000), "who": self.who, "kind": kind} | fields)
+        self.items.append(
+            {"atMs": int(self.clock() * 1000), "who": self.who, "kind": kind} | fields
+        )
 
 
 def readRecords(paths):
     """All records of some files, in the order of their time; a torn last line is passed over."""
+
     def lines():
         for path in paths:
             with open(path, "rb") as file:
                 yield from file
-    return sorted((msgspec.json.decode(line) for line in lines() if line.endswith(b"\n")),
-                  key=lambda item: item["atMs"])
+
+    return sorted(
+        (msgspec.json.decode(line) for line in lines() if line.endswith(b"\n")),
+        key=lambda item: item["atMs"],
+    )
--- a/swiftdeck/bench/store.py
+++ b/swiftdeck/bench/store.py
@@ -1,4 +1,5 @@
 """A stand-in for a site's store of prefixes."""
+
 import asyncio
 
 from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, isFault
@@ -31,7 +32,9 @@
             return await exchange.give(200, {})
         if exchange.path == "/v1/lookup":
             chain = body["chain"]
-            depth = next((at for at, link in enumerate(chain) if link not in self.entries), len(chain))
+            depth = next(
+                (at for at, link in enumerate(chain) if link not in self.entries), len(chain)
+            )
             entries = [self.entries[link] for link in chain[:depth]]
             await asyncio.sleep(self.linkS + sum(each[0] for each in entries) * 4e-6)
             return await exchange.give(200, {"entries": entries})
--- a/swiftdeck/bench/worker.py
+++ b/swiftdeck/bench/worker.py
@@ -1,4 +1,5 @@
 """A stand-in for a model worker: a finite prefix cache, dear prefill, cheap extension, and a record of what it ran."""
+
 import asyncio
 import json
 import re
@@ -16,7 +17,18 @@
 class Worker:
     """Serves one model over the workers' protocol of docs/protocols.md."""
 
-    def __init__(self, name, addr, record, random, weights="w1", store="", room=1_000_000, speed=1.0, loadS=1.0):
+    def __init__(
+        self,
+        name,
+        addr,
+        record,
+        random,
+        weights="w1",
+        store="",
+        room=1_000_000,
+        speed=1.0,
+        loadS=1.0,
+    ):
         self.name, self.addr, self.record, self.random = name, addr, record, random
         self.weights, self.store, self.speed, self.loadS = weights, store, speed, loadS
         self.cache = PrefixCache(room, self._report)
@@ -35,7 +47,9 @@
 
     def _report(self, kind, link=b"", **more):
         self.number += 1
-        self.events.append({"n": self.number, "kind": kind} | ({"prefix": link.hex()} if link else {}) | more)
+        self.events.append(
+            {"n": self.number, "kind": kind} | ({"prefix": link.hex()} if link else {}) | more
+        )
         del self.events[:-5000]
         waiting, self.watching = self.watching, []
         for done in waiting:
@@ -46,8 +60,14 @@
         """One exchange of the workers' protocol."""
         path = exchange.path
         if path == "/v1/kept":
-            return await exchange.give(200, {"n": self.number, "weights": self.weights,
-                                             "kept": [link.hex() for link in self.cache.entries]})
+            return await exchange.give(
+                200,
+                {
+                    "n": self.number,
+                    "weights": self.weights,
+                    "kept": [link.hex() for link in self.cache.entries],
+                },
+            )
         if path == "/v1/events":
             return await self._events(exchange, int(exchange.query.get("since", "0")))
         body = exchange.json()
@@ -68,7 +88,9 @@
         return NOT_FOUND
 
     async def _events(self, exchange, at):
-        exchange.begin(200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")])
+        exchange.begin(
+            200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")]
+        )
         while True:
             items = [each for each in self.events if each["n"] > at]
             if self.quirk == "old reports":
@@ -98,11 +120,20 @@
 
     async def _fetch(self, exchange, body):
         chain = [bytes.fromhex(link) for link in body["chain"]]
-        got = await fetchJson(body["from"], "POST", "/v1/lookup", {"chain": body["chain"], "above": self.cache.depth(chain)},
-                              timeoutMs=body["withinMs"])
-        entries = [Entry(*each) for each in got[1]["entries"]] if not isFault(got) and got[0] == 200 else []
+        got = await fetchJson(
+            body["from"],
+            "POST",
+            "/v1/lookup",
+            {"chain": body["chain"], "above": self.cache.depth(chain)},
+            timeoutMs=body["withinMs"],
+        )
+        entries = (
+            [Entry(*each) for each in got[1]["entries"]]
+            if not isFault(got) and got[0] == 200
+            else []
+        )
         if entries and body["weights"] == self.weights:
-            self.cache.keep(chain[:len(entries)], entries)
+            self.cache.keep(chain[: len(entries)], entries)
         self.record("fetch", call=body.get("call", ""), source=body["from"], parts=len(entries))
         await exchange.give(200, {"parts": len(entries)})
 
@@ -110,21 +141,32 @@
         chain = [bytes.fromhex(link) for link in body["chain"]]
         depth = self.cache.depth(chain)
         entries = [self.cache.entries[link] for link in chain[:depth]]
-        tokens = sum(entry.tokens for entry in entries[body.get("above", 0):])
+        tokens = sum(entry.tokens for entry in entries[body.get("above", 0) :])
         await asyncio.sleep(self.linkS + tokens * 2e-6 * self.speed)
-        await exchange.give(200, {"entries": [[each.tokens, each.tenant, each.weights] for each in entries]})
+        await exchange.give(
+            200, {"entries": [[each.tokens, each.tenant, each.weights] for each in entries]}
+        )
 
     def prefillS(self, total, new):
         """Seconds to compute the last `new` of `total` tokens: the paper's times fitted by a square law."""
         kept = (total - new) / 1000
         whole = total / 1000
-        return (0.05 + 0.03025 * (whole - kept) + 8.126e-5 * (whole * whole - kept * kept)) * self.speed
+        return (
+            0.05 + 0.03025 * (whole - kept) + 8.126e-5 * (whole * whole - kept * kept)
+        ) * self.speed
 
     async def _run(self, exchange, body):
         run, call, parts = body["run"], body["call"], body["parts"]
         marker = (MARKER.findall(parts[-1]) or [""])[-1]
-        shown = {"run": run, "call": call, "tenant": body["tenant"], "group": body["group"], "weights": body["weights"],
-                 "route": body["route"], "marker": marker}
+        shown = {
+            "run": run,
+            "call": call,
+            "tenant": body["tenant"],
+            "group": body["group"],
+            "weights": body["weights"],
+            "route": body["route"],
+            "marker": marker,
+        }
         if body["weights"] != self.weights:
             self.record("refused", **shown)
             return OTHER_WEIGHTS
@@ -138,22 +180,42 @@
             async with self.engine:
                 depth = self.cache.depth(chain)
                 self.cache.touch(chain[:depth])
-                origins = sorted({(self.cache.entries[link].tenant, self.cache.entries[link].weights)
-                                  for link in chain[:depth]})
+                origins = sorted(
+                    {
+                        (self.cache.entries[link].tenant, self.cache.entries[link].weights)
+                        for link in chain[:depth]
+                    }
+                )
                 new = sum(tokens[depth:])
-                self.computed, self.hitTokens = self.computed + new, self.hitTokens + sum(tokens[:depth])
-                self.record("prefill", run=run, hitParts=depth, parts=len(parts), newTokens=new, origins=origins)
+                self.computed, self.hitTokens = (
+                    self.computed + new,
+                    self.hitTokens + sum(tokens[:depth]),
+                )
+                self.record(
+                    "prefill",
+                    run=run,
+                    hitParts=depth,
+                    parts=len(parts),
+                    newTokens=new,
+                    origins=origins,
+                )
                 await asyncio.sleep(self.prefillS(sum(tokens), new))
                 if body["weights"] == self.weights:
-                    self.cache.keep(chain, [Entry(count, body["tenant"], body["weights"]) for count in tokens])
-            whole = await self._stream(exchange, run, marker, body["maxTokens"], depth, len(parts), new)
+                    self.cache.keep(
+                        chain, [Entry(count, body["tenant"], body["weights"]) for count in tokens]
+                    )
+            whole = await self._stream(
+                exchange, run, marker, body["maxTokens"], depth, len(parts), new
+            )
             if self.store and whole:
                 asyncio.ensure_future(self._save(chain, tokens, body))
         finally:
             self.record("ran", run=run, call=call, whole=whole, marker=marker)
 
     async def _stream(self, exchange, run, marker, count, depth, parts, new):
-        exchange.begin(200, [("content-type", "text/event-stream"), ("transfer-encoding", "chunked")])
+        exchange.begin(
+            200, [("content-type", "text/event-stream"), ("transfer-encoding", "chunked")]
+        )
         pieces = max(1, count // 16)
         for seq in range(pieces):
             await asyncio.sleep(0.01 * min(16, count) * self.speed)
@@ -167,13 +229,34 @@
                     await exchange.piece(b"data: " + b"x" * 20000)
             named = "foreign-1" if self.quirk == "foreign" and seq == pieces // 2 else run
             for _ in range(2 if self.quirk == "repeat" and seq == pieces // 2 else 1):
-                await exchange.piece(b"data: " + json.dumps({"run": named, "seq": seq, "text": f"[[{marker}]]{seq} "}).encode() + b"\n\n")
-        await exchange.piece(b"data: " + json.dumps({"run": run, "seq": pieces, "end": True, "usage": {
-            "hitParts": depth, "parts": parts, "newTokens": new}}).encode() + b"\n\n")
+                await exchange.piece(
+                    b"data: "
+                    + json.dumps({"run": named, "seq": seq, "text": f"[[{marker}]]{seq} "}).encode()
+                    + b"\n\n"
+                )
+        await exchange.piece(
+            b"data: "
+            + json.dumps(
+                {
+                    "run": run,
+                    "seq": pieces,
+                    "end": True,
+                    "usage": {"hitParts": depth, "parts": parts, "newTokens": new},
+                }
+            ).encode()
+            + b"\n\n"
+        )
         exchange.finish()
         return True
 
     async def _save(self, chain, tokens, body):
-        await fetchJson(self.store, "POST", "/v1/save", {
-            "chain": [link.hex() for link in chain],
-            "entries": [[count, body["tenant"], body["weights"]] for count in tokens]}, timeoutMs=2000)
+        await fetchJson(
+            self.store,
+            "POST",
+            "/v1/save",
+            {
+                "chain": [link.hex() for link in chain],
+                "entries": [[count, body["tenant"], body["weights"]] for count in tokens],
+            },
+            timeoutMs=2000,
+        )
--- a/swiftdeck/board/board.py
+++ b/swiftdeck/board/board.py
@@ -1,4 +1,5 @@
 """The blackboard of a process: counters, facts and watchers of their change."""
+
 from collections import Counter
 
 
--- a/swiftdeck/board/owner.py
+++ b/swiftdeck/board/owner.py
@@ -1,4 +1,5 @@
 """The owner of a table: works through a queue of commands, one at a time."""
+
 import asyncio
 import inspect
 
--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -1,4 +1,5 @@
 """The agreed view: single-decree ballots among the voters, one change at a time."""
+
 import asyncio
 import math
 
@@ -6,8 +7,18 @@
 
 from swiftdeck.disk.journal import Journal
 from swiftdeck.fault import DISK_FAILED, DISK_FULL, DISK_SLOW, NOT_VOTER, NO_VIEW, OLD_VIEW, isFault
-from swiftdeck.wire.messages import (Accept, CoreRef, Decided, Prepare, Promise, View, ViewAsk, ViewLicenceAsk,
-                                     ViewLicenceReturn, ViewReturn)
+from swiftdeck.wire.messages import (
+    Accept,
+    CoreRef,
+    Decided,
+    Prepare,
+    Promise,
+    View,
+    ViewAsk,
+    ViewLicenceAsk,
+    ViewLicenceReturn,
+    ViewReturn,
+)
 
 REWRITE_BYTES = 65536
 
@@ -29,9 +40,17 @@
 class Agreement:
     """One core's part in agreeing on views; what it promised is on disk before it says so."""
 
-    def __init__(self, folder, mesh, addr, random, licenceMs=2000, board=None, founders=(), may_found=True):
+    def __init__(
+        self, folder, mesh, addr, random, licenceMs=2000, board=None, founders=(), may_found=True
+    ):
         self.journal = Journal(folder, "agreement.log")
-        self.mesh, self.addr, self.random, self.licenceMs, self.board = mesh, addr, random, licenceMs, board
+        self.mesh, self.addr, self.random, self.licenceMs, self.board = (
+            mesh,
+            addr,
+            random,
+            licenceMs,
+            board,
+        )
         self.coreId, self.decided, self.slot = "", View(), Slot()
         self.founders, self.may_found = list(founders), may_found
         self.waitUntilS = 0.0
@@ -40,8 +59,13 @@
         self.hears, self.is_partial = [], lambda: False
         self.watchers, self.fault, self.troubles = [], None, []
         self.busy = asyncio.Lock()
-        for kind, handler in ((Prepare, self.onPrepare), (Accept, self.onAccept), (Decided, self.onDecided),
-                              (ViewAsk, self.onViewAsk), (ViewLicenceAsk, self.onLicenceAsk)):
+        for kind, handler in (
+            (Prepare, self.onPrepare),
+            (Accept, self.onAccept),
+            (Decided, self.onDecided),
+            (ViewAsk, self.onViewAsk),
+            (ViewLicenceAsk, self.onLicenceAsk),
+        ):
             mesh.on(kind, handler)
 
     async def start(self):
@@ -65,7 +89,11 @@
     def _waitOut(self, wait_ms=None):
         """Let the licences of the views before this one run out first: those of the last by `wait_ms`, if it is known."""
         licence_s, now_s = self.licenceMs / 1000 * 1.05, self.loop.time()
-        until_s = now_s + licence_s if wait_ms is None else max(now_s + wait_ms / 1000, self.learned_s + licence_s)
+        until_s = (
+            now_s + licence_s
+            if wait_ms is None
+            else max(now_s + wait_ms / 1000, self.learned_s + licence_s)
+        )
         self.waitUntilS = max(self.waitUntilS, min(until_s, now_s + licence_s))
 
     def _restore(self, record):
@@ -87,7 +115,11 @@
         if self.decided.number:
             yield {"k": "decided", "view": bytes(self.decided)}
         if self.slot.accepted:
-            yield {"k": "accept", "ballot": self.slot.acceptedBallot, "view": bytes(self.slot.accepted)}
+            yield {
+                "k": "accept",
+                "ballot": self.slot.acceptedBallot,
+                "view": bytes(self.slot.accepted),
+            }
         if self.slot.promised:
             yield {"k": "promise", "ballot": self.slot.promised}
 
@@ -160,8 +192,13 @@
             except OSError:
                 return self.fault
             self.slot.promised = ask.ballot
-            return Promise(granted=True, ballot=ask.ballot, acceptedBallot=self.slot.acceptedBallot,
-                           accepted=self.slot.accepted or View(), coreId=self.coreId)
+            return Promise(
+                granted=True,
+                ballot=ask.ballot,
+                acceptedBallot=self.slot.acceptedBallot,
+                accepted=self.slot.accepted or View(),
+                coreId=self.coreId,
+            )
 
     async def onAccept(self, ask, sender):
         async with self.busy:
@@ -173,12 +210,16 @@
             except OSError:
                 return self.fault
             self.slot = Slot(ask.ballot, ask.ballot, ask.view)
-            return Promise(granted=True, ballot=ask.ballot, coreId=self.coreId, left_ms=self._left_ms(ask.view))
+            return Promise(
+                granted=True, ballot=ask.ballot, coreId=self.coreId, left_ms=self._left_ms(ask.view)
+            )
 
     def _left_ms(self, view):
         """How long a licence that this voter gave to a member left out of a view may still last."""
         dropped = set(ids(self.decided.members)) - set(ids(view.members))
-        last_s = max((self.granted_s.get(coreId, self.started_s) for coreId in dropped), default=None)
+        last_s = max(
+            (self.granted_s.get(coreId, self.started_s) for coreId in dropped), default=None
+        )
         left_s = 0 if last_s is None else last_s + self.licenceMs / 1000 * 1.05 - self.loop.time()
         return max(0, math.ceil(left_s * 1000))
 
@@ -204,13 +245,22 @@
             self.licenceUntilS, self.learned_s = -1.0, self.loop.time()
         if self.board:
             self.board.count["views"] += 1
-            self.board.put("view", {"number": view.number, "members": [ref.addr for ref in view.members]})
+            self.board.put(
+                "view", {"number": view.number, "members": [ref.addr for ref in view.members]}
+            )
         for watch in self.watchers:
             watch(view)
 
     def onViewAsk(self, ask, sender):
-        return ViewReturn(view=self.decided, coreId=self.coreId, fresh=self.isFresh(), fault=self.trouble(),
-                          may_found=self.may_found, is_partial=self.is_partial(), hears=self.hears)
+        return ViewReturn(
+            view=self.decided,
+            coreId=self.coreId,
+            fresh=self.isFresh(),
+            fault=self.trouble(),
+            may_found=self.may_found,
+            is_partial=self.is_partial(),
+            hears=self.hears,
+        )
 
     def trouble(self) -> str:
         """What keeps this core from its part in the chain, empty when nothing does."""
@@ -225,8 +275,12 @@
     def onLicenceAsk(self, ask, sender):
         if ask.number < self.decided.number:
             return ViewLicenceReturn(granted=False, decided=self.decided)
-        granted = (ask.number == self.decided.number and self.isVoter() and self.slot.accepted is None
-                   and ask.coreId in ids(self.decided.members))
+        granted = (
+            ask.number == self.decided.number
+            and self.isVoter()
+            and self.slot.accepted is None
+            and ask.coreId in ids(self.decided.members)
+        )
         if granted:
             self.granted_s[ask.coreId] = self.loop.time()
         return ViewLicenceReturn(granted=granted)
@@ -247,7 +301,10 @@
 
     async def _ask_all(self, refs, ask, timeout_ms, least):
         """What each gives back by its place, without waiting for the rest once so many have granted."""
-        tasks = {asyncio.ensure_future(self._askOrSelf(ref, ask, timeout_ms)): at for at, ref in enumerate(refs)}
+        tasks = {
+            asyncio.ensure_future(self._askOrSelf(ref, ask, timeout_ms)): at
+            for at, ref in enumerate(refs)
+        }
         got, open_tasks = {}, set(tasks)
         while open_tasks and sum(bool(each and each.granted) for each in got.values()) < least:
             done, open_tasks = await asyncio.wait(open_tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -256,7 +313,11 @@
 
     async def _askOrSelf(self, ref, ask, timeoutMs):
         if self.coreId == ref.coreId or not ref.coreId and self.addr == ref.addr:
-            handler = {Prepare: self.onPrepare, Accept: self.onAccept, ViewLicenceAsk: self.onLicenceAsk}[type(ask)]
+            handler = {
+                Prepare: self.onPrepare,
+                Accept: self.onAccept,
+                ViewLicenceAsk: self.onLicenceAsk,
+            }[type(ask)]
             got = handler(ask, self.addr)
             return await self._bounded(got, timeoutMs) if asyncio.iscoroutine(got) else got
         return await self.mesh.ask(ref.addr, ask, timeoutMs)
@@ -270,19 +331,29 @@
         """One round for the next view; gives the decided view or a fault."""
         slot = self.decided.number + 1
         founding, isFixed = slot == 1, slot == 1 and bool(self.founders)
-        voters = [CoreRef(addr=addr) for addr in self.founders] if isFixed else list(self.decided.voters or view.voters)
-        isMine = self.may_found and self.addr in self.founders if isFixed else self.coreId in ids(voters)
+        voters = (
+            [CoreRef(addr=addr) for addr in self.founders]
+            if isFixed
+            else list(self.decided.voters or view.voters)
+        )
+        isMine = (
+            self.may_found and self.addr in self.founders if isFixed else self.coreId in ids(voters)
+        )
         if view.number != slot or not isMine:
             return NOT_VOTER
         low = int(self.coreId, 16) & 0xFFFFFFFF
         ballot = (((self.slot.promised >> 32) + 1) << 32) | low
         least = len(voters) if founding and not isFixed else len(voters) // 2 + 1
-        got = await self._round(voters, Prepare(slot=slot, ballot=ballot, coreId=self.coreId), least)
+        got = await self._round(
+            voters, Prepare(slot=slot, ballot=ballot, coreId=self.coreId), least
+        )
         if isFault(got):
             return got
         best = max(got, key=lambda each: each.acceptedBallot)
         chosen = best.accepted if best.acceptedBallot else view
-        got = await self._round(voters, Accept(slot=slot, ballot=ballot, view=chosen), len(voters) // 2 + 1)
+        got = await self._round(
+            voters, Accept(slot=slot, ballot=ballot, view=chosen), len(voters) // 2 + 1
+        )
         if isFault(got):
             return got
         wait_ms = max(each.left_ms for each in got)
@@ -299,7 +370,11 @@
             if each and each.decided.number > self.decided.number:
                 await self.learn(each.decided)
         highest = max((each.ballot for each in got if each and not each.granted), default=0)
-        granted = [each for at, each in told.items() if each and each.granted and voters[at].coreId in ("", each.coreId)]
+        granted = [
+            each
+            for at, each in told.items()
+            if each and each.granted and voters[at].coreId in ("", each.coreId)
+        ]
         if len(granted) < least:
             self.slot.promised = max(self.slot.promised, highest)
             return NO_VIEW.because(f"{len(granted)} of {len(voters)} voters granted")
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -1,4 +1,5 @@
 """The chain: writes enter at the head, are synced at each member, and are answered from the tail."""
+
 import asyncio
 
 import attrs
@@ -7,11 +8,38 @@
 from swiftdeck.board.owner import Owner
 from swiftdeck.chain.state import ChainState
 from swiftdeck.disk.journal import Journal
-from swiftdeck.fault import (BAD_FRAME, DAMAGED, DISK_FAILED, DISK_FULL, DISK_SLOW, GAP, NO_VIEW, NOT_HEAD, NOT_TAIL,
-                             OLD_VIEW, UNKNOWN_CHANGE, isFault)
-from swiftdeck.wire.messages import (ChainEntry, ConfigAsk, ConfigReturn, CopyAsk, CopyReturn, LicenceAsk,
-                                     LicenceReturn, Nudge, OutcomeAsk, OutcomeReturn, Pass, PassReturn, PeekAsk, PeekReturn, Write,
-                                     WriteReturn)
+from swiftdeck.fault import (
+    BAD_FRAME,
+    DAMAGED,
+    DISK_FAILED,
+    DISK_FULL,
+    DISK_SLOW,
+    GAP,
+    NO_VIEW,
+    NOT_HEAD,
+    NOT_TAIL,
+    OLD_VIEW,
+    UNKNOWN_CHANGE,
+    isFault,
+)
+from swiftdeck.wire.messages import (
+    ChainEntry,
+    ConfigAsk,
+    ConfigReturn,
+    CopyAsk,
+    CopyReturn,
+    LicenceAsk,
+    LicenceReturn,
+    Nudge,
+    OutcomeAsk,
+    OutcomeReturn,
+    Pass,
+    PassReturn,
+    PeekAsk,
+    PeekReturn,
+    Write,
+    WriteReturn,
+)
 
 PASS_ENTRIES, PASS_BYTES, KEPT_ENTRIES, KNOWN_KEPT = 256, 4 << 20, 4096, 64
 
@@ -37,8 +65,18 @@
 class Chain:
     """One core's copy of the control state and its place in the chain."""
 
-    def __init__(self, folder, mesh, agreement, board, licenceMs=4000, rewriteBytes=1 << 20, ackWaitMs=0, losses_borne=1,
-                 **bounds):
+    def __init__(
+        self,
+        folder,
+        mesh,
+        agreement,
+        board,
+        licenceMs=4000,
+        rewriteBytes=1 << 20,
+        ackWaitMs=0,
+        losses_borne=1,
+        **bounds,
+    ):
         self.journal = Journal(folder, "chain.log")
         self.mesh, self.agreement, self.board = mesh, agreement, board
         self.licenceMs, self.rewriteBytes, self.ackWaitMs = licenceMs, rewriteBytes, ackWaitMs
@@ -53,9 +91,15 @@
         self.lastWriteS = None
         agreement.watchers.append(self.onView)
         agreement.troubles.append(self.trouble)
-        for kind, handler in ((Write, self.onWrite), (Pass, self.onPass), (CopyAsk, self.onCopyAsk),
-                              (OutcomeAsk, self.onOutcomeAsk), (ConfigAsk, self.onConfigAsk), (PeekAsk, self.on_peek_ask),
-                              (LicenceAsk, self.onLicenceAsk)):
+        for kind, handler in (
+            (Write, self.onWrite),
+            (Pass, self.onPass),
+            (CopyAsk, self.onCopyAsk),
+            (OutcomeAsk, self.onOutcomeAsk),
+            (ConfigAsk, self.onConfigAsk),
+            (PeekAsk, self.on_peek_ask),
+            (LicenceAsk, self.onLicenceAsk),
+        ):
             mesh.on(kind, handler)
 
     async def start(self):
@@ -108,7 +152,10 @@
             staysLast = self.isLast() and self.lastIn == self.wholeIn == view - 1 > 0
             self.wholeIn, self.is_partial = view, False
             if not staysLast:
-                self.wholeSinceS, self.holders = max(self.loop.time(), self.agreement.waitUntilS), {}
+                self.wholeSinceS, self.holders = (
+                    max(self.loop.time(), self.agreement.waitUntilS),
+                    {},
+                )
                 self.known_s = {}
             self._know()
             self.lastIn = view if self.isLast() else 0
@@ -139,7 +186,10 @@
     def _apply(self, serial, body):
         self.state.apply(msgspec.msgpack.decode(body))
         if not self.state.isTrue:
-            self.fault, self.needsCopy = DAMAGED.because("a change gave another configuration here"), True
+            self.fault, self.needsCopy = (
+                DAMAGED.because("a change gave another configuration here"),
+                True,
+            )
         self.serial = serial
         self.entries[serial] = body
         while len(self.entries) > KEPT_ENTRIES:
@@ -152,7 +202,9 @@
         if not self.isFirst() or not self.agreement.mayServe() or not self.isWhole():
             return NOT_HEAD
         if not self._hasCopies():
-            return NO_VIEW.because(f"fewer than {self.losses_borne + 1} members acknowledge nothing")
+            return NO_VIEW.because(
+                f"fewer than {self.losses_borne + 1} members acknowledge nothing"
+            )
         if self.fault is not None:
             return self.fault
         try:
@@ -257,7 +309,9 @@
             isSound = self.fault is not None or self.journal.isSound()
             if not isSound:
                 self.board.count["sweepsMended"] += 1
-                self.board.note("sweep found damage on disk, writes the file anew", file=self.journal.name)
+                self.board.note(
+                    "sweep found damage on disk, writes the file anew", file=self.journal.name
+                )
                 await self._rewrite()
         except OSError as error:
             self._fail(error)
@@ -283,7 +337,12 @@
     async def _passOn(self):
         view, at = self.agreement.decided, self.agreement.position()
         isComparing = at == 0 and self.mustCompare and not self.needsCopy
-        if at < 0 or at + 1 >= len(view.members) or not (self.isWhole() or isComparing) or self.fault is not None:
+        if (
+            at < 0
+            or at + 1 >= len(view.members)
+            or not (self.isWhole() or isComparing)
+            or self.fault is not None
+        ):
             return False
         last = self.lastToPass()
         start = last if self.nextLast is None else self.nextLast
@@ -294,7 +353,9 @@
             entries.append(ChainEntry(serial=serial, body=self.entries[serial]))
             size += len(self.entries[serial])
         after = view.members[at + 1].addr
-        ask = Pass(view=view.number, entries=entries, last=last, mustCopy=start < last and not entries)
+        ask = Pass(
+            view=view.number, entries=entries, last=last, mustCopy=start < last and not entries
+        )
         got = await self.mesh.ask(after, ask, 1500)
         if view is not self.agreement.decided:
             return True
@@ -350,7 +411,10 @@
                 done.set_result(None)
         if self.isLast():
             for holder in self.holders.values():
-                if max(holder.held, holder.nudged) < self.durable.version and holder.untilS > self.loop.time():
+                if (
+                    max(holder.held, holder.nudged) < self.durable.version
+                    and holder.untilS > self.loop.time()
+                ):
                     holder.nudged = self.durable.version
                     self.mesh.tell(holder.addr, Nudge(version=self.durable.version))
 
@@ -361,15 +425,26 @@
     def _copied(self, sender):
         view, at = self.agreement.decided, self.agreement.position()
         isBefore = at > 0 and view.members[at - 1].addr == sender and not self.needsCopy
-        if not (self.isWhole() or isBefore) or self.fault is not None or at < 0 or self.serial > self.synced:
+        if (
+            not (self.isWhole() or isBefore)
+            or self.fault is not None
+            or at < 0
+            or self.serial > self.synced
+        ):
             return NOT_TAIL
-        return CopyReturn(serial=self.serial, state=self.state.toBytes(), view=self.agreement.decided.number)
+        return CopyReturn(
+            serial=self.serial, state=self.state.toBytes(), view=self.agreement.decided.number
+        )
 
     async def _copyFrom(self, addr, above=-1):
         got = await self.mesh.ask(addr, CopyAsk(coreId=self.agreement.coreId), 5000)
         if isFault(got):
             return got
-        if got.serial <= above or above >= 0 and (got.view != self.agreement.decided.number or self.serial != above):
+        if (
+            got.serial <= above
+            or above >= 0
+            and (got.view != self.agreement.decided.number or self.serial != above)
+        ):
             return OLD_VIEW.because(f"{got.serial} entries there, {self.serial} here")
         self.board.count["copiesFromBehind"] += above >= 0
         try:
@@ -425,7 +500,11 @@
         """When a change is acknowledged at the latest, as far as is known."""
         change = self.state.stored.changes.get(changeId)
         known_s = self._known_since(change[0]) if change else None
-        return self.loop.time() + 1 if known_s is None or not self.ackWaitMs else known_s + self.ackWaitMs / 1000
+        return (
+            self.loop.time() + 1
+            if known_s is None or not self.ackWaitMs
+            else known_s + self.ackWaitMs / 1000
+        )
 
     def _known_since(self, version):
         return min((at_s for known, at_s in self.known_s.items() if known >= version), default=None)
@@ -441,15 +520,21 @@
             return True
         if nowS < self.wholeSinceS + self.licenceMs / 1000:
             return False
-        return all(holder.held >= version or holder.untilS <= nowS for holder in self.holders.values())
+        return all(
+            holder.held >= version or holder.untilS <= nowS for holder in self.holders.values()
+        )
 
     def on_peek_ask(self, ask, sender):
         """What this tail has synced, without a word on whether it is the newest: whatever a tail has was committed."""
         if not self.isLast() or self.needsCopy or self.fault is not None:
             return NOT_TAIL
         config = self.durable.config
-        return PeekReturn(version=self.durable.version, document=config.bytes(), digest=config.digest(),
-                          view=self.agreement.decided.number)
+        return PeekReturn(
+            version=self.durable.version,
+            document=config.bytes(),
+            digest=config.digest(),
+            view=self.agreement.decided.number,
+        )
 
     def onConfigAsk(self, ask, sender):
         if not self.mayTell():
@@ -468,14 +553,23 @@
             return OLD_VIEW.because("router knows a newer version")
         old = self.holders.get(ask.router)
         held = max(ask.held, old.held if old else 0)
-        self.holders[ask.router] = Holder(ask.addr, nowS + self.licenceMs / 1000, held, old.nudged if old else 0)
+        self.holders[ask.router] = Holder(
+            ask.addr, nowS + self.licenceMs / 1000, held, old.nudged if old else 0
+        )
         self.holders = {name: each for name, each in self.holders.items() if each.untilS > nowS}
         if held >= durable.version:
             self._wakeCommitters()
-        told = LicenceReturn(licenceMs=self.licenceMs, routers=len(self.holders), version=durable.version, view=self.agreement.decided.number)
+        told = LicenceReturn(
+            licenceMs=self.licenceMs,
+            routers=len(self.holders),
+            version=durable.version,
+            view=self.agreement.decided.number,
+        )
         digest = durable.config.digest()
         if ask.held < durable.version or ask.digest != digest:
-            told.deltas = (self.state.since(ask.held, ask.digest, durable.version) if ask.digest else None) or []
+            told.deltas = (
+                self.state.since(ask.held, ask.digest, durable.version) if ask.digest else None
+            ) or []
             told.document = b"" if told.deltas else durable.config.bytes()
             self.board.count["wholesSent"] += not told.deltas
             told.digest = digest
--- a/swiftdeck/chain/chart.py
+++ b/swiftdeck/chain/chart.py
@@ -1,4 +1,5 @@
 """The newest view that a process outside the chain has heard of."""
+
 import asyncio
 
 from swiftdeck.fault import isFault
@@ -53,7 +54,9 @@
 
     async def ask(self):
         """Ask all cores that are known."""
-        addrs = {each.addr for each in self.membership.alive("core")} | {ref.addr for ref in self.view.members}
+        addrs = {each.addr for each in self.membership.alive("core")} | {
+            ref.addr for ref in self.view.members
+        }
         got = await asyncio.gather(*(self.mesh.ask(addr, ViewAsk(), 500) for addr in sorted(addrs)))
         for each in got:
             if not isFault(each):
--- a/swiftdeck/chain/mender.py
+++ b/swiftdeck/chain/mender.py
@@ -1,4 +1,5 @@
 """Mends the chain: founds it, drops lost members, lets members join."""
+
 import asyncio
 
 from swiftdeck.chain.agreement import ids
@@ -14,9 +15,26 @@
 class Mender:
     """The controller of the view: compares what neighbours say with the view and proposes the next."""
 
-    def __init__(self, me, mesh, membership, agreement, chain, board, random, cores=3, roundMs=300,
-                 losses_borne=1):
-        self.me, self.mesh, self.membership, self.agreement, self.chain = me, mesh, membership, agreement, chain
+    def __init__(
+        self,
+        me,
+        mesh,
+        membership,
+        agreement,
+        chain,
+        board,
+        random,
+        cores=3,
+        roundMs=300,
+        losses_borne=1,
+    ):
+        self.me, self.mesh, self.membership, self.agreement, self.chain = (
+            me,
+            mesh,
+            membership,
+            agreement,
+            chain,
+        )
         self.board, self.random, self.cores, self.roundMs = board, random, cores, roundMs
         self.losses_borne = losses_borne
         self.said, self.bad_since_s, self.silent_since_s, self.acceptedSinceS = {}, {}, {}, None
@@ -27,7 +45,10 @@
     def start(self):
         """Go on mending."""
         self.loop = asyncio.get_running_loop()
-        self.tasks = [asyncio.ensure_future(work()) for work in (self._mending, self._renewing, self._sweeping)]
+        self.tasks = [
+            asyncio.ensure_future(work())
+            for work in (self._mending, self._renewing, self._sweeping)
+        ]
 
     async def _sweeping(self):
         """One file of a few megabytes at a time, half a minute apart."""
@@ -67,11 +88,20 @@
         if self.loop.time() - start_s > 2 * ASK_MS / 1000:
             self.silent_since_s = {}
             return False
-        self.said = {each.coreId: (addr, each) for addr, each in zip(addrs, got) if not isFault(each)}
+        self.said = {
+            each.coreId: (addr, each) for addr, each in zip(addrs, got) if not isFault(each)
+        }
         self.agreement.hears = list(self.said)
-        self.silent_since_s = {ref.coreId: self.silent_since_s.get(ref.coreId, start_s) for ref in view.members
-                               if ref.coreId not in self._heard()}
-        newest = max((each.view for _, each in self.said.values()), key=lambda view: view.number, default=None)
+        self.silent_since_s = {
+            ref.coreId: self.silent_since_s.get(ref.coreId, start_s)
+            for ref in view.members
+            if ref.coreId not in self._heard()
+        }
+        newest = max(
+            (each.view for _, each in self.said.values()),
+            key=lambda view: view.number,
+            default=None,
+        )
         if newest and newest.number > view.number:
             await self.agreement.learn(newest)
         return True
@@ -83,18 +113,29 @@
             return await self._found_named()
         if len(self.said) != self.cores - 1:
             return
-        refs = sorted([CoreRef(coreId=self.agreement.coreId, addr=self.me.addr),
-                       *(CoreRef(coreId=coreId, addr=addr) for coreId, (addr, _) in self.said.items())],
-                      key=lambda ref: ref.addr)
+        refs = sorted(
+            [
+                CoreRef(coreId=self.agreement.coreId, addr=self.me.addr),
+                *(CoreRef(coreId=coreId, addr=addr) for coreId, (addr, _) in self.said.items()),
+            ],
+            key=lambda ref: ref.addr,
+        )
         isMyTurn = refs[0].coreId == self.agreement.coreId or self.random.random() < 0.05
-        if isMyTurn and (self.agreement.slot.accepted or all(each.fresh and each.may_found for _, each in self.said.values())):
+        if isMyTurn and (
+            self.agreement.slot.accepted
+            or all(each.fresh and each.may_found for _, each in self.said.values())
+        ):
             await self.agreement.propose(View(number=1, members=refs, voters=refs))
 
     async def _found_named(self):
         """Found with the cores at the named addresses; with a majority of them if the rest stay away."""
         founders, now_s = self.agreement.founders, self.loop.time()
         own = {self.me.addr: (self.agreement.coreId, True)}
-        there = {addr: (coreId, each.may_found) for coreId, (addr, each) in self.said.items() if addr in founders} | own
+        there = {
+            addr: (coreId, each.may_found)
+            for coreId, (addr, each) in self.said.items()
+            if addr in founders
+        } | own
         if self.me.addr not in founders or len(there) * 2 <= len(founders):
             self.founders_since_s = None
             return
@@ -102,7 +143,9 @@
         isComplete = len(there) == len(founders) or now_s - self.founders_since_s > FOUNDERS_WAIT_S
         first = min(addr for addr, (_, may_found) in there.items() if may_found)
         if isComplete and (first == self.me.addr or self.random.random() < 0.05):
-            refs = [CoreRef(coreId=coreId, addr=addr) for addr, (coreId, _) in sorted(there.items())]
+            refs = [
+                CoreRef(coreId=coreId, addr=addr) for addr, (coreId, _) in sorted(there.items())
+            ]
             await self.agreement.propose(View(number=1, members=refs, voters=refs))
 
     async def _mend(self):
@@ -123,12 +166,25 @@
         if lost and len(kept) < len(view.members):
             if any(self._is_complete(ref) for ref in kept):
                 self.board.note("drops members", lost=sorted(lost))
-                await self.agreement.propose(View(number=view.number + 1, members=kept, voters=view.voters))
+                await self.agreement.propose(
+                    View(number=view.number + 1, members=kept, voters=view.voters)
+                )
             return
-        voters = next(filter(None, (self._voters_with(view, ref) for ref in view.members
-                                    if ref.coreId in self._heard() and ref.coreId not in ids(view.voters))), None)
+        voters = next(
+            filter(
+                None,
+                (
+                    self._voters_with(view, ref)
+                    for ref in view.members
+                    if ref.coreId in self._heard() and ref.coreId not in ids(view.voters)
+                ),
+            ),
+            None,
+        )
         if voters:
-            await self.agreement.propose(View(number=view.number + 1, members=view.members, voters=voters))
+            await self.agreement.propose(
+                View(number=view.number + 1, members=view.members, voters=voters)
+            )
 
     def _heard(self):
         return {self.agreement.coreId, *self.said}
@@ -141,15 +197,33 @@
 
     def _lost(self, view, now_s):
         """Members to leave out: replaced ones at once, faulty ones and those that nobody hears after a while."""
-        rank = [ref.coreId for ref in view.members if ref.coreId in self._heard()].index(self.agreement.coreId) \
-            if self.agreement.position() >= 0 else 0
+        rank = (
+            [ref.coreId for ref in view.members if ref.coreId in self._heard()].index(
+                self.agreement.coreId
+            )
+            if self.agreement.position() >= 0
+            else 0
+        )
         faulty = {ref.coreId for ref in view.members if self._is_faulty(ref)}
         self.bad_since_s = {coreId: self.bad_since_s.get(coreId, now_s) for coreId in faulty}
-        silent = {coreId: since_s for coreId, since_s in self.silent_since_s.items()
-                  if coreId in ids(view.members) and self._is_unheard(coreId)}
-        return {ref.coreId for ref in view.members if self._is_replaced(ref)} \
-            | {coreId for coreId, since_s in self.bad_since_s.items() if now_s - since_s > FAULTY_S + RANK_S * rank} \
-            | {coreId for coreId, since_s in silent.items() if now_s - since_s > SILENT_S + RANK_S * rank}
+        silent = {
+            coreId: since_s
+            for coreId, since_s in self.silent_since_s.items()
+            if coreId in ids(view.members) and self._is_unheard(coreId)
+        }
+        return (
+            {ref.coreId for ref in view.members if self._is_replaced(ref)}
+            | {
+                coreId
+                for coreId, since_s in self.bad_since_s.items()
+                if now_s - since_s > FAULTY_S + RANK_S * rank
+            }
+            | {
+                coreId
+                for coreId, since_s in silent.items()
+                if now_s - since_s > SILENT_S + RANK_S * rank
+            }
+        )
 
     def _is_faulty(self, ref):
         if ref.coreId == self.agreement.coreId:
@@ -159,12 +233,16 @@
 
     def _is_unheard(self, coreId):
         """Whether no core that is heard here hears a silent one, or the probes suspect it too."""
-        isSuspected = not any(each.coreId == coreId and each.state == 0 for each in self.membership.alive("core"))
+        isSuspected = not any(
+            each.coreId == coreId and each.state == 0 for each in self.membership.alive("core")
+        )
         return isSuspected or not any(coreId in said.hears for _, said in self.said.values())
 
     def _is_replaced(self, ref):
         """Whether another core says that it is at a member's address, so that the member is gone for good."""
-        return ref.coreId not in self._heard() and any(addr == ref.addr for addr, _ in self.said.values())
+        return ref.coreId not in self._heard() and any(
+            addr == ref.addr for addr, _ in self.said.values()
+        )
 
     async def _join(self):
         view = self.agreement.decided
@@ -184,21 +262,32 @@
 
     async def onJoin(self, ask, sender):
         view = self.agreement.decided
-        if ask.view != view.number or self.agreement.position() < 0 or ask.coreId in ids(view.members):
+        if (
+            ask.view != view.number
+            or self.agreement.position() < 0
+            or ask.coreId in ids(view.members)
+        ):
             return OLD_VIEW
         ref = CoreRef(coreId=ask.coreId, addr=ask.addr)
         others = [each for each in view.members if each.addr != ref.addr]
         members = [*others[:-1], ref, others[-1]] if len(others) > 1 else [*others, ref]
         voters = self._voters_with(view, ref) or view.voters
-        got = await self.agreement.propose(View(number=view.number + 1, members=members, voters=voters))
+        got = await self.agreement.propose(
+            View(number=view.number + 1, members=members, voters=voters)
+        )
         return got if isFault(got) else Done(count=got.number)
 
     def _voters_with(self, view, ref):
         """The voters with a core among them: in its own place, its address's, a new one or a lost one's; None if no such."""
-        same = [each for each in view.voters if each.coreId == ref.coreId] \
-            or [each for each in view.voters if each.addr == ref.addr]
+        same = [each for each in view.voters if each.coreId == ref.coreId] or [
+            each for each in view.voters if each.addr == ref.addr
+        ]
         if not same and len(view.voters) < 2 * self.losses_borne + 1:
             return [*view.voters, ref]
-        present = {*self._heard(), *ids(view.members), *(each.coreId for each in self.membership.alive("core"))}
+        present = {
+            *self._heard(),
+            *ids(view.members),
+            *(each.coreId for each in self.membership.alive("core")),
+        }
         lost = same or [each for each in view.voters if each.coreId not in present]
         return [ref if each is lost[0] else each for each in view.voters] if lost else None
--- a/swiftdeck/chain/scribe.py
+++ b/swiftdeck/chain/scribe.py
@@ -1,10 +1,24 @@
 """Takes a change to the head and its outcome from the tail."""
+
 import asyncio
 
 import msgspec
 
-from swiftdeck.fault import (BAD_FRAME, INVALID, LOST_RACE, NO_VIEW, NOT_HEAD, NOT_TAIL, OLD_VIEW, REUSED_CHANGE, TIMED_OUT, UNDECIDED, UNKNOWN_CHANGE, UNREACHABLE,
-                             isFault)
+from swiftdeck.fault import (
+    BAD_FRAME,
+    INVALID,
+    LOST_RACE,
+    NO_VIEW,
+    NOT_HEAD,
+    NOT_TAIL,
+    OLD_VIEW,
+    REUSED_CHANGE,
+    TIMED_OUT,
+    UNDECIDED,
+    UNKNOWN_CHANGE,
+    UNREACHABLE,
+    isFault,
+)
 from swiftdeck.wire.messages import OutcomeAsk, Write
 
 REFUSALS = {LOST_RACE.code, INVALID.code, REUSED_CHANGE.code, BAD_FRAME.code}
@@ -26,8 +40,13 @@
         while loop.time() < endS:
             leftMs = int((endS - loop.time()) * 1000) + 1
             head = self.chart.head()
-            got = NO_VIEW if head is None else await self.mesh.ask(head, Write(changeId=changeId, body=body),
-                                                                   min(2000, leftMs))
+            got = (
+                NO_VIEW
+                if head is None
+                else await self.mesh.ask(
+                    head, Write(changeId=changeId, body=body), min(2000, leftMs)
+                )
+            )
             if not isFault(got):
                 mayBeTaken = True
                 outcome = await self.outcome(changeId, max(1, int((endS - loop.time()) * 1000)))
@@ -35,12 +54,20 @@
                     return outcome if not isFault(outcome) else UNDECIDED.because(changeId)
                 continue
             if got.code in REFUSALS:
-                return got if not mayBeTaken or got.code == REUSED_CHANGE.code else await self._settle(changeId, got, endS)
+                return (
+                    got
+                    if not mayBeTaken or got.code == REUSED_CHANGE.code
+                    else await self._settle(changeId, got, endS)
+                )
             mayBeTaken = mayBeTaken or got.code not in NEVER_TAKEN
             last = got
             self.chart.refresh()
             await asyncio.sleep(0.1)
-        return UNDECIDED.because(f"{changeId}: {last.reason or last.name}") if mayBeTaken else NO_VIEW.because(last.name)
+        return (
+            UNDECIDED.because(f"{changeId}: {last.reason or last.name}")
+            if mayBeTaken
+            else NO_VIEW.because(last.name)
+        )
 
     async def _settle(self, changeId, refusal, endS):
         loop = asyncio.get_running_loop()
@@ -56,8 +83,13 @@
         while loop.time() < endS:
             leftMs = max(1, int((endS - loop.time()) * 1000))
             tail, waitMs = self.chart.tail(), min(1000, leftMs)
-            got = NOT_TAIL if tail is None else await self.mesh.ask(
-                tail, OutcomeAsk(changeId=changeId, waitMs=max(1, waitMs - 100)), waitMs + 200)
+            got = (
+                NOT_TAIL
+                if tail is None
+                else await self.mesh.ask(
+                    tail, OutcomeAsk(changeId=changeId, waitMs=max(1, waitMs - 100)), waitMs + 200
+                )
+            )
             if not isFault(got):
                 return got
             last = got
@@ -75,7 +107,12 @@
         while loop.time() < endS:
             tail = self.chart.tail()
             got = NOT_TAIL if tail is None else await self.mesh.ask(tail, ask, 1000)
-            if not isFault(got) or got.code not in (NOT_TAIL.code, UNREACHABLE.code, TIMED_OUT.code, OLD_VIEW.code):
+            if not isFault(got) or got.code not in (
+                NOT_TAIL.code,
+                UNREACHABLE.code,
+                TIMED_OUT.code,
+                OLD_VIEW.code,
+            ):
                 return got
             self.chart.refresh()
             await asyncio.sleep(0.1)
--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -1,4 +1,5 @@
 """What the chain keeps: the configuration, outcomes of changes, and once-only claims."""
+
 import hashlib
 
 import msgspec
@@ -50,7 +51,11 @@
     def since(self, version: int, digest: bytes, newest: int | None = None):
         """The changes that lead from a version with this digest to a newer one, or none if they are not kept."""
         versions = range(version + 1, (self.stored.version if newest is None else newest) + 1)
-        if not all(each in self.deltas for each in versions) or not versions or self.deltas[version + 1][0] != digest:
+        if (
+            not all(each in self.deltas for each in versions)
+            or not versions
+            or self.deltas[version + 1][0] != digest
+        ):
             return None
         return [self.deltas[each][1] for each in versions]
 
@@ -68,15 +73,24 @@
         made = {"id": change["id"], "digest": digest, "author": change.get("author", "")}
         if delta is None:
             return {"t": "noted", "version": self.stored.version} | made
-        return {"t": "config", "version": self.stored.version + 1, "delta": delta,
-                "mark": self.config.apply(delta).digest()} | made
+        return {
+            "t": "config",
+            "version": self.stored.version + 1,
+            "delta": delta,
+            "mark": self.config.apply(delta).digest(),
+        } | made
 
     @staticmethod
     def _digest(change):
         """What tells one change from another under the same id."""
-        told = [change[name] for name in ("base", "op", "document")] if change["op"] in ("put", "patch") else {
-            name: part for name, part in change.items() if name not in ("t", "id", "author")}
-        return hashlib.sha256(msgspec.json.encode(told, order="sorted" if isinstance(told, dict) else None)).hexdigest()
+        told = (
+            [change[name] for name in ("base", "op", "document")]
+            if change["op"] in ("put", "patch")
+            else {name: part for name, part in change.items() if name not in ("t", "id", "author")}
+        )
+        return hashlib.sha256(
+            msgspec.json.encode(told, order="sorted" if isinstance(told, dict) else None)
+        ).hexdigest()
 
     def _delta(self, change):
         """The entries that a change touches, as they will be, None where there is nothing to do, or a fault."""
@@ -91,7 +105,9 @@
         if op not in ("replace", "items"):
             return INVALID.because(f"op `{op}` is not known")
         tables = document | ({"edition": self._edition(change)} if "edition" in change else {})
-        return (self.config.replace if op == "replace" else self.config.items)(tables, change.get("ensure", {}))
+        return (self.config.replace if op == "replace" else self.config.items)(
+            tables, change.get("ensure", {})
+        )
 
     def _outpaced(self, change):
         """A fault where the change builds on another version or edition than the present one."""
@@ -102,25 +118,40 @@
         number = held.number if held else 0
         if change["onEdition"] != number:
             return LOST_RACE.because(f"on edition {change['onEdition']}, newest {number}")
-        return None if change["edition"] > number else INVALID.because(
-            f"$.edition: {change['edition']} is not above {number}")
+        return (
+            None
+            if change["edition"] > number
+            else INVALID.because(f"$.edition: {change['edition']} is not above {number}")
+        )
 
     def _edition(self, change):
         """The table of the edition after a change: whole where it is replaced, else what is told of it merged in."""
-        told, held = change["document"].get("edition", {}).get(EDITION), self.config.raws.get("edition", {}).get(EDITION, {})
+        told, held = (
+            change["document"].get("edition", {}).get(EDITION),
+            self.config.raws.get("edition", {}).get(EDITION, {}),
+        )
         isWhole = told is not None and change["op"] == "replace"
         tenants = self.config.document.tenants
-        is_walled = any(entry and entry.get("apart") and name in tenants and not tenants[name].apart
-                        for name, entry in change["document"].get("tenants", {}).items())
+        is_walled = any(
+            entry and entry.get("apart") and name in tenants and not tenants[name].apart
+            for name, entry in change["document"].get("tenants", {}).items()
+        )
         walls = held.get("walls", 0) + is_walled
-        return {EDITION: (told if isWhole else merge(held, told or {})) | {"number": change["edition"]} | ({"walls": walls} if walls else {})}
+        return {
+            EDITION: (told if isWhole else merge(held, told or {}))
+            | {"number": change["edition"]}
+            | ({"walls": walls} if walls else {})
+        }
 
     def _raised(self, model, weights):
         held = self.config.raws.get("models", {}).get(model)
         if held is None or not held["weights"].isdecimal():
             return INVALID.because(f"$.models.{model}: no such model with numbered weights")
-        return None if int(held["weights"]) >= weights else self.config.items(
-            {"models": {model: held | {"weights": str(weights)}}}, {})
+        return (
+            None
+            if int(held["weights"]) >= weights
+            else self.config.items({"models": {model: held | {"weights": str(weights)}}}, {})
+        )
 
     def apply(self, entry: dict):
         """Take one entry in."""
--- a/swiftdeck/config/configuration.py
+++ b/swiftdeck/config/configuration.py
@@ -1,21 +1,42 @@
 """A configuration in force: its entries as they were given, checked, with a digest that each change carries on."""
+
 import hashlib
 
 import msgspec
 
-from swiftdeck.config.document import (Document, Edition, Limits, Model, Name, Path, Route, Service, Tenant, merge,
-                                       told)
+from swiftdeck.config.document import (
+    Document,
+    Edition,
+    Limits,
+    Model,
+    Name,
+    Path,
+    Route,
+    Service,
+    Tenant,
+    merge,
+    told,
+)
 from swiftdeck.fault import INVALID, isFault
 
-KINDS = {"models": Model, "tenants": Tenant, "routes": Route, "services": Service, "paths": Path, "limits": Limits,
-         "edition": Edition}
+KINDS = {
+    "models": Model,
+    "tenants": Tenant,
+    "routes": Route,
+    "services": Service,
+    "paths": Path,
+    "limits": Limits,
+    "edition": Edition,
+}
 BYTES_MOST = 16 << 20
 
 
 def _mark(table, name, entry):
     """What one entry adds to the digest, and its size."""
     data = msgspec.json.encode(entry, order="sorted")
-    return int.from_bytes(hashlib.blake2b(f"{table}/{name}/".encode() + data, digest_size=16).digest(), "big"), len(data) + len(name) + 4
+    return int.from_bytes(
+        hashlib.blake2b(f"{table}/{name}/".encode() + data, digest_size=16).digest(), "big"
+    ), len(data) + len(name) + 4
 
 
 def _changes(held, part):
@@ -26,7 +47,8 @@
 def _difference(held, part):
     """A table's part of a change that makes it another one: its changes, with the names in order where that differs too."""
     changes = {name: None for name in held if name not in part} | {
-        name: entry for name, entry in part.items() if name not in held or held[name] != entry}
+        name: entry for name, entry in part.items() if name not in held or held[name] != entry
+    }
     order = [*(name for name in held if name in part), *(name for name in part if name not in held)]
     return changes if order == list(part) else (changes, list(part))
 
@@ -37,7 +59,14 @@
     __slots__ = ("raws", "document", "mark", "size", "_bytes", "_next")
 
     def __init__(self, raws, document, mark=0, size=0):
-        self.raws, self.document, self.mark, self.size, self._bytes, self._next = raws, document, mark, size, None, (None, None)
+        self.raws, self.document, self.mark, self.size, self._bytes, self._next = (
+            raws,
+            document,
+            mark,
+            size,
+            None,
+            (None, None),
+        )
 
     @classmethod
     def empty(cls):
@@ -67,8 +96,17 @@
 
     def patch(self, asked: dict):
         """The entries that a JSON merge patch changes, as they will be, or a fault."""
-        return self._checked({table: part if not isinstance(part, dict) else {
-            name: merge(self.raws.get(table, {}).get(name), entry) for name, entry in part.items()} for table, part in asked.items()})
+        return self._checked(
+            {
+                table: part
+                if not isinstance(part, dict)
+                else {
+                    name: merge(self.raws.get(table, {}).get(name), entry)
+                    for name, entry in part.items()
+                }
+                for table, part in asked.items()
+            }
+        )
 
     def put(self, whole):
         """The entries in which a whole document differs, or a fault."""
@@ -80,7 +118,11 @@
                 delta[table] = part if part is not None else False
                 continue
             held = self.raws.get(table, {})
-            fresh = {name: entry for name, entry in part.items() if name not in held or held[name] != entry}
+            fresh = {
+                name: entry
+                for name, entry in part.items()
+                if name not in held or held[name] != entry
+            }
             gone = {name: None for name in held if name not in part}
             if fresh or gone or table not in self.raws:
                 delta[table] = gone | fresh
@@ -90,12 +132,28 @@
 
     def replace(self, tables: dict, ensure: dict):
         """The entries in which whole tables differ, and those to be there that aren't, or a fault; other tables stay."""
-        wrong = next((table for table, part in tables.items() if not isinstance(part, dict) or None in part.values()), None)
+        wrong = next(
+            (
+                table
+                for table, part in tables.items()
+                if not isinstance(part, dict) or None in part.values()
+            ),
+            None,
+        )
         if wrong is not None:
             return INVALID.because(f"$.{wrong}: expected an object of entries")
-        wholes = {table: part | self._missing(ensure.get(table, {}), part) for table, part in tables.items()}
-        return self._checked(self._added(ensure, tables) | {
-            table: delta for table, part in wholes.items() if (delta := _difference(self.raws.get(table, {}), part))})
+        wholes = {
+            table: part | self._missing(ensure.get(table, {}), part)
+            for table, part in tables.items()
+        }
+        return self._checked(
+            self._added(ensure, tables)
+            | {
+                table: delta
+                for table, part in wholes.items()
+                if (delta := _difference(self.raws.get(table, {}), part))
+            }
+        )
 
     def items(self, tables: dict, ensure: dict):
         """The entries that are put or removed whole, and those to be there that aren't, or a fault."""
@@ -105,12 +163,17 @@
         delta = self._added(ensure, {})
         for table, part in tables.items():
             held = self.raws.get(table, {})
-            delta[table] = delta.get(table, {}) | {name: entry for name, entry in part.items() if entry != held.get(name)}
+            delta[table] = delta.get(table, {}) | {
+                name: entry for name, entry in part.items() if entry != held.get(name)
+            }
         return self._checked({table: part for table, part in delta.items() if part})
 
     def _added(self, ensure, but):
-        return {table: missing for table, part in ensure.items() if table not in but
-                and (missing := self._missing(part, self.raws.get(table, {})))}
+        return {
+            table: missing
+            for table, part in ensure.items()
+            if table not in but and (missing := self._missing(part, self.raws.get(table, {})))
+        }
 
     @staticmethod
     def _missing(part, held):
--- a/swiftdeck/config/document.py
+++ b/swiftdeck/config/document.py
@@ -1,4 +1,5 @@
 """The configuration that operators put: checked whole, merged by patches."""
+
 import hashlib
 import re
 from typing import Annotated
@@ -126,34 +127,54 @@
 
     def dangling(self):
         """Paths of names that point nowhere, and of keys that two tenants share."""
-        yield from (f"$.routes.{name}.model: no model `{route.model}`" for name, route in self.routes.items()
-                    if route.model not in self.models)
-        yield from (f"$.routes.{name}.tenants[{at}]: no tenant `{tenant}`" for name, route in self.routes.items()
-                    for at, tenant in enumerate(route.tenants) if tenant not in self.tenants)
+        yield from (
+            f"$.routes.{name}.model: no model `{route.model}`"
+            for name, route in self.routes.items()
+            if route.model not in self.models
+        )
+        yield from (
+            f"$.routes.{name}.tenants[{at}]: no tenant `{tenant}`"
+            for name, route in self.routes.items()
+            for at, tenant in enumerate(route.tenants)
+            if tenant not in self.tenants
+        )
         seen = {}
         for name, tenant in self.tenants.items():
             for at, key in enumerate(tenant.keys):
                 if seen.setdefault(key, name) != name:
                     yield f"$.tenants.{name}.keys[{at}]: key is also of tenant `{seen[key]}`"
-        yield from (f"$.models.{name}.capLeast: is above cap" for name, model in self.models.items()
-                    if model.adapts and model.capLeast > model.cap)
+        yield from (
+            f"$.models.{name}.capLeast: is above cap"
+            for name, model in self.models.items()
+            if model.adapts and model.capLeast > model.cap
+        )
         yield from self._dangling_paths()
 
     def _dangling_paths(self):
-        yield from (f"$.paths.{name}.services[{at}].service: no service `{backing.service}`" for name, path in self.paths.items()
-                    for at, backing in enumerate(path.services) if backing.service not in self.services)
-        yield from (f"$.paths.{name}.services: shares sum to 0" for name, path in self.paths.items()
-                    if not sum([backing.share for backing in path.services]))
+        yield from (
+            f"$.paths.{name}.services[{at}].service: no service `{backing.service}`"
+            for name, path in self.paths.items()
+            for at, backing in enumerate(path.services)
+            if backing.service not in self.services
+        )
+        yield from (
+            f"$.paths.{name}.services: shares sum to 0"
+            for name, path in self.paths.items()
+            if not sum([backing.share for backing in path.services])
+        )
         seen = {}
-        yield from (f"$.paths.{name}.prefix: host and prefix are also of path `{seen[path.host, path.prefix]}`"
-                    for name, path in self.paths.items() if seen.setdefault((path.host, path.prefix), name) != name)
+        yield from (
+            f"$.paths.{name}.prefix: host and prefix are also of path `{seen[path.host, path.prefix]}`"
+            for name, path in self.paths.items()
+            if seen.setdefault((path.host, path.prefix), name) != name
+        )
 
 
 def told(error, path):
     """A fault's text with the path to the field in front."""
     text = str(error)
     found = re.search(r" - at `\$([^`]*)`$", text)
-    return f"{path}{found.group(1)}: {text[:found.start()]}" if found else f"{path}: {text}"
+    return f"{path}{found.group(1)}: {text[: found.start()]}" if found else f"{path}: {text}"
 
 
 def merge(target, patch):
@@ -161,8 +182,11 @@
     if not isinstance(patch, dict):
         return patch
     kept = dict(target) if isinstance(target, dict) else {}
-    return {name: merge(kept.get(name), patch[name]) if name in patch else kept[name]
-            for name in [*kept, *(name for name in patch if name not in kept)] if patch.get(name, kept) is not None}
+    return {
+        name: merge(kept.get(name), patch[name]) if name in patch else kept[name]
+        for name in [*kept, *(name for name in patch if name not in kept)]
+        if patch.get(name, kept) is not None
+    }
 
 
 def keyDigest(key: str) -> str:
--- a/swiftdeck/config/settings.py
+++ b/swiftdeck/config/settings.py
@@ -1,4 +1,5 @@
 """The settings of a process: a TOML file or flags, checked, with a default for each but the addresses."""
+
 import ipaddress
 import tomllib
 from pathlib import Path
@@ -11,7 +12,20 @@
 Ms = Annotated[int, msgspec.Meta(ge=10, le=600000)]
 
 
-OWN = {"name", "inner", "http", "opsHttp", "seeds", "zone", "dataFolder", "platform", "store", "operatorKey", "founders", "mayFound"}
+OWN = {
+    "name",
+    "inner",
+    "http",
+    "opsHttp",
+    "seeds",
+    "zone",
+    "dataFolder",
+    "platform",
+    "store",
+    "operatorKey",
+    "founders",
+    "mayFound",
+}
 
 
 class Settings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -63,7 +77,11 @@
 
     def shared(self):
         """The settings that must be the same in all processes of a site."""
-        return {field.name: getattr(self, field.name) for field in msgspec.structs.fields(self) if field.name not in OWN}
+        return {
+            field.name: getattr(self, field.name)
+            for field in msgspec.structs.fields(self)
+            if field.name not in OWN
+        }
 
     def faults(self):
         """What is wrong beyond the types."""
@@ -98,7 +116,9 @@
     """Checked settings from a file, from flags, or from both, the flags going first; or a fault."""
     try:
         values = tomllib.loads(Path(path).read_text()) if path else {}
-        values |= {name: value for name, value in (flags or {}).items() if value not in (None, [], "")}
+        values |= {
+            name: value for name, value in (flags or {}).items() if value not in (None, [], "")
+        }
         settings = msgspec.convert(values, Settings)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
         return BAD_SETTING.because(f"{path}: {error}" if path else error)
--- a/swiftdeck/control/archive.py
+++ b/swiftdeck/control/archive.py
@@ -1,4 +1,5 @@
 """Acknowledged configurations in a Git-like object store, for people to read; nothing depends on it."""
+
 import asyncio
 import re
 import time
@@ -37,7 +38,12 @@
         while True:
             await asyncio.sleep(1.0)
             got = await self.scribe.readTail(ConfigAsk()) if self.waiting else None
-            while got and not isFault(got) and self.waiting and self.waiting[0]["version"] <= got.version:
+            while (
+                got
+                and not isFault(got)
+                and self.waiting
+                and self.waiting[0]["version"] <= got.version
+            ):
                 await self.run(self.keep, self.waiting.popleft())
 
     async def run(self, work, *args):
@@ -57,7 +63,10 @@
     def keep(self, entry):
         """One commit for one version, unless it or a later one is there already."""
         with self._repo() as repo:
-            if REF in repo.refs and self._shown(repo[repo.refs[REF]])["version"] >= entry["version"]:
+            if (
+                REF in repo.refs
+                and self._shown(repo[repo.refs[REF]])["version"] >= entry["version"]
+            ):
                 return
             document = msgspec.json.format(entry["document"].bytes(), indent=1) + b"\n"
             blob, tree, commit = Blob.from_string(document), Tree(), Commit()
@@ -79,18 +88,32 @@
         with self._repo() as repo:
             if REF not in repo.refs:
                 return []
-            return [self._shown(entry.commit) for entry in repo.get_walker([repo.refs[REF]], max_entries=most)]
+            return [
+                self._shown(entry.commit)
+                for entry in repo.get_walker([repo.refs[REF]], max_entries=most)
+            ]
 
     @staticmethod
     def _shown(commit):
         version, change = WORDS.search(commit.message.decode()).groups()
-        return {"version": int(version), "changeId": change, "author": commit.author.decode().removesuffix(" <>"),
-                "wallS": commit.commit_time, "commit": commit.id.decode()}
+        return {
+            "version": int(version),
+            "changeId": change,
+            "author": commit.author.decode().removesuffix(" <>"),
+            "wallS": commit.commit_time,
+            "commit": commit.id.decode(),
+        }
 
     def document(self, version):
         """The text of a version, or a fault."""
         with self._repo() as repo:
             walker = repo.get_walker([repo.refs[REF]]) if REF in repo.refs else ()
-            found = next((each.commit for each in walker if self._shown(each.commit)["version"] == version), None)
-            return NOT_FOUND.because(f"version {version}") if found is None else \
-                repo[repo[found.tree][FILE][1]].data.decode()
+            found = next(
+                (each.commit for each in walker if self._shown(each.commit)["version"] == version),
+                None,
+            )
+            return (
+                NOT_FOUND.because(f"version {version}")
+                if found is None
+                else repo[repo[found.tree][FILE][1]].data.decode()
+            )
--- a/swiftdeck/control/client.py
+++ b/swiftdeck/control/client.py
@@ -1,4 +1,5 @@
 """The operators' side of the HTTP API."""
+
 import asyncio
 
 import msgspec
@@ -16,7 +17,9 @@
 
     async def ask(self, method, path, body=None, headers=(), door=None, timeoutMs=12000):
         """One exchange: (status, body) or a fault."""
-        return await fetchJson(door or self.door, method, path, body, [*self.headers, *headers], timeoutMs)
+        return await fetchJson(
+            door or self.door, method, path, body, [*self.headers, *headers], timeoutMs
+        )
 
     async def change(self, method, document, base, changeId="", author=""):
         """One change on a version."""
@@ -28,7 +31,9 @@
         newest = await self.ask("GET", "/v1/config")
         if isFault(newest) or newest[0] != 200:
             return newest
-        return await self.change(method, make(newest[1]["document"]), newest[1]["version"], changeId, author)
+        return await self.change(
+            method, make(newest[1]["document"]), newest[1]["version"], changeId, author
+        )
 
     async def stream(self, lines, say) -> int:
         """Send changes line by line and say each answer; 1 when one was refused."""
@@ -39,7 +44,11 @@
             try:
                 asked = msgspec.json.decode(line)
             except msgspec.DecodeError as error:
-                say(msgspec.json.encode({"code": 100, "fault": "bad request", "reason": str(error)}).decode())
+                say(
+                    msgspec.json.encode(
+                        {"code": 100, "fault": "bad request", "reason": str(error)}
+                    ).decode()
+                )
                 bad = 1
                 continue
             got = await self.ask("POST", "/v1/changes", asked, timeoutMs=15000)
@@ -54,8 +63,13 @@
         if isFault(first) or first[0] != 200:
             return first
         others = [each for each in first[1]["neighbours"] if each["state"] != "gone"]
-        got = await asyncio.gather(*(self.ask("GET", "/v1/status", door=each["http"], timeoutMs=3000) for each in others))
-        return 200, {each["name"]: None if isFault(one) or one[0] != 200 else one[1] for each, one in zip(others, got)}
+        got = await asyncio.gather(
+            *(self.ask("GET", "/v1/status", door=each["http"], timeoutMs=3000) for each in others)
+        )
+        return 200, {
+            each["name"]: None if isFault(one) or one[0] != 200 else one[1]
+            for each, one in zip(others, got)
+        }
 
     async def fleet(self, full=False):
         """A short status of the whole fleet."""
@@ -66,30 +80,79 @@
         for each in got[1].values():
             for name, count in (each or {}).get("counters", {}).items():
                 total[name] = total.get(name, 0) + count
-        shown = ("role", "zone", "version", "position", "mayServe", "trouble", "licence", "open", "running", "stopping")
-        processes = {name: {key: each[key] for key in shown if key in each} if each else "silent"
-                     for name, each in sorted(got[1].items())}
+        shown = (
+            "role",
+            "zone",
+            "version",
+            "position",
+            "mayServe",
+            "trouble",
+            "licence",
+            "open",
+            "running",
+            "stopping",
+        )
+        processes = {
+            name: {key: each[key] for key in shown if key in each} if each else "silent"
+            for name, each in sorted(got[1].items())
+        }
         some = next((each for each in got[1].values() if each), {})
-        counted = total if full else {name: count for name, count in sorted(total.items()) if name in (
-            "calls", "callsServed", "starts", "waits", "moves", "lineFull", "waitedOut", "slotsReclaimed", "fetches",
-            "legsSent", "legsFailed", "changesTaken", "takeovers")}
-        return 200, {"view": some.get("view"), "processes": processes, "counters": counted,
-                     "books": [book for each in got[1].values() if each for book in each.get("keeps", [])]}
+        counted = (
+            total
+            if full
+            else {
+                name: count
+                for name, count in sorted(total.items())
+                if name
+                in (
+                    "calls",
+                    "callsServed",
+                    "starts",
+                    "waits",
+                    "moves",
+                    "lineFull",
+                    "waitedOut",
+                    "slotsReclaimed",
+                    "fetches",
+                    "legsSent",
+                    "legsFailed",
+                    "changesTaken",
+                    "takeovers",
+                )
+            }
+        )
+        return 200, {
+            "view": some.get("view"),
+            "processes": processes,
+            "counters": counted,
+            "books": [book for each in got[1].values() if each for book in each.get("keeps", [])],
+        }
 
     async def routers(self):
         """HTTP addresses of the routers, or a fault."""
         got = await self.ask("GET", "/v1/status", timeoutMs=3000)
         if isFault(got) or got[0] != 200:
             return got
-        return sorted(each["http"] for each in got[1]["neighbours"] if each["role"] == "router" and each["state"] != "gone")
+        return sorted(
+            each["http"]
+            for each in got[1]["neighbours"]
+            if each["role"] == "router" and each["state"] != "gone"
+        )
 
     async def explain(self, name):
         """All that any router decided about a call or a conversation."""
         doors = await self.routers()
         if not isinstance(doors, list):
             return doors
-        got = await asyncio.gather(*(self.ask("GET", f"/v1/explain/{name}", door=door, timeoutMs=3000) for door in doors))
-        told = [item for each in got if not isFault(each) and each[0] == 200 for item in each[1]["decisions"]]
+        got = await asyncio.gather(
+            *(self.ask("GET", f"/v1/explain/{name}", door=door, timeoutMs=3000) for door in doors)
+        )
+        told = [
+            item
+            for each in got
+            if not isFault(each) and each[0] == 200
+            for item in each[1]["decisions"]
+        ]
         silent = [door for door, each in zip(doors, got) if isFault(each) or each[0] != 200]
         return 200, {"decisions": sorted(told, key=lambda item: item["atMs"]), "silent": silent}
 
@@ -101,7 +164,9 @@
             if not isinstance(doors, list):
                 say(msgspec.json.encode(doors.asBody() if isFault(doors) else doors[1]).decode())
                 return 1
-            streams = [asyncio.ensure_future(self._decisions(door, marks, say, follow)) for door in doors]
+            streams = [
+                asyncio.ensure_future(self._decisions(door, marks, say, follow)) for door in doors
+            ]
             await asyncio.wait(streams, timeout=None if not follow else 5.0)
             for each in streams:
                 each.cancel()
@@ -115,8 +180,11 @@
             return
         try:
             process, at = marks.get(door, ("", 0))
-            path = f"/v1/decisions?since={at}&process={process}&follow={int(follow)}" if process else \
-                f"/v1/decisions?since={at}&follow={int(follow)}"
+            path = (
+                f"/v1/decisions?since={at}&process={process}&follow={int(follow)}"
+                if process
+                else f"/v1/decisions?since={at}&follow={int(follow)}"
+            )
             got = await link.exchange("GET", path, self.headers, host=door)
             if isFault(got) or got.status != 200:
                 return
@@ -124,7 +192,10 @@
             async for line in got.lines():
                 item = msgspec.json.decode(line) if line.strip() else {}
                 if item.get("kind") == "process":
-                    name, marks[door] = item["name"], (item["process"], at if item["process"] == process else 0)
+                    name, marks[door] = (
+                        item["name"],
+                        (item["process"], at if item["process"] == process else 0),
+                    )
                 elif item:
                     marks[door] = (marks[door][0], item.get("n", marks[door][1]))
                     say(msgspec.json.encode({"router": name} | item).decode())
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -1,4 +1,5 @@
 """A core process: a member of the chain, a voter, and a door for operators."""
+
 import asyncio
 
 from swiftdeck.chain.agreement import Agreement
@@ -20,21 +21,54 @@
     def __init__(self, settings, folder, random, log=None):
         super().__init__(settings, "core", random, log)
         self.folder = folder
-        self.agreement = Agreement(folder, self.mesh, settings.inner, random, settings.viewLicenceMs, self.board,
-                                   settings.founders, settings.mayFound)
-        self.chain = Chain(folder, self.mesh, self.agreement, self.board, settings.configLicenceMs,
-                           ackWaitMs=settings.ackWaitMs, losses_borne=settings.lossesBorne, keepMs=settings.claimKeepMs,
-                           claimsMost=settings.claimsMost)
+        self.agreement = Agreement(
+            folder,
+            self.mesh,
+            settings.inner,
+            random,
+            settings.viewLicenceMs,
+            self.board,
+            settings.founders,
+            settings.mayFound,
+        )
+        self.chain = Chain(
+            folder,
+            self.mesh,
+            self.agreement,
+            self.board,
+            settings.configLicenceMs,
+            ackWaitMs=settings.ackWaitMs,
+            losses_borne=settings.lossesBorne,
+            keepMs=settings.claimKeepMs,
+            claimsMost=settings.claimsMost,
+        )
         self.ballots = Ballots(self.mesh, self.agreement, settings.dutyLicenceMs)
         self.chart = Chart(self.mesh, self.membership, self.news)
         self.scribe = Scribe(self.mesh, self.chart)
-        self.mender = Mender(self.me, self.mesh, self.membership, self.agreement, self.chain, self.board, random,
-                             settings.cores, losses_borne=settings.lossesBorne)
+        self.mender = Mender(
+            self.me,
+            self.mesh,
+            self.membership,
+            self.agreement,
+            self.chain,
+            self.board,
+            random,
+            settings.cores,
+            losses_borne=settings.lossesBorne,
+        )
         path = getattr(folder, "path", None)
-        self.archive = Archive(str(path / "history"), self.chain, self.scribe, self.board) if path and settings.archive else None
+        self.archive = (
+            Archive(str(path / "history"), self.chain, self.scribe, self.board)
+            if path and settings.archive
+            else None
+        )
         self.operators = Operators(self)
-        self.http = HttpServer(self.operators.handle, settings.bodyBytes * 4, note=self.board.note,
-                               streams=(b"/v1/changes",))
+        self.http = HttpServer(
+            self.operators.handle,
+            settings.bodyBytes * 4,
+            note=self.board.note,
+            streams=(b"/v1/changes",),
+        )
         self.agreement.watchers.append(self.onView)
 
     async def start(self):
@@ -80,13 +114,30 @@
         """What doctor and operators want to know of this process."""
         view, chain = self.agreement.decided, self.chain
         return {
-            "name": self.me.name, "role": "core", "zone": self.me.zone, "coreId": self.agreement.coreId,
-            "view": {"number": view.number, "members": [ref.addr for ref in view.members],
-                     "voters": [ref.addr for ref in view.voters]},
-            "position": self.agreement.position(), "mayServe": self.agreement.mayServe(), "whole": chain.isWhole(),
-            "serial": chain.serial, "version": chain.state.stored.version, "trouble": self.agreement.trouble(),
-            "diskFreeBytes": self.folder.freeBytes(), "logBytes": chain.journal.size,
-            "claims": len(chain.state.stored.claims), "claimsMost": self.settings.claimsMost,
-            "shared": self.settings.shared(), "licences": len(chain.holders), "clockMs": self.clockMs(), "tasks": self.taskCount(),
-            "neighbours": self.neighbours(), "seeds": self.membership.seeds, "counters": self.counters(),
+            "name": self.me.name,
+            "role": "core",
+            "zone": self.me.zone,
+            "coreId": self.agreement.coreId,
+            "view": {
+                "number": view.number,
+                "members": [ref.addr for ref in view.members],
+                "voters": [ref.addr for ref in view.voters],
+            },
+            "position": self.agreement.position(),
+            "mayServe": self.agreement.mayServe(),
+            "whole": chain.isWhole(),
+            "serial": chain.serial,
+            "version": chain.state.stored.version,
+            "trouble": self.agreement.trouble(),
+            "diskFreeBytes": self.folder.freeBytes(),
+            "logBytes": chain.journal.size,
+            "claims": len(chain.state.stored.claims),
+            "claimsMost": self.settings.claimsMost,
+            "shared": self.settings.shared(),
+            "licences": len(chain.holders),
+            "clockMs": self.clockMs(),
+            "tasks": self.taskCount(),
+            "neighbours": self.neighbours(),
+            "seeds": self.membership.seeds,
+            "counters": self.counters(),
         }
--- a/swiftdeck/control/doctor.py
+++ b/swiftdeck/control/doctor.py
@@ -1,4 +1,5 @@
 """Looks for common faults from outside, by what each process says of itself."""
+
 import asyncio
 import os
 import tempfile
@@ -12,22 +13,52 @@
     701: ("process is silent", "Start it, or look into its log; the fleet goes on without it."),
     702: ("seed is not reached", "Exchange the seed for a process that runs, and send SIGHUP."),
     703: ("disk has little room", "Make room in the data folder's file system."),
-    704: ("disk cannot be written", "Look into the file system of the data folder; the core leaves the chain meanwhile."),
-    705: ("core leaves the chain", "See the trouble that it names; an emptied data folder is filled from the chain."),
-    706: ("view has too few members", "Start the missing core; while one member is alone nothing is acknowledged."),
+    704: (
+        "disk cannot be written",
+        "Look into the file system of the data folder; the core leaves the chain meanwhile.",
+    ),
+    705: (
+        "core leaves the chain",
+        "See the trouble that it names; an emptied data folder is filled from the chain.",
+    ),
+    706: (
+        "view has too few members",
+        "Start the missing core; while one member is alone nothing is acknowledged.",
+    ),
     707: ("view licence is not held", "Bring back a majority of the voters."),
     708: ("configuration licence lapsed", "Check the links from this router to the cores."),
     709: ("workers' list is old", "Check the platform's address and its links."),
-    710: ("configuration versions differ", "Wait two seconds; if it stays, look at the router that is behind."),
+    710: (
+        "configuration versions differ",
+        "Wait two seconds; if it stays, look at the router that is behind.",
+    ),
     711: ("no keeper for a model", "Check that routers and a majority of cores run."),
-    712: ("worker's reports do not come", "Check the worker; it gets starts only when no other can take them."),
-    713: ("worker has other weights", "It is asked to load them; look into the worker if this stays."),
+    712: (
+        "worker's reports do not come",
+        "Check the worker; it gets starts only when no other can take them.",
+    ),
+    713: (
+        "worker has other weights",
+        "It is asked to load them; look into the worker if this stays.",
+    ),
     714: ("processes know different views", "Wait some seconds; if it stays, look at the links."),
-    715: ("clock runs at another rate", "Mend the machine's clock source; licences allow for five in a hundred."),
+    715: (
+        "clock runs at another rate",
+        "Mend the machine's clock source; licences allow for five in a hundred.",
+    ),
     716: ("no configuration", "Put one with `swiftdeck ctl put`."),
-    717: ("waiting line is nearly full", "Add workers, or raise cap or lineMax if the cache allows it."),
-    718: ("once-only claims are nearly full", "Raise `claimsMost`, or shorten `claimKeepMs` if no caller comes back as late."),
-    719: ("settings differ between processes", "Make them the same in all processes of the site but for names, addresses and folders."),
+    717: (
+        "waiting line is nearly full",
+        "Add workers, or raise cap or lineMax if the cache allows it.",
+    ),
+    718: (
+        "once-only claims are nearly full",
+        "Raise `claimsMost`, or shorten `claimKeepMs` if no caller comes back as late.",
+    ),
+    719: (
+        "settings differ between processes",
+        "Make them the same in all processes of the site but for names, addresses and folders.",
+    ),
 }
 
 
@@ -68,23 +99,37 @@
             return [finding(702, seed)]
         link.close()
         return []
-    return [each for found in await asyncio.gather(*(one(seed) for seed in seeds)) for each in found]
+
+    return [
+        each for found in await asyncio.gather(*(one(seed) for seed in seeds)) for each in found
+    ]
 
 
 async def _rates(client, statuses):
     loop = asyncio.get_running_loop()
-    doors = {each["name"]: each["http"] for status in statuses.values() if status for each in status["neighbours"]}
+    doors = {
+        each["name"]: each["http"]
+        for status in statuses.values()
+        if status
+        for each in status["neighbours"]
+    }
 
     async def clock(name):
         startS = loop.time()
         got = await fetchJson(doors[name], "GET", "/v1/status", None, client.headers, 3000)
-        return None if isFault(got) or got[0] != 200 else (got[1].get("clockMs"), startS, loop.time())
+        return (
+            None if isFault(got) or got[0] != 200 else (got[1].get("clockMs"), startS, loop.time())
+        )
+
     names = [name for name, status in statuses.items() if status and name in doors]
     first = await asyncio.gather(*(clock(name) for name in names))
     await asyncio.sleep(1.0)
     second = await asyncio.gather(*(clock(name) for name in names))
-    return [finding(715, name) for name, a, b in zip(names, first, second)
-            if a and b and a[0] is not None and _isOff((b[0] - a[0]) / 1000, b[1] - a[2], b[2] - a[1])]
+    return [
+        finding(715, name)
+        for name, a, b in zip(names, first, second)
+        if a and b and a[0] is not None and _isOff((b[0] - a[0]) / 1000, b[1] - a[2], b[2] - a[1])
+    ]
 
 
 def _isOff(passedS, leastS, mostS):
@@ -93,7 +138,9 @@
 
 def diagnose(statuses) -> list:
     """Findings from the statuses of all processes, None standing for a silent one."""
-    return [each for check in (_silent, _cores, _routers, _fleet, _books) for each in check(statuses)]
+    return [
+        each for check in (_silent, _cores, _routers, _fleet, _books) for each in check(statuses)
+    ]
 
 
 def _of(statuses, role):
@@ -102,9 +149,16 @@
 
 def _silent(statuses):
     yield from (finding(701, name) for name, each in statuses.items() if each is None)
-    gone = {(other["name"], other["addr"]) for each in statuses.values() if each for other in each["neighbours"]
-            if other["state"] != "alive"}
-    yield from (finding(701, f"{name} at {addr}") for name, addr in sorted(gone) if name not in statuses)
+    gone = {
+        (other["name"], other["addr"])
+        for each in statuses.values()
+        if each
+        for other in each["neighbours"]
+        if other["state"] != "alive"
+    }
+    yield from (
+        finding(701, f"{name} at {addr}") for name, addr in sorted(gone) if name not in statuses
+    )
 
 
 def _cores(statuses):
@@ -136,10 +190,16 @@
     if len(views) > 1:
         yield finding(714, f"numbers {sorted(views)}")
     shared = [each["shared"] for each in present if "shared" in each]
-    differing = sorted({name for each in shared for name in each if each[name] != shared[0].get(name)})
+    differing = sorted(
+        {name for each in shared for name in each if each[name] != shared[0].get(name)}
+    )
     if differing:
         yield finding(719, ", ".join(differing))
-    versions = {each["version"] for each in present if each["role"] == "router" or each.get("position", -1) >= 0}
+    versions = {
+        each["version"]
+        for each in present
+        if each["role"] == "router" or each.get("position", -1) >= 0
+    }
     if len(versions) > 1:
         yield finding(710, f"versions {sorted(versions)}")
     if versions == {0}:
