--- a/swiftdeck/control/node.py
+++ b/swiftdeck/control/node.py
@@ -1,4 +1,5 @@
 """What every process of the fleet has: mesh, neighbours, news, board."""
+
 import asyncio
 
 from swiftdeck.board.board import Board
@@ -15,10 +16,23 @@
         self.settings, self.random = settings, random
         self.board = Board(log)
         self.mesh = Mesh(settings.inner, self.board.note)
-        self.me = Member(addr=settings.inner, name=settings.name, role=role, zone=settings.zone,
-                         httpAddr=settings.http, incarnation=random.getrandbits(62) + 1)
-        self.membership = Membership(self.me, self.mesh, settings.seeds, random, settings.probeMs,
-                                     settings.suspectMs, self.board)
+        self.me = Member(
+            addr=settings.inner,
+            name=settings.name,
+            role=role,
+            zone=settings.zone,
+            httpAddr=settings.http,
+            incarnation=random.getrandbits(62) + 1,
+        )
+        self.membership = Membership(
+            self.me,
+            self.mesh,
+            settings.seeds,
+            random,
+            settings.probeMs,
+            settings.suspectMs,
+            self.board,
+        )
         self.news = NewsTable(self.mesh, self.membership)
 
     async def startNode(self):
@@ -42,5 +56,14 @@
     def neighbours(self):
         """This process and all that it knows of, the gone ones too, in their outward form."""
         members = [self.me, *(each.member for each in self.membership.known.values())]
-        return [{"name": each.name, "role": each.role, "zone": each.zone, "addr": each.addr, "http": each.httpAddr,
-                 "state": STATES[each.state]} for each in members]
+        return [
+            {
+                "name": each.name,
+                "role": each.role,
+                "zone": each.zone,
+                "addr": each.addr,
+                "http": each.httpAddr,
+                "state": STATES[each.state],
+            }
+            for each in members
+        ]
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -1,7 +1,8 @@
 """The operators' HTTP API of a core: changes in, configuration and status out."""
+
 import msgspec
 
-from swiftdeck.fault import (BAD_METHOD, BAD_OPERATOR, BAD_REQUEST, NOT_FOUND, isFault)
+from swiftdeck.fault import BAD_METHOD, BAD_OPERATOR, BAD_REQUEST, NOT_FOUND, isFault
 from swiftdeck.wire.messages import ConfigAsk
 
 
@@ -32,21 +33,32 @@
             return await self._history(exchange, path.removeprefix("/v1/history").strip("/"))
         if path == "/v1/seeds" and method == "PUT":
             return await self._seeds(exchange)
-        return BAD_METHOD if path in ("/v1/changes", "/v1/status", "/v1/counters", "/v1/seeds") else NOT_FOUND
+        return (
+            BAD_METHOD
+            if path in ("/v1/changes", "/v1/status", "/v1/counters", "/v1/seeds")
+            else NOT_FOUND
+        )
 
     async def _config(self, exchange, method):
         if method == "GET":
             got = await self.core.scribe.readTail(ConfigAsk())
             if isFault(got):
                 return got
-            return await exchange.give(200, {"version": got.version, "document": msgspec.Raw(got.document or b"{}")})
+            return await exchange.give(
+                200, {"version": got.version, "document": msgspec.Raw(got.document or b"{}")}
+            )
         if method not in ("PUT", "PATCH"):
             return BAD_METHOD
         body = exchange.json()
         if isFault(body):
             return body
-        change = {"id": exchange.headers.get("change-id") or self._newId(), "op": "put" if method == "PUT" else "patch",
-                  "base": exchange.query.get("base"), "author": exchange.headers.get("author", ""), "document": body}
+        change = {
+            "id": exchange.headers.get("change-id") or self._newId(),
+            "op": "put" if method == "PUT" else "patch",
+            "base": exchange.query.get("base"),
+            "author": exchange.headers.get("author", ""),
+            "document": body,
+        }
         status, told, headers = await self.change(change)
         return await exchange.give(status, told, headers)
 
@@ -57,8 +69,13 @@
         """Put one change through the chain: (status, told, headers)."""
         fault = self._malformed(asked)
         if fault is None:
-            entry = {"t": "config", "base": int(asked["base"]), "op": asked["op"],
-                     "author": asked.get("author", ""), "document": asked["document"]}
+            entry = {
+                "t": "config",
+                "base": int(asked["base"]),
+                "op": asked["op"],
+                "author": asked.get("author", ""),
+                "document": asked["document"],
+            }
             got = await self.core.scribe.write(asked["id"], entry)
             if not isFault(got):
                 self.core.board.count["changesTaken"] += 1
@@ -90,12 +107,16 @@
         return None
 
     async def _stream(self, exchange):
-        exchange.begin(200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")])
+        exchange.begin(
+            200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")]
+        )
         async for line in exchange.lines():
             if line.strip():
                 try:
                     asked = msgspec.json.decode(line)
-                    _, told, _ = await self.change(({"id": self._newId()} | asked) if isinstance(asked, dict) else asked)
+                    _, told, _ = await self.change(
+                        ({"id": self._newId()} | asked) if isinstance(asked, dict) else asked
+                    )
                 except (msgspec.DecodeError, RecursionError) as error:
                     told = BAD_REQUEST.because(f"line is not JSON: {error}").asBody()
                 await exchange.piece(msgspec.json.encode(told) + b"\n")
@@ -111,16 +132,22 @@
         archive = self.core.archive
         if archive is None or not (version == "" or version.isdecimal()):
             return NOT_FOUND
-        got = await (archive.run(archive.document, int(version)) if version else archive.run(archive.log))
+        got = await (
+            archive.run(archive.document, int(version)) if version else archive.run(archive.log)
+        )
         if got is None or isFault(got):
             return NOT_FOUND.because("the archive of this core does not have it")
-        return await exchange.give(200, {"version": int(version), "text": got} if version else {"versions": got})
+        return await exchange.give(
+            200, {"version": int(version), "text": got} if version else {"versions": got}
+        )
 
     async def _seeds(self, exchange):
         body = exchange.json()
         if isFault(body):
             return body
-        if not isinstance(body, list) or not all(isinstance(each, str) and ":" in each for each in body):
+        if not isinstance(body, list) or not all(
+            isinstance(each, str) and ":" in each for each in body
+        ):
             return BAD_REQUEST.because("seeds are a list of IP:PORT")
         self.core.membership.setSeeds(body)
         return await exchange.give(200, {"seeds": body})
--- a/swiftdeck/disk/folder.py
+++ b/swiftdeck/disk/folder.py
@@ -1,4 +1,5 @@
 """The data folder of a real process."""
+
 import asyncio
 import os
 import typing
@@ -40,11 +41,13 @@
         """Add bytes to the end of a file."""
         view = memoryview(data)
         while view:
-            view = view[self._open(name).write(view):]
+            view = view[self._open(name).write(view) :]
 
     async def sync(self, name: str):
         """Make a file last."""
-        await asyncio.get_running_loop().run_in_executor(self.pool, os.fsync, self._open(name).fileno())
+        await asyncio.get_running_loop().run_in_executor(
+            self.pool, os.fsync, self._open(name).fileno()
+        )
 
     async def replace(self, name: str, data: bytes):
         """Put new contents in place of a file, whole or not at all."""
--- a/swiftdeck/disk/journal.py
+++ b/swiftdeck/disk/journal.py
@@ -1,4 +1,5 @@
 """An append-only file of checksummed records."""
+
 import asyncio
 import struct
 import zlib
@@ -43,7 +44,9 @@
         while at < len(data):
             found = self._recordAt(data, at)
             if found is None:
-                if not self._isTorn(data, at) or any(self._recordAt(data, later) for later in self._marks(data, at + 1)):
+                if not self._isTorn(data, at) or any(
+                    self._recordAt(data, later) for later in self._marks(data, at + 1)
+                ):
                     return DAMAGED.because(f"{self.name} at byte {at}")
                 self.folder.truncate(self.name, at)
                 break
@@ -71,7 +74,11 @@
         if -(-written // SECTOR) * SECTOR < len(data):
             return True
         length, _, mark = HEADER.unpack_from(data, at)
-        isHead = mark == OLD_MARK or zlib.crc32(data[at:at + HEADER.size]) & 0xFFFF == CHECK.unpack_from(data, at + HEADER.size)[0]
+        isHead = (
+            mark == OLD_MARK
+            or zlib.crc32(data[at : at + HEADER.size]) & 0xFFFF
+            == CHECK.unpack_from(data, at + HEADER.size)[0]
+        )
         return isHead and at + LEAD + length > len(data)
 
     def _marks(self, data, start):
@@ -89,7 +96,11 @@
         end = start + length
         if mark not in (MARK, OLD_MARK) or end > len(data) or not length:
             return None
-        if mark == MARK and zlib.crc32(data[at:at + HEADER.size]) & 0xFFFF != CHECK.unpack_from(data, at + HEADER.size)[0]:
+        if (
+            mark == MARK
+            and zlib.crc32(data[at : at + HEADER.size]) & 0xFFFF
+            != CHECK.unpack_from(data, at + HEADER.size)[0]
+        ):
             return None
         body = data[start:end]
         if zlib.crc32(body) != checksum:
@@ -125,7 +136,9 @@
 
     def stallMs(self) -> float:
         """How long the disk has been busy with what it does now."""
-        return 0 if self.sinceS is None else (asyncio.get_running_loop().time() - self.sinceS) * 1000
+        return (
+            0 if self.sinceS is None else (asyncio.get_running_loop().time() - self.sinceS) * 1000
+        )
 
     async def rewrite(self, records):
         """Put other records in place of the whole file."""
--- a/swiftdeck/duty/ballots.py
+++ b/swiftdeck/duty/ballots.py
@@ -1,4 +1,5 @@
 """Votes of one core on who does a duty; kept in memory, so a new start casts none for one licence."""
+
 import asyncio
 
 import attrs
@@ -48,10 +49,21 @@
                 held.untilS = nowS
             return Vote(granted=True)
         isBusy = held and held.untilS > nowS and held.holder != ask.holder
-        isOld = held and ask.term < held.term or held and ask.term == held.term and held.holder != ask.holder
+        isOld = (
+            held
+            and ask.term < held.term
+            or held
+            and ask.term == held.term
+            and held.holder != ask.holder
+        )
         if isBusy or isOld or nowS < self.quietUntilS:
             leftS = max(self.quietUntilS, held.untilS if held else 0) - nowS
-            return Vote(granted=False, term=held.term if held else 0, holder=held.holder if held else "",
-                        addr=held.addr if held else "", leftMs=max(0, int(leftS * 1000)))
+            return Vote(
+                granted=False,
+                term=held.term if held else 0,
+                holder=held.holder if held else "",
+                addr=held.addr if held else "",
+                leftMs=max(0, int(leftS * 1000)),
+            )
         self.casts[ask.duty] = Cast(ask.term, ask.holder, ask.addr, nowS + self.licenceMs / 1000)
         return Vote(granted=True, term=ask.term)
--- a/swiftdeck/duty/duty.py
+++ b/swiftdeck/duty/duty.py
@@ -1,4 +1,5 @@
 """A duty that this process may hold: won by ballots, held by licence."""
+
 import asyncio
 import json
 
@@ -40,7 +41,11 @@
         won, votes = await self._ask(term)
         if won:
             self.term = self.seenTerm = term
-            self.news.post(f"duty/{self.name}", term, json.dumps({"addr": self.me.addr, "name": self.me.name}).encode())
+            self.news.post(
+                f"duty/{self.name}",
+                term,
+                json.dumps({"addr": self.me.addr, "name": self.me.name}).encode(),
+            )
             if self.board:
                 self.board.put(f"duty.{self.name}", term)
             return
@@ -50,8 +55,15 @@
 
     async def _ask(self, term, release=False):
         view, sentS = self.chart.view, self.loop.time()
-        ask = Nominate(view=view.number, duty=self.name, term=term, holder=self.holder, addr=self.me.addr,
-                       licenceMs=self.licenceMs, release=release)
+        ask = Nominate(
+            view=view.number,
+            duty=self.name,
+            term=term,
+            holder=self.holder,
+            addr=self.me.addr,
+            licenceMs=self.licenceMs,
+            release=release,
+        )
         got = await asyncio.gather(*(self.mesh.ask(ref.addr, ask, 800) for ref in view.voters))
         votes = [vote for vote in got if not isFault(vote)]
         if any(isFault(vote) for vote in got):
--- a/swiftdeck/fault.py
+++ b/swiftdeck/fault.py
@@ -1,4 +1,5 @@
 """Faults: sentinel values with a numbered code and a reason."""
+
 import attrs
 
 
@@ -15,7 +16,9 @@
 
     def because(self, reason: str, retryMs: int | None = None) -> "Fault":
         """The same fault with a reason and, if given, a time to come back after."""
-        return attrs.evolve(self, reason=str(reason)[:500], retryMs=self.retryMs if retryMs is None else retryMs)
+        return attrs.evolve(
+            self, reason=str(reason)[:500], retryMs=self.retryMs if retryMs is None else retryMs
+        )
 
     def asBody(self) -> dict:
         """The outward form, as JSON fields."""
@@ -60,15 +63,21 @@
 BUSY = _fault(120, "router has too many calls open", 503, notRun=True, retryMs=1000)
 NO_ROOM = _fault(121, "no worker has room for the prompt", 503, notRun=True, retryMs=120)
 WORKER_FULL = _fault(122, "worker turned the request away", 503, notRun=True, retryMs=60)
-DEADLINE_PASSED = _fault(123, "deadline passed before a worker had it", 503, notRun=True, retryMs=200)
-NO_CONNECTION = _fault(124, "as many connections to the worker are open as may be", 503, notRun=True, retryMs=100)
+DEADLINE_PASSED = _fault(
+    123, "deadline passed before a worker had it", 503, notRun=True, retryMs=200
+)
+NO_CONNECTION = _fault(
+    124, "as many connections to the worker are open as may be", 503, notRun=True, retryMs=100
+)
 CLAIMED = _fault(130, "call was already claimed", 409)
 WORKER_LOST = _fault(140, "worker failed after dispatch, outcome unknown", 502)
 WORKER_HANGS = _fault(141, "worker sent nothing in time, outcome unknown", 504)
 WORKER_BAD = _fault(142, "worker sent pieces that are not of this run", 502)
 WORKER_REFUSED = _fault(143, "worker refused the run", 502)
 HORIZON = _fault(144, "horizon reached after dispatch, outcome unknown", 504)
-CLAIM_LEFT = _fault(145, "nothing was sent, but the once-only claim may still stand", 503, retryMs=2000)
+CLAIM_LEFT = _fault(
+    145, "nothing was sent, but the once-only claim may still stand", 503, retryMs=2000
+)
 STREAM_BROKEN = _fault(146, "stream broke off and could not be taken up elsewhere", 502)
 LOST_RACE = _fault(200, "base version is not the newest", 409)
 INVALID = _fault(201, "configuration is invalid", 422)
--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -1,4 +1,5 @@
 """Asks the owner of a worker's book for a place; where the owner can't be heard, a share of K is used without it."""
+
 import asyncio
 
 from swiftdeck.gateway.places import FILL, Owners, PlaceBooks, Wish
@@ -10,8 +11,23 @@
 class Admission:
     """The routers' side of the books, and the books of the workers that this router owns."""
 
-    def __init__(self, me, mesh, membership, roster, board, memory_of, on_read=lambda worker, salt, parts, sizes, is_cold: None):
-        self.me, self.mesh, self.membership, self.roster, self.board = me, mesh, membership, roster, board
+    def __init__(
+        self,
+        me,
+        mesh,
+        membership,
+        roster,
+        board,
+        memory_of,
+        on_read=lambda worker, salt, parts, sizes, is_cold: None,
+    ):
+        self.me, self.mesh, self.membership, self.roster, self.board = (
+            me,
+            mesh,
+            membership,
+            roster,
+            board,
+        )
         self.memory_of, self.on_read = memory_of, on_read
         self.owners, self.asked = Owners(), {}
         mesh.on(PlaceAsk, self.on_place_ask, True)
@@ -36,13 +52,27 @@
     async def ask(self, wish: Wish, wait_ms: int, request, salt: str) -> bool:
         """Whether a call may go to a worker."""
         owner = self.owner(wish.worker)
-        shared, sizes = [part.name for part in request.shared()], [part.tokens for part in request.shared()]
+        shared, sizes = (
+            [part.name for part in request.shared()],
+            [part.tokens for part in request.shared()],
+        )
         if owner == self.me.addr:
             granted = await self._take(wish, wait_ms, salt, shared, sizes)
         else:
-            ask = PlaceAsk(router=self.me.name, call=wish.call, episode=wish.episode, tenant=wish.tenant, worker=wish.worker,
-                           tokens=wish.tokens, wait_ms=wait_ms, left_ms=max(1, int((wish.deadline_s - self.loop.time()) * 1000)),
-                           salt=salt, shared=shared, sizes=sizes, missing=wish.missing)
+            ask = PlaceAsk(
+                router=self.me.name,
+                call=wish.call,
+                episode=wish.episode,
+                tenant=wish.tenant,
+                worker=wish.worker,
+                tokens=wish.tokens,
+                wait_ms=wait_ms,
+                left_ms=max(1, int((wish.deadline_s - self.loop.time()) * 1000)),
+                salt=salt,
+                shared=shared,
+                sizes=sizes,
+                missing=wish.missing,
+            )
             granted = await self._ask_owner(owner, ask, wish, wait_ms)
         if granted:
             self.asked[wish.call] = owner
@@ -62,7 +92,11 @@
         """The owner is silent: this router's share of K stands until another one owns the book."""
         self.board.count["placesUnasked"] += 1
         worker = self.roster.workers.get(wish.worker)
-        share = max(1, int(self.memory_of(wish.worker) * FILL / max(1, wish.tokens)) // max(1, len(self.routers()) // 2))
+        share = max(
+            1,
+            int(self.memory_of(wish.worker) * FILL / max(1, wish.tokens))
+            // max(1, len(self.routers()) // 2),
+        )
         return worker is not None and worker.running_long < share
 
     def ended(self, wish: Wish):
@@ -74,8 +108,18 @@
             self.mesh.tell(owner, PlaceEnd(call=wish.call))
 
     async def on_place_ask(self, ask, sender):
-        wish = Wish(ask.call, ask.episode, ask.tenant, ask.worker, ask.tokens, self.loop.time() + ask.left_ms / 1000, ask.missing)
-        return PlaceReturn(granted=await self._take(wish, ask.wait_ms, ask.salt, ask.shared, ask.sizes))
+        wish = Wish(
+            ask.call,
+            ask.episode,
+            ask.tenant,
+            ask.worker,
+            ask.tokens,
+            self.loop.time() + ask.left_ms / 1000,
+            ask.missing,
+        )
+        return PlaceReturn(
+            granted=await self._take(wish, ask.wait_ms, ask.salt, ask.shared, ask.sizes)
+        )
 
     async def _take(self, wish, wait_ms, salt, shared, sizes):
         granted = await self.books.ask(wish, wait_ms)
@@ -103,4 +147,10 @@
         while True:
             await asyncio.sleep(0.25)
             routers = self.routers()
-            self.books.tick({name for name in self.roster.workers if self.owners.of(name, routers) == self.me.addr})
+            self.books.tick(
+                {
+                    name
+                    for name in self.roster.workers
+                    if self.owners.of(name, routers) == self.me.addr
+                }
+            )
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -1,4 +1,5 @@
 """Followers of caches' reports: the owner of a worker's book follows it, and tells the others what concerns shared parts."""
+
 import asyncio
 
 from swiftdeck.fault import isFault
@@ -26,22 +27,39 @@
             self.shared[part] = None
         while len(self.shared) > KNOWN_MOST:
             del self.shared[next(iter(self.shared))]
-        if is_cold and any(self.kept.parts.get((salt, part), {}).get(worker, 0) < size for part, size in zip(parts, sizes)):
-            self._tell_all(KeptNews(holder=worker, salts=[salt] * len(parts), parts=list(parts), tokens=list(sizes), is_expected=True))
+        if is_cold and any(
+            self.kept.parts.get((salt, part), {}).get(worker, 0) < size
+            for part, size in zip(parts, sizes)
+        ):
+            self._tell_all(
+                KeptNews(
+                    holder=worker,
+                    salts=[salt] * len(parts),
+                    parts=list(parts),
+                    tokens=list(sizes),
+                    is_expected=True,
+                )
+            )
 
     async def _minding(self):
         while True:
             me = self.admission.me.addr
-            wanted = {worker.name: worker.listed.addr for worker in self.admission.roster.workers.values()
-                      if worker.listed.weights and self.admission.owner(worker.name) == me}
+            wanted = {
+                worker.name: worker.listed.addr
+                for worker in self.admission.roster.workers.values()
+                if worker.listed.weights and self.admission.owner(worker.name) == me
+            }
             wanted |= {addr: addr for addr in self.stores if self.admission.owner(addr) == me}
             for name in [name for name in self.tasks if name not in wanted]:
                 self.tasks.pop(name).cancel()
             for name, addr in wanted.items():
                 if name not in self.tasks:
                     self.tasks[name] = asyncio.ensure_future(self._follow(name, addr))
-            for holder in [each for each in self.kept.by_holder
-                           if each not in self.admission.roster.workers and each not in self.stores]:
+            for holder in [
+                each
+                for each in self.kept.by_holder
+                if each not in self.admission.roster.workers and each not in self.stores
+            ]:
                 self.kept.forget(holder)
             self.kept.lapse(asyncio.get_running_loop().time())
             await asyncio.sleep(0.5)
@@ -73,14 +91,24 @@
                 self._tell(name, [], True)
                 continue
             epoch, since = got.epoch, got.next_number
-            told = [each for each in got.reports if each.part in self.shared or name in self.stores and each.tokens >= LEAST_TOKENS]
+            told = [
+                each
+                for each in got.reports
+                if each.part in self.shared or name in self.stores and each.tokens >= LEAST_TOKENS
+            ]
             if told or got.lost:
                 self._tell(name, told, got.lost)
             await asyncio.sleep(REST_S)
 
     def _tell(self, name, reports, is_whole, is_down=False):
-        news = KeptNews(holder=name, forget=is_whole, is_down=is_down, salts=[each.salt for each in reports], parts=[each.part for each in reports],
-                        tokens=[each.tokens if each.is_kept else 0 for each in reports])
+        news = KeptNews(
+            holder=name,
+            forget=is_whole,
+            is_down=is_down,
+            salts=[each.salt for each in reports],
+            parts=[each.part for each in reports],
+            tokens=[each.tokens if each.is_kept else 0 for each in reports],
+        )
         self._tell_all(news)
 
     def _tell_all(self, news):
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -1,4 +1,5 @@
 """The process of an edge machine whose callers and workers speak a platform's way: what is decided is decided here."""
+
 import asyncio
 from collections import Counter
 
@@ -34,20 +35,33 @@
         self.me.httpAddr = settings.opsHttp or settings.http
         self.callers_speak, self.workers_speak, lists, caches = dialects
         self.chart = Chart(self.mesh, self.membership, self.news)
-        self.licence = ConfigLicence(self.me, self.mesh, self.membership, self.chart, self.board, settings.renewMs)
+        self.licence = ConfigLicence(
+            self.me, self.mesh, self.membership, self.chart, self.board, settings.renewMs
+        )
         self.licence.peeks = True
         self.roster, self.kept = Roster(), KeptTable()
         self.judge = Judge(self.roster, self.board)
         self.judge.on_trouble = self.tell_trouble
         self.placing = Placing(settings.zone, self.judge, self.kept, random, settings.episodeTokens)
-        self.admission = Admission(self.me, self.mesh, self.membership, self.roster, self.board, self.memory_of)
-        self.following = Following(self.admission, self.mesh, self.membership, self.kept, caches, self.board)
+        self.admission = Admission(
+            self.me, self.mesh, self.membership, self.roster, self.board, self.memory_of
+        )
+        self.following = Following(
+            self.admission, self.mesh, self.membership, self.kept, caches, self.board
+        )
         self.admission.on_read = self.following.will_keep
         self.pool = Pool(self.board, settings.connectMs)
         self.pool.most = self.connections_most
-        self.listing = Listing(self.me, self.mesh, self.membership, lists, self.roster, self.board, settings.listMs)
-        self.budget = BudgetShare(self.admission.routers, settings.budgetShare, settings.budgetExtra, settings.budgetWindowMs / 1000,
-                                  lambda: self.licence.routers)
+        self.listing = Listing(
+            self.me, self.mesh, self.membership, lists, self.roster, self.board, settings.listMs
+        )
+        self.budget = BudgetShare(
+            self.admission.routers,
+            settings.budgetShare,
+            settings.budgetExtra,
+            settings.budgetWindowMs / 1000,
+            lambda: self.licence.routers,
+        )
         self.http = HttpServer(self.handle, settings.bodyBytes, note=self.board.note)
         self.ops = HttpServer(self.operate, note=self.board.note) if settings.opsHttp else None
         self.routes, self.named_s, self.tenants = None, {}, {}
@@ -77,7 +91,9 @@
         self.board.note("gateway stops", open=self.open)
         start_s = self.loop.time()
         end_s = start_s + self.settings.stopMs / 1000
-        while self.loop.time() < end_s and (self.open or self.loop.time() < start_s + self.settings.leaveMs / 1000):
+        while self.loop.time() < end_s and (
+            self.open or self.loop.time() < start_s + self.settings.leaveMs / 1000
+        ):
             await asyncio.sleep(0.05)
         self.http.stop()
         while self.loop.time() < end_s and self.open:
@@ -97,14 +113,25 @@
         document = held.document
         self.routes, self.tenants = RouteTable(document), held.tenantByKey
         now_s = self.loop.time()
-        self.named_s = {name: (model.weights, self.named_s[name][1] if self.named_s.get(name, ("",))[0] == model.weights else now_s)
-                        for name, model in document.models.items()}
+        self.named_s = {
+            name: (
+                model.weights,
+                self.named_s[name][1]
+                if self.named_s.get(name, ("",))[0] == model.weights
+                else now_s,
+            )
+            for name, model in document.models.items()
+        }
         limits = document.limits.get(CALLERS)
         if limits:
             self.http.headLimit, self.http.bodyLimit = limits.head_bytes, limits.body_bytes
             self.http.slowMs, self.http.idleMs = limits.head_wait_ms, limits.idle_ms
-        self.following.stores = [each.store_addr for each in document.services.values() if each.store_addr]
-        self.board.put("edition", document.edition[OPERATOR].number if OPERATOR in document.edition else 0)
+        self.following.stores = [
+            each.store_addr for each in document.services.values() if each.store_addr
+        ]
+        self.board.put(
+            "edition", document.edition[OPERATOR].number if OPERATOR in document.edition else 0
+        )
 
     @property
     def document(self):
@@ -114,7 +141,11 @@
     def service_of(self, worker: str):
         """What the configuration says of a worker's service."""
         known = self.roster.workers.get(worker)
-        return self.document.services.get(known.listed.service) if known and self.licence.held else None
+        return (
+            self.document.services.get(known.listed.service)
+            if known and self.licence.held
+            else None
+        )
 
     def memory_of(self, worker: str) -> int:
         """Tokens that a worker can keep."""
@@ -133,8 +164,14 @@
         serving = self.roster.serving(service)
         newest, since_s = self._newest(model)
         since_s = max(since_s, min(self.unsettled_s, since_s + OLD_MOST_S))
-        may_be_old = now_s - since_s < self.settings.oldWeightsMs / 1000 or not self.licence.isHeld()
-        fit = [each for each in serving if may_be_old or not each.knows(model) or each.knows(model) >= newest]
+        may_be_old = (
+            now_s - since_s < self.settings.oldWeightsMs / 1000 or not self.licence.isHeld()
+        )
+        fit = [
+            each
+            for each in serving
+            if may_be_old or not each.knows(model) or each.knows(model) >= newest
+        ]
         calm = [each for each in fit if each.swapping_until_s <= now_s]
         return calm or fit
 
@@ -142,7 +179,10 @@
         """Remember when the cores were last in trouble, as far as this router can tell."""
         seen = None
         while True:
-            now = (self.chart.view.number, frozenset(each.incarnation for each in self.membership.alive("core")))
+            now = (
+                self.chart.view.number,
+                frozenset(each.incarnation for each in self.membership.alive("core")),
+            )
             if now != seen or not self.licence.isHeld() or self.licence.failures:
                 seen, self.unsettled_s = now, self.loop.time()
             await asyncio.sleep(0.25)
@@ -229,7 +269,9 @@
         key = self.settings.operatorKey
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
             return BAD_OPERATOR
-        told = {"/v1/status": self.status, "/v1/counters": self.counters}.get(exchange.path.rstrip("/"))
+        told = {"/v1/status": self.status, "/v1/counters": self.counters}.get(
+            exchange.path.rstrip("/")
+        )
         return NOT_FOUND if told is None else await exchange.give(200, told())
 
     async def refuse(self, exchange, fault, request):
@@ -245,13 +287,41 @@
     def status(self):
         """What doctor and operators want to know of this process."""
         view = self.chart.view
-        return {"name": self.me.name, "role": "router", "zone": self.me.zone, "stopping": self.stopping, "ready": self.is_ready(),
-                "view": {"number": view.number, "members": [ref.addr for ref in view.members],
-                         "voters": [ref.addr for ref in view.voters]},
-                "version": self.licence.held.version if self.licence.held else 0, "licence": self.licence.isHeld(),
-                "list": {"ageMs": self.listing.age_ms(), "fresh": self.listing.age_ms() <= self.settings.listOldMs, "workers": []},
-                "workers": {each.name: {"service": each.listed.service, "weights": each.weights, "running": each.running,
-                                        "shunned": each.shunned_until_s > self.loop.time()} for each in self.roster.workers.values()},
-                "books": self.admission.books.status(), "keeps": [], "clockMs": self.clockMs(), "shared": self.settings.shared(),
-                "tasks": self.taskCount(), "open": self.open, "running": sum(each.running for each in self.roster.workers.values()),
-                "neighbours": self.neighbours(), "seeds": self.membership.seeds, "counters": self.counters()}
+        return {
+            "name": self.me.name,
+            "role": "router",
+            "zone": self.me.zone,
+            "stopping": self.stopping,
+            "ready": self.is_ready(),
+            "view": {
+                "number": view.number,
+                "members": [ref.addr for ref in view.members],
+                "voters": [ref.addr for ref in view.voters],
+            },
+            "version": self.licence.held.version if self.licence.held else 0,
+            "licence": self.licence.isHeld(),
+            "list": {
+                "ageMs": self.listing.age_ms(),
+                "fresh": self.listing.age_ms() <= self.settings.listOldMs,
+                "workers": [],
+            },
+            "workers": {
+                each.name: {
+                    "service": each.listed.service,
+                    "weights": each.weights,
+                    "running": each.running,
+                    "shunned": each.shunned_until_s > self.loop.time(),
+                }
+                for each in self.roster.workers.values()
+            },
+            "books": self.admission.books.status(),
+            "keeps": [],
+            "clockMs": self.clockMs(),
+            "shared": self.settings.shared(),
+            "tasks": self.taskCount(),
+            "open": self.open,
+            "running": sum(each.running for each in self.roster.workers.values()),
+            "neighbours": self.neighbours(),
+            "seeds": self.membership.seeds,
+            "counters": self.counters(),
+        }
--- a/swiftdeck/gateway/health.py
+++ b/swiftdeck/gateway/health.py
@@ -1,4 +1,5 @@
 """Judges workers by what happens to the calls that they are sent."""
+
 import asyncio
 
 SHUN_S, SHUN_MOST_S = 0.6, 4.0
@@ -44,5 +45,8 @@
         good = [each for each in workers if each.shunned_until_s <= now_s]
         if 2 * len(good) >= len(workers):
             return good
-        rest = sorted((each for each in workers if each.shunned_until_s > now_s), key=lambda each: each.shunned_until_s)
-        return good + rest[:(len(workers) + 1) // 2 - len(good)]
+        rest = sorted(
+            (each for each in workers if each.shunned_until_s > now_s),
+            key=lambda each: each.shunned_until_s,
+        )
+        return good + rest[: (len(workers) + 1) // 2 - len(good)]
--- a/swiftdeck/gateway/kept.py
+++ b/swiftdeck/gateway/kept.py
@@ -22,7 +22,9 @@
         """Forget expectations that were not met in time."""
         self.down = {holder: until_s for holder, until_s in self.down.items() if until_s > now_s}
         for key, held in list(self.expected.items()):
-            self.expected[key] = {holder: until_s for holder, until_s in held.items() if until_s > now_s}
+            self.expected[key] = {
+                holder: until_s for holder, until_s in held.items() if until_s > now_s
+            }
             if not self.expected[key]:
                 del self.expected[key]
 
@@ -61,5 +63,9 @@
 
     def holders(self, salt: str, parts):
         """Holders of any of the first parts, those that keep most of them first."""
-        names = set().union(*(self.parts.get((salt, part.name), {}) for part in parts)) if parts else set()
+        names = (
+            set().union(*(self.parts.get((salt, part.name), {}) for part in parts))
+            if parts
+            else set()
+        )
         return sorted(names, key=lambda name: (-self.tokens(name, salt, parts), name))
--- a/swiftdeck/gateway/ledger.py
+++ b/swiftdeck/gateway/ledger.py
@@ -1,4 +1,5 @@
 """The ledger of a request's attempts, from which its next move is derived."""
+
 import enum
 
 import attrs
@@ -53,7 +54,11 @@
         if not ran:
             return fault
         known = ran[-1].fault
-        return known if known is not None and not known.notRun else WORKER_LOST.because(fault.reason or fault.name)
+        return (
+            known
+            if known is not None and not known.notRun
+            else WORKER_LOST.because(fault.reason or fault.name)
+        )
 
 
 def next_move(ledger: Ledger, now_s: float):
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -1,4 +1,5 @@
 """The list of workers: one router reads it and passes it on; others read it when nothing comes."""
+
 import asyncio
 import hashlib
 
@@ -12,8 +13,17 @@
 class Listing:
     """Keeps the roster by the newest reading, its own or another's, with the time at which that was asked for."""
 
-    def __init__(self, me, mesh, membership, source, roster, board, every_ms=600, rank_ms=350, reads=True):
-        self.me, self.mesh, self.membership, self.source, self.roster, self.board = me, mesh, membership, source, roster, board
+    def __init__(
+        self, me, mesh, membership, source, roster, board, every_ms=600, rank_ms=350, reads=True
+    ):
+        self.me, self.mesh, self.membership, self.source, self.roster, self.board = (
+            me,
+            mesh,
+            membership,
+            source,
+            roster,
+            board,
+        )
         self.every_ms, self.rank_ms, self.reads = every_ms, rank_ms, reads
         self.read_s, self.digest, self.body = -1e9, b"", b""
         mesh.on(ListNews, self.on_news)
@@ -29,7 +39,12 @@
         return int((self.loop.time() - self.read_s) * 1000)
 
     def _rank(self):
-        routers = sorted([self.me.addr, *(each.addr for each in self.membership.alive(self.me.role) if not each.state)])
+        routers = sorted(
+            [
+                self.me.addr,
+                *(each.addr for each in self.membership.alive(self.me.role) if not each.state),
+            ]
+        )
         return routers.index(self.me.addr)
 
     def _due_ms(self):
@@ -58,7 +73,14 @@
         age_ms = int((self.loop.time() - asked_s) * 1000)
         for each in self.membership.alive():
             if not each.state:
-                self.mesh.tell(each.addr, ListNews(age_ms=age_ms, digest=self.digest, body=self.body if self.is_fresh_body else b""))
+                self.mesh.tell(
+                    each.addr,
+                    ListNews(
+                        age_ms=age_ms,
+                        digest=self.digest,
+                        body=self.body if self.is_fresh_body else b"",
+                    ),
+                )
 
     is_fresh_body = True
 
@@ -82,4 +104,6 @@
 
     def on_wish(self, wish, sender):
         if self.body and wish.digest != self.digest:
-            self.mesh.tell(sender, ListNews(age_ms=self.age_ms(), digest=self.digest, body=self.body))
+            self.mesh.tell(
+                sender, ListNews(age_ms=self.age_ms(), digest=self.digest, body=self.body)
+            )
--- a/swiftdeck/gateway/passage.py
+++ b/swiftdeck/gateway/passage.py
@@ -1,11 +1,24 @@
 """One request on its way through a gateway: a ledger of attempts from which the next move is derived."""
+
 import asyncio
 import re
 
 import h11
 
-from swiftdeck.fault import (BAD_RETURN, BUDGET_SPENT, DEADLINE_PASSED, NO_ROOM, NO_WORKER, STREAM_BROKEN,
-                             UNREACHED, WORKER_BAD, WORKER_FULL, WORKER_HANGS, WORKER_LOST, isFault)
+from swiftdeck.fault import (
+    BAD_RETURN,
+    BUDGET_SPENT,
+    DEADLINE_PASSED,
+    NO_ROOM,
+    NO_WORKER,
+    STREAM_BROKEN,
+    UNREACHED,
+    WORKER_BAD,
+    WORKER_FULL,
+    WORKER_HANGS,
+    WORKER_LOST,
+    isFault,
+)
 from swiftdeck.gateway.ledger import Attempt, Ledger, Move, next_move
 from swiftdeck.gateway.places import Wish
 from swiftdeck.gateway.seams import PROMISES, Errand, Verdict
@@ -19,14 +32,26 @@
     """Drives one request to its final answer."""
 
     def __init__(self, gateway, exchange, request, route, tenant, start_s):
-        self.gateway, self.exchange, self.request, self.route, self.tenant = gateway, exchange, request, route, tenant
+        self.gateway, self.exchange, self.request, self.route, self.tenant = (
+            gateway,
+            exchange,
+            request,
+            route,
+            tenant,
+        )
         self.loop, self.start_s = asyncio.get_running_loop(), start_s
         path = route.path
         self.service = route.service(gateway.random.random())
         left_s = min(request.time_left_ms, path.timeout_ms) / 1000
-        self.ledger = Ledger(path.repeatable, path.resumable, path.tries, start_s + left_s - MARGIN_S)
+        self.ledger = Ledger(
+            path.repeatable, path.resumable, path.tries, start_s + left_s - MARGIN_S
+        )
         self.avoid, self.link, self.place, self.worker = set(), None, None, None
-        self.last_event, self.rest, self.is_long = request.last_event, b"", gateway.placing.is_long(request)
+        self.last_event, self.rest, self.is_long = (
+            request.last_event,
+            b"",
+            gateway.placing.is_long(request),
+        )
         self.aim_s = (path.target_ms or 1000) / 1000
         self.salt = self.version = ""
 
@@ -73,7 +98,9 @@
     async def _admitted(self, attempt):
         gateway, request = self.gateway, self.request
         workers = gateway.eligible(self.service, request.model)
-        fresh = [each for each in workers if each.name not in self.avoid] or (workers if self.ledger.repeatable else [])
+        fresh = [each for each in workers if each.name not in self.avoid] or (
+            workers if self.ledger.repeatable else []
+        )
         salts = {each.name: gateway.salt(request.model, each, self.tenant) for each in fresh}
         order = gateway.placing.order(request, fresh, salts, gateway.roster.serving(self.service))
         if not order:
@@ -82,11 +109,23 @@
         if not self.is_long:
             roomy = [each for each in order if each.running < each.listed.slots] or order[:1]
             return roomy[0]
-        for worker, wait_share in [(order[0], 0.3), *((each, 0.0) for each in order[1:ASKED_MOST]), (order[0], 1.0)]:
-            wait_s = max(0.0, (self.start_s + WAIT_SHARE * self.aim_s - self.loop.time()) * wait_share)
-            wish = Wish(request.name, f"{self.tenant}/{request.parts[-1].name if request.parts else request.name}",
-                        self.tenant, worker.name, request.prompt_tokens, self.ledger.deadline_s,
-                        sum(gateway.placing.missing(request, worker, salts[worker.name])))
+        for worker, wait_share in [
+            (order[0], 0.3),
+            *((each, 0.0) for each in order[1:ASKED_MOST]),
+            (order[0], 1.0),
+        ]:
+            wait_s = max(
+                0.0, (self.start_s + WAIT_SHARE * self.aim_s - self.loop.time()) * wait_share
+            )
+            wish = Wish(
+                request.name,
+                f"{self.tenant}/{request.parts[-1].name if request.parts else request.name}",
+                self.tenant,
+                worker.name,
+                request.prompt_tokens,
+                self.ledger.deadline_s,
+                sum(gateway.placing.missing(request, worker, salts[worker.name])),
+            )
             if await gateway.admission.ask(wish, int(wait_s * 1000), request, salts[worker.name]):
                 self.place = wish
                 return worker
@@ -117,8 +156,12 @@
         if self.loop.time() >= self.ledger.deadline_s:
             return DEADLINE_PASSED
         errand = self._errand(worker)
-        fault = self.link.send_request(self.request.method, self.request.target,
-                                       gateway.workers_speak.head(self.request, errand), self.request.body)
+        fault = self.link.send_request(
+            self.request.method,
+            self.request.target,
+            gateway.workers_speak.head(self.request, errand),
+            self.request.body,
+        )
         if fault is not None:
             return fault
         attempt.was_sent, sent_s = True, self.loop.time()
@@ -141,7 +184,10 @@
         try:
             until_s = sent_s + max(0.15, 0.7 * self.aim_s)
             while True:
-                await asyncio.wait([reading], timeout=max(0.001, min(until_s, self.ledger.deadline_s) - self.loop.time()))
+                await asyncio.wait(
+                    [reading],
+                    timeout=max(0.001, min(until_s, self.ledger.deadline_s) - self.loop.time()),
+                )
                 if reading.done():
                     return reading.result()
                 if self.loop.time() >= self.ledger.deadline_s:
@@ -156,9 +202,17 @@
     def _may_move(self, worker):
         """Whether a further attempt could be made at another worker."""
         ledger, gateway = self.ledger, self.gateway
-        return (ledger.repeatable and len(ledger.sent()) < ledger.tries and gateway.budget.has(self.service)
-                and any(each is not worker and each.name not in self.avoid and each.answered_s > self.loop.time() - 1.0
-                        for each in gateway.eligible(self.service, self.request.model)))
+        return (
+            ledger.repeatable
+            and len(ledger.sent()) < ledger.tries
+            and gateway.budget.has(self.service)
+            and any(
+                each is not worker
+                and each.name not in self.avoid
+                and each.answered_s > self.loop.time() - 1.0
+                for each in gateway.eligible(self.service, self.request.model)
+            )
+        )
 
     def _errand(self, worker):
         gateway, request = self.gateway, self.request
@@ -168,8 +222,17 @@
         source = gateway.placing.source(request, worker, self.salt, gateway.roster, store)
         target = gateway.placing.target(request, self.salt, store)
         gateway.board.count["fetches"] += bool(source)
-        return Errand(worker.name, self.tenant, max(1, int(self._left_s() * 1000)), gateway.urgency(self.route, self.tenant, self.is_long),
-                      str(version) if version else "", self.salt, source, target, self.last_event)
+        return Errand(
+            worker.name,
+            self.tenant,
+            max(1, int(self._left_s() * 1000)),
+            gateway.urgency(self.route, self.tenant, self.is_long),
+            str(version) if version else "",
+            self.salt,
+            source,
+            target,
+            self.last_event,
+        )
 
     async def _head(self):
         """The head of the answer that is due; what belongs to an earlier request is passed over."""
@@ -180,7 +243,9 @@
             if not isinstance(event, h11.Response):
                 return WORKER_BAD.because("no head where one was due")
             headers = list(event.headers.raw_items())
-            self.verdict = self.gateway.workers_speak.verdict(self.request, event.status_code, headers)
+            self.verdict = self.gateway.workers_speak.verdict(
+                self.request, event.status_code, headers
+            )
             if self.verdict is not Verdict.FOREIGN:
                 return event.status_code, headers
             self.gateway.board.count["surplusAnswers"] += 1
@@ -208,7 +273,12 @@
             return WORKER_BAD.because(f"status {status} without a seal")
         if self.verdict is Verdict.FAILURE:
             gateway.judge.failed(worker, False)
-            if self.ledger.repeatable and len(self.ledger.sent()) < self.ledger.tries or self.ledger.has_begun or status in PROMISES:
+            if (
+                self.ledger.repeatable
+                and len(self.ledger.sent()) < self.ledger.tries
+                or self.ledger.has_begun
+                or status in PROMISES
+            ):
                 return WORKER_LOST.because(f"status {status}")
         if self.ledger.has_begun and not 200 <= status < 300:
             return WORKER_LOST.because(f"status {status} where a stream was to be taken up")
@@ -227,7 +297,9 @@
     async def _relay(self, attempt, worker, status, headers, sent_s):
         """Pass an answer on as it comes; complete events only where the stream could be taken up elsewhere."""
         self.rest, is_first, is_stream = b"", True, self.ledger.resumable and 200 <= status < 300
-        framed = any(name.lower() in (b"content-length", b"transfer-encoding") for name, _ in headers)
+        framed = any(
+            name.lower() in (b"content-length", b"transfer-encoding") for name, _ in headers
+        )
         if not self.ledger.has_begun:
             self.exchange.begin(status, self.gateway.workers_speak.passed_on(headers))
             self.ledger.has_begun = True
@@ -250,7 +322,9 @@
             if is_first:
                 is_first = False
                 if 200 <= status < 300:
-                    self.gateway.judge.answered(worker, None if self.is_long else (self.loop.time() - sent_s) * 1000)
+                    self.gateway.judge.answered(
+                        worker, None if self.is_long else (self.loop.time() - sent_s) * 1000
+                    )
             await self._piece(bytes(event.data), is_stream, worker)
         attempt.is_whole = True
         self.gateway.seen(self.request, worker, self.salt, self.is_long and 200 <= status < 300)
--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -1,4 +1,5 @@
 """The admission books of the workers that this router owns: who is open where, who waits."""
+
 import asyncio
 
 import attrs
@@ -80,7 +81,9 @@
         return await self._wait(book, wish, wait_ms)
 
     async def _wait(self, book, wish, wait_ms):
-        waiting = Waiting(wish.tenant, wish, asyncio.get_running_loop().create_future(), self._now())
+        waiting = Waiting(
+            wish.tenant, wish, asyncio.get_running_loop().create_future(), self._now()
+        )
         book.line.add(waiting)
         self.waiting[wish.call] = waiting
         self.board.count["waits"] += 1
@@ -102,7 +105,9 @@
 
     def _run(self, book, episode, wish):
         episode.running[wish.call] = wish.deadline_s
-        self.sizes[(book.worker, episode.name)] = max(wish.tokens, self.sizes.get((book.worker, episode.name), 0))
+        self.sizes[(book.worker, episode.name)] = max(
+            wish.tokens, self.sizes.get((book.worker, episode.name), 0)
+        )
         episode.turns += 1
         self.calls[wish.call] = (book.worker, episode.name)
         self.unread[book.worker] = (self._unread(book) + wish.missing, self._now())
@@ -114,7 +119,11 @@
         return max(0.0, tokens - (self._now() - since_s) * 1000 * TOKENS_PER_MS)
 
     def _tell_load(self, book):
-        self.on_load(book.worker, self._unread(book), sum(worker == book.worker for worker, _ in self.calls.values()))
+        self.on_load(
+            book.worker,
+            self._unread(book),
+            sum(worker == book.worker for worker, _ in self.calls.values()),
+        )
 
     def ended(self, call: str, is_kept: bool = True):
         """A call is over; its episode stays open for a short pause, as its next call may come.
@@ -144,7 +153,9 @@
     def _reclaim(self, book):
         now_s = self._now()
         for episode in list(book.open.values()):
-            for call in [call for call, until_s in episode.running.items() if until_s + GRACE_S < now_s]:
+            for call in [
+                call for call, until_s in episode.running.items() if until_s + GRACE_S < now_s
+            ]:
                 del episode.running[call]
                 self.calls.pop(call, None)
                 self.board.count["placesReclaimed"] += 1
@@ -180,7 +191,10 @@
 
     def status(self):
         """The books in their outward form."""
-        return {name: {"open": len(book.open), "cap": book.cap, "line": len(book.line)} for name, book in sorted(self.books.items())}
+        return {
+            name: {"open": len(book.open), "cap": book.cap, "line": len(book.line)}
+            for name, book in sorted(self.books.items())
+        }
 
 
 class Owners:
--- a/swiftdeck/gateway/placing.py
+++ b/swiftdeck/gateway/placing.py
@@ -1,4 +1,5 @@
 """Which worker takes a call: by what it keeps for a long prompt, by load for a short one; and where a prefix comes from."""
+
 import asyncio
 import hashlib
 
@@ -24,8 +25,14 @@
         """
         names = tuple(sorted(each.name for each in workers))
         if names not in self.lanes:
-            ranked = sorted(names, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
-            self._remember(self.lanes, names, frozenset(ranked[:-(-len(names) // LANE_SHARE)] if len(names) > 2 else names))
+            ranked = sorted(
+                names, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest()
+            )
+            self._remember(
+                self.lanes,
+                names,
+                frozenset(ranked[: -(-len(names) // LANE_SHARE)] if len(names) > 2 else names),
+            )
         return self.lanes[names]
 
     @staticmethod
@@ -47,29 +54,55 @@
     def load(self, worker):
         """How busy a worker looks from here, in calls."""
         unread = worker.unread(asyncio.get_running_loop().time(), self.tokens_per_ms)
-        return (worker.running + unread / 3000 + min(10.0, worker.first_event_ms / 100)
-                + (0 if worker.listed.zone == self.zone else 0.6) + (2 if worker.listed.warmup_ms else 0))
+        return (
+            worker.running
+            + unread / 3000
+            + min(10.0, worker.first_event_ms / 100)
+            + (0 if worker.listed.zone == self.zone else 0.6)
+            + (2 if worker.listed.warmup_ms else 0)
+        )
 
     def order(self, request, workers, salts, serving):
         """Workers in the order in which a call would take them; lanes go by all that serve, whoever is fit now."""
         good = self.judge.good(workers)
         if not self.is_long(request):
             lane = self.short_lane(serving)
-            return sorted(good, key=lambda each: self.load(each) + self.random.random() * 0.3 + OTHER_LANE * (each.name not in lane))
-        return self._by_prefix(request, good, salts, self.short_lane(serving) if len(serving) > 2 else ())
+            return sorted(
+                good,
+                key=lambda each: (
+                    self.load(each)
+                    + self.random.random() * 0.3
+                    + OTHER_LANE * (each.name not in lane)
+                ),
+            )
+        return self._by_prefix(
+            request, good, salts, self.short_lane(serving) if len(serving) > 2 else ()
+        )
 
     def _by_prefix(self, request, workers, salts, lane):
         shared = request.shared() or request.parts
-        ring = self._ring(sorted(each.name for each in workers if each.name not in lane) or sorted(each.name for each in workers))
-        key = hashlib.blake2b("/".join(part.name for part in shared[:1]).encode(), digest_size=16).digest()
+        ring = self._ring(
+            sorted(each.name for each in workers if each.name not in lane)
+            or sorted(each.name for each in workers)
+        )
+        key = hashlib.blake2b(
+            "/".join(part.name for part in shared[:1]).encode(), digest_size=16
+        ).digest()
         places = {name: at for at, name in enumerate(ring.walk(key))}
         now_s = asyncio.get_running_loop().time()
 
         def cost(worker):
             """Tokens to be read there before this prompt's first token, as far as is known here."""
             own, again, moved = self.missing(request, worker, salts[worker.name])
-            return (worker.unread(now_s, self.tokens_per_ms) + own + again * AGAIN + moved * MOVED
-                    + min(places.get(worker.name, 2), 3) * PLACE_TOKENS + (OTHER_LANE_TOKENS if worker.name in lane else 0))
+            return (
+                worker.unread(now_s, self.tokens_per_ms)
+                + own
+                + again * AGAIN
+                + moved * MOVED
+                + min(places.get(worker.name, 2), 3) * PLACE_TOKENS
+                + (OTHER_LANE_TOKENS if worker.name in lane else 0)
+            )
+
         return sorted(workers, key=cost)
 
     def missing(self, request, worker, salt):
@@ -77,7 +110,10 @@
         shared = request.shared()
         size = sum(part.tokens for part in shared)
         lacks = size - self.kept.tokens(worker.name, salt, shared, True)
-        elsewhere = max((self.kept.tokens(name, salt, shared) for name in self.kept.holders(salt, shared)), default=0)
+        elsewhere = max(
+            (self.kept.tokens(name, salt, shared) for name in self.kept.holders(salt, shared)),
+            default=0,
+        )
         moved = min(lacks, max(0, elsewhere - (size - lacks)))
         return max(0, request.prompt_tokens - size), lacks - moved, moved
 
@@ -95,7 +131,13 @@
             held = self.kept.tokens(name, salt, shared)
             peer = roster.workers.get(name)
             is_up = peer is not None and peer.shunned_until_s <= asyncio.get_running_loop().time()
-            addr = peer.listed.addr if is_up and name != worker.name else store if name == store else ""
+            addr = (
+                peer.listed.addr
+                if is_up and name != worker.name
+                else store
+                if name == store
+                else ""
+            )
             is_near = peer is not None and peer.listed.zone == worker.listed.zone
             if addr and (held > most or held == most and is_near):
                 best, most = addr, held
@@ -104,7 +146,14 @@
     def target(self, request, salt, store):
         """The store, where it isn't known to keep the shared parts yet."""
         shared = request.shared()
-        if not store or self.kept.is_down(store, asyncio.get_running_loop().time()) or not shared or not self.is_long(request):
+        if (
+            not store
+            or self.kept.is_down(store, asyncio.get_running_loop().time())
+            or not shared
+            or not self.is_long(request)
+        ):
             return ""
-        is_there = self.kept.tokens(store, salt, shared) >= 0.9 * sum(part.tokens for part in shared)
+        is_there = self.kept.tokens(store, salt, shared) >= 0.9 * sum(
+            part.tokens for part in shared
+        )
         return "" if is_there else store
--- a/swiftdeck/gateway/pool.py
+++ b/swiftdeck/gateway/pool.py
@@ -1,4 +1,5 @@
 """Kept connections to workers, within what each worker accepts over all routers."""
+
 import asyncio
 import re
 
@@ -17,7 +18,13 @@
     def __init__(self, pool, addr):
         super().__init__()
         self.pool, self.worker_addr = pool, addr
-        self.is_busy, self.is_reused, self.idle_since_s, self.keep_s, self.must_close = True, False, 0.0, KEEP_S, False
+        self.is_busy, self.is_reused, self.idle_since_s, self.keep_s, self.must_close = (
+            True,
+            False,
+            0.0,
+            KEEP_S,
+            False,
+        )
         self.asked = None
 
     def data_received(self, data):
@@ -63,7 +70,9 @@
         rest, _ = self.conn.trailing_data
         self.conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
         self.conn.send(self.asked)
-        self.conn.send(h11.EndOfMessage() if not self._body() else h11.Data(data=bytes(self._body())))
+        self.conn.send(
+            h11.EndOfMessage() if not self._body() else h11.Data(data=bytes(self._body()))
+        )
         if self._body():
             self.conn.send(h11.EndOfMessage())
         if rest:
@@ -71,12 +80,19 @@
         return None
 
     def _body(self):
-        return next((int(value) for name, value in self.asked.headers if name == b"content-length"), 0)
+        return next(
+            (int(value) for name, value in self.asked.headers if name == b"content-length"), 0
+        )
 
     def is_clean(self):
         """Whether another request may follow: both sides are done and nothing is left over."""
-        return (not self.gone and not self.must_close and self.conn.our_state is h11.DONE
-                and self.conn.their_state is h11.DONE and not self.conn.trailing_data[0])
+        return (
+            not self.gone
+            and not self.must_close
+            and self.conn.our_state is h11.DONE
+            and self.conn.their_state is h11.DONE
+            and not self.conn.trailing_data[0]
+        )
 
 
 class Pool:
@@ -92,7 +108,12 @@
         kept = self.idle.get((worker.name, addr), [])
         while kept:
             link = kept.pop()
-            if reuse and not link.gone and not link.transport.is_closing() and now_s - link.idle_since_s < link.keep_s - SPARE_S:
+            if (
+                reuse
+                and not link.gone
+                and not link.transport.is_closing()
+                and now_s - link.idle_since_s < link.keep_s - SPARE_S
+            ):
                 link.is_busy = link.is_reused = True
                 return link
             link.close()
--- a/swiftdeck/gateway/roster.py
+++ b/swiftdeck/gateway/roster.py
@@ -1,4 +1,5 @@
 """The workers that a process knows: what the list says, and what was heard of each since."""
+
 import attrs
 
 from swiftdeck.gateway.seams import Listed
--- a/swiftdeck/gateway/routes.py
+++ b/swiftdeck/gateway/routes.py
@@ -1,4 +1,5 @@
 """Routes by host and longest path prefix, compiled from a configuration."""
+
 import attrs
 
 
--- a/swiftdeck/gateway/seams.py
+++ b/swiftdeck/gateway/seams.py
@@ -1,4 +1,5 @@
 """What the gateway asks of the manner of speaking of callers, workers, the list and the caches."""
+
 import enum
 import typing
 
--- a/swiftdeck/gateway/share.py
+++ b/swiftdeck/gateway/share.py
@@ -1,4 +1,5 @@
 """This router's share of the one budget of further tries."""
+
 import asyncio
 
 from swiftdeck.traffic.budget import Budget
@@ -14,12 +15,20 @@
     """
 
     def __init__(self, routers, ratio, extra, window_s, at_least=lambda: 1):
-        self.routers, self.ratio, self.extra, self.window_s, self.at_least = routers, ratio, extra, window_s, at_least
+        self.routers, self.ratio, self.extra, self.window_s, self.at_least = (
+            routers,
+            ratio,
+            extra,
+            window_s,
+            at_least,
+        )
         self.most, self.budgets = 1, {}
 
     def _of(self, service):
         if service not in self.budgets:
-            self.budgets[service] = Budget(self.ratio * SAFE, self.window_s, startS=asyncio.get_running_loop().time())
+            self.budgets[service] = Budget(
+                self.ratio * SAFE, self.window_s, startS=asyncio.get_running_loop().time()
+            )
         return self.budgets[service]
 
     def _allowance(self):
--- a/swiftdeck/gateway/swap.py
+++ b/swiftdeck/gateway/swap.py
@@ -1,4 +1,5 @@
 """New weights cross the fleet: the chain's head orders workers onto them, a few at a time."""
+
 import asyncio
 
 from swiftdeck.control.core import Core
@@ -18,7 +19,9 @@
     def __init__(self, settings, folder, random, log, lists, orders):
         super().__init__(settings, folder, random, log)
         self.roster = Roster()
-        self.listing = Listing(self.me, self.mesh, self.membership, lists, self.roster, self.board, 2000)
+        self.listing = Listing(
+            self.me, self.mesh, self.membership, lists, self.roster, self.board, 2000
+        )
         self.swaps = Swaps(self, orders)
 
     async def start(self):
@@ -97,14 +100,24 @@
                     self._order_some(model, int(entry.weights))
 
     def _order_some(self, model, version):
-        behind = [each for each in self.core.roster.workers.values()
-                  if not each.listed.draining and 0 < each.knows(model) < version and each.name not in self.busy]
+        behind = [
+            each
+            for each in self.core.roster.workers.values()
+            if not each.listed.draining
+            and 0 < each.knows(model) < version
+            and each.name not in self.busy
+        ]
         behind.sort(key=lambda each: self.tried_s.get(each.name, -1e9))
-        self.tried_s = {name: at for name, at in self.tried_s.items() if name in self.core.roster.workers}
+        self.tried_s = {
+            name: at for name, at in self.tried_s.items() if name in self.core.roster.workers
+        }
         free = self._at_once(model) - sum(1 for each in self.busy.values() if each[0] == model)
-        for worker in behind[:max(0, free)]:
+        for worker in behind[: max(0, free)]:
             self.tried_s[worker.name] = self.loop.time()
-            self.busy[worker.name] = (model, asyncio.ensure_future(self._swap(worker, model, version)))
+            self.busy[worker.name] = (
+                model,
+                asyncio.ensure_future(self._swap(worker, model, version)),
+            )
 
     def _tell(self, worker, model, version, for_ms):
         news = SwapNews(workers=[worker.name], model=model, version=version, for_ms=for_ms)
@@ -119,7 +132,9 @@
             fence = self.fence()
             if not fence:
                 return
-            got = await self.orders.order(worker.listed.addr, model, version, self.core.me.name, fence)
+            got = await self.orders.order(
+                worker.listed.addr, model, version, self.core.me.name, fence
+            )
             count["ordersSent"] += 1
             if isFault(got):
                 count["ordersUnanswered"] += 1
--- a/swiftdeck/http/client.py
+++ b/swiftdeck/http/client.py
@@ -1,4 +1,5 @@
 """HTTP/1.1 towards workers, store and platform, as an asyncio protocol over h11."""
+
 import asyncio
 
 import h11
@@ -110,7 +111,9 @@
 
     def __init__(self, link, head):
         self.link, self.status = link, head.status_code
-        self.headers = {name.decode("ascii"): value.decode("latin-1") for name, value in head.headers}
+        self.headers = {
+            name.decode("ascii"): value.decode("latin-1") for name, value in head.headers
+        }
         self.fault = None
 
     async def pieces(self):
@@ -172,7 +175,11 @@
             if isFault(got):
                 return got
             whole = await got.whole()
-            return whole if isFault(whole) else (got.status, msgspec.json.decode(whole) if whole else None)
+            return (
+                whole
+                if isFault(whole)
+                else (got.status, msgspec.json.decode(whole) if whole else None)
+            )
     except TimeoutError:
         return TIMED_OUT.because(f"{method} {path} at {addr}")
     except (msgspec.DecodeError, ValueError) as error:
--- a/swiftdeck/http/kept.py
+++ b/swiftdeck/http/kept.py
@@ -1,4 +1,5 @@
 """JSON over one connection that is kept from one exchange to the next."""
+
 import asyncio
 
 import h11
@@ -23,7 +24,11 @@
             got = TIMED_OUT.because(f"{method} {path} at {self.addr}")
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
             got = BAD_RETURN.because(str(error))
-        if isFault(got) or self.link.conn.our_state is not h11.DONE or self.link.conn.their_state is not h11.DONE:
+        if (
+            isFault(got)
+            or self.link.conn.our_state is not h11.DONE
+            or self.link.conn.their_state is not h11.DONE
+        ):
             self.close()
         return got
 
@@ -39,7 +44,9 @@
         if isFault(got):
             return got
         whole = await got.whole()
-        return whole if isFault(whole) else (got.status, msgspec.json.decode(whole) if whole else None)
+        return (
+            whole if isFault(whole) else (got.status, msgspec.json.decode(whole) if whole else None)
+        )
 
     def close(self):
         """Drop the connection."""
--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -1,4 +1,5 @@
 """HTTP/1.1 towards callers and operators, as an asyncio protocol over h11."""
+
 import asyncio
 from collections import Counter
 from urllib.parse import parse_qsl, unquote, urlsplit
@@ -16,12 +17,18 @@
 
     def __init__(self, conversation, request, body):
         self.conversation = conversation
-        self.target, self.raw_method, self.raw_headers = request.target, request.method, request.headers.raw_items()
+        self.target, self.raw_method, self.raw_headers = (
+            request.target,
+            request.method,
+            request.headers.raw_items(),
+        )
         self.method = request.method.decode("ascii")
         target = urlsplit(request.target.decode("ascii"))
         self.path = unquote(target.path)
         self.query = dict(parse_qsl(target.query))
-        self.headers = {name.decode("ascii"): value.decode("latin-1") for name, value in request.headers}
+        self.headers = {
+            name.decode("ascii"): value.decode("latin-1") for name, value in request.headers
+        }
         self.body = body
         self.begun = self.finished = False
         self.feed = None
@@ -51,7 +58,10 @@
         if self.begun:
             return
         data = msgspec.json.encode(body) + b"\n"
-        self.begin(status, [("content-type", "application/json"), ("content-length", str(len(data))), *headers])
+        self.begin(
+            status,
+            [("content-type", "application/json"), ("content-length", str(len(data))), *headers],
+        )
         await self.piece(data)
         self.finish()
 
@@ -126,7 +136,12 @@
         if self.request is None and self.task is None and not self.conn.trailing_data[0]:
             self.rest(self.server.slowMs)
         self.take(data)
-        if self.feed and self.feed.qsize() > 64 or self.task and len(self.conn.trailing_data[0]) > HEAD_LIMIT:
+        if (
+            self.feed
+            and self.feed.qsize() > 64
+            or self.task
+            and len(self.conn.trailing_data[0]) > HEAD_LIMIT
+        ):
             self.transport.pause_reading()
 
     def take(self, data):
@@ -149,7 +164,10 @@
                     self.feed = None
                 else:
                     return
-            elif isinstance(event, h11.Request) and event.target.partition(b"?")[0] in self.server.streams:
+            elif (
+                isinstance(event, h11.Request)
+                and event.target.partition(b"?")[0] in self.server.streams
+            ):
                 self.wakeup.cancel()
                 self.feed = asyncio.Queue()
                 self.task = self.loop.create_task(self.serve(event, b"", self.feed))
@@ -160,7 +178,9 @@
             elif isinstance(event, h11.Data):
                 self.bodySize += len(event.data)
                 if self.bodySize > self.server.bodyLimit:
-                    return self.drop(TOO_LARGE.because(f"body is over {self.server.bodyLimit} bytes"))
+                    return self.drop(
+                        TOO_LARGE.because(f"body is over {self.server.bodyLimit} bytes")
+                    )
                 self.body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 self.wakeup.cancel()
@@ -202,7 +222,11 @@
         """Go on with the next request of the connection."""
         if self.gone or self.dropping:
             return
-        if self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE and not self.server.stopping:
+        if (
+            self.conn.our_state is h11.DONE
+            and self.conn.their_state is h11.DONE
+            and not self.server.stopping
+        ):
             self.conn.start_next_cycle()
             self.rest(self.server.idleMs)
             self.transport.resume_reading()
@@ -219,8 +243,16 @@
         self.server.count["faults.%d" % fault.code] += 1
         if self.conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             data = msgspec.json.encode(fault.asBody())
-            self.send(h11.Response(status_code=status if status and status >= 400 else fault.status, headers=[
-                ("content-type", "application/json"), ("content-length", str(len(data))), ("connection", "close")]))
+            self.send(
+                h11.Response(
+                    status_code=status if status and status >= 400 else fault.status,
+                    headers=[
+                        ("content-type", "application/json"),
+                        ("content-length", str(len(data))),
+                        ("connection", "close"),
+                    ],
+                )
+            )
             self.send(h11.Data(data=data))
             self.send(h11.EndOfMessage())
         self.transport.close()
@@ -274,8 +306,16 @@
 class HttpServer:
     """Listens for callers and hands each exchange to one handler."""
 
-    def __init__(self, handler, bodyLimit=4 << 20, idleMs=60000, slowMs=10000, slowWriteMs=20000,
-                 note=lambda *_, **__: None, streams=()):
+    def __init__(
+        self,
+        handler,
+        bodyLimit=4 << 20,
+        idleMs=60000,
+        slowMs=10000,
+        slowWriteMs=20000,
+        note=lambda *_, **__: None,
+        streams=(),
+    ):
         self.handler, self.bodyLimit, self.note, self.streams = handler, bodyLimit, note, streams
         self.idleMs, self.slowMs, self.slowWriteMs = idleMs, slowMs, slowWriteMs
         self.open, self.stopping, self.closing, self.server = {}, False, False, None
--- a/swiftdeck/member/membership.py
+++ b/swiftdeck/member/membership.py
@@ -1,4 +1,5 @@
 """Who is in the fleet: probes in turn, second opinions, suspicion before removal."""
+
 import asyncio
 
 import attrs
@@ -34,12 +35,18 @@
     def start(self):
         """Join and go on probing."""
         self.loop = asyncio.get_running_loop()
-        self.tasks = [asyncio.ensure_future(self._probing()), asyncio.ensure_future(self._seeking())]
+        self.tasks = [
+            asyncio.ensure_future(self._probing()),
+            asyncio.ensure_future(self._seeking()),
+        ]
 
     def alive(self, role=None):
         """Neighbours that are not gone."""
-        return [each.member for each in self.known.values()
-                if each.member.state != GONE and (role is None or each.member.role == role)]
+        return [
+            each.member
+            for each in self.known.values()
+            if each.member.state != GONE and (role is None or each.member.role == role)
+        ]
 
     def some(self, count, role=None):
         """A few neighbours at random."""
@@ -47,7 +54,9 @@
         return self.random.sample(found, min(count, len(found)))
 
     def _about(self):
-        fresh = sorted((each for each in self.known.values() if each.tells > 0), key=lambda each: -each.tells)[:6]
+        fresh = sorted(
+            (each for each in self.known.values() if each.tells > 0), key=lambda each: -each.tells
+        )[:6]
         for each in fresh:
             each.tells -= 1
         return [each.member for each in fresh]
@@ -61,8 +70,11 @@
                 self.me.refuted = member.refuted + 1
             return
         if isDirect:
-            for other in [each.member for each in self.known.values()
-                          if each.member.addr == member.addr and each.member.incarnation != member.incarnation]:
+            for other in [
+                each.member
+                for each in self.known.values()
+                if each.member.addr == member.addr and each.member.incarnation != member.incarnation
+            ]:
                 self._set(other, GONE)
         old = self.known.get(member.incarnation)
         if old is None:
@@ -100,11 +112,16 @@
         mine = self.known.get(probe.sender.incarnation)
         if mine and mine.member.state != ALIVE:
             about.append(mine.member)
-        self.mesh.cast(sender, ProbeReturn(sender=self.me, target=self.me.addr, serial=probe.serial, about=about))
+        self.mesh.cast(
+            sender,
+            ProbeReturn(sender=self.me, target=self.me.addr, serial=probe.serial, about=about),
+        )
 
     async def _secondOpinion(self, probe, sender):
         if await self._reach(probe.target, self.probeMs * 0.4):
-            self.mesh.cast(sender, ProbeReturn(sender=self.me, target=probe.target, serial=probe.serial))
+            self.mesh.cast(
+                sender, ProbeReturn(sender=self.me, target=probe.target, serial=probe.serial)
+            )
 
     def onProbeReturn(self, told, sender):
         self.learn(told.sender, True)
@@ -135,7 +152,11 @@
             del self.waiting[number]
 
     def _nominateNext(self):
-        self.turn = [each for each in self.turn if each in self.known and self.known[each].member.state != GONE]
+        self.turn = [
+            each
+            for each in self.turn
+            if each in self.known and self.known[each].member.state != GONE
+        ]
         if not self.turn:
             self.turn = [each.incarnation for each in self.alive()]
             self.random.shuffle(self.turn)
--- a/swiftdeck/member/news.py
+++ b/swiftdeck/member/news.py
@@ -1,4 +1,5 @@
 """News: pushed to a few others, gaps mended by comparing digests."""
+
 import asyncio
 
 from swiftdeck.fault import isFault
@@ -31,10 +32,16 @@
 
     def onDigest(self, digest, sender):
         theirs = dict(zip(digest.keys, digest.stamps))
-        return News(items=[item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)])
+        return News(
+            items=[item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)]
+        )
 
     def _take(self, items, sender=None):
-        fresh = [item for item in items if item.key not in self.items or item.stamp > self.items[item.key].stamp]
+        fresh = [
+            item
+            for item in items
+            if item.key not in self.items or item.stamp > self.items[item.key].stamp
+        ]
         for item in fresh:
             self.items[item.key] = item
             for prefix, watcher in self.watchers.items():
@@ -49,7 +56,11 @@
         while True:
             await asyncio.sleep(self.digestMs / 1000)
             for each in self.membership.some(1):
-                got = await self.mesh.ask(each.addr, NewsDigest(keys=list(self.items),
-                                                                 stamps=[item.stamp for item in self.items.values()]))
+                got = await self.mesh.ask(
+                    each.addr,
+                    NewsDigest(
+                        keys=list(self.items), stamps=[item.stamp for item in self.items.values()]
+                    ),
+                )
                 if isinstance(got, News) and not isFault(got):
                     self._take(got.items, each.addr)
--- a/swiftdeck/platform/caches.py
+++ b/swiftdeck/platform/caches.py
@@ -1,4 +1,5 @@
 """Reports of the platform's caches."""
+
 import msgspec
 
 from swiftdeck.fault import BAD_RETURN, isFault
@@ -37,12 +38,21 @@
 
     async def reports(self, since: int, wait_ms: int):
         """Reports since a number, or a fault."""
-        got = await self.kept.fetch("GET", f"{PATH}?since={since}", headers=[(WAIT, str(wait_ms))], timeout_ms=wait_ms + 500)
+        got = await self.kept.fetch(
+            "GET", f"{PATH}?since={since}", headers=[(WAIT, str(wait_ms))], timeout_ms=wait_ms + 500
+        )
         if isFault(got) or got[0] != 200:
             return got if isFault(got) else BAD_RETURN.because(f"reports say {got[0]}")
         try:
             told = msgspec.convert(got[1], Told)
         except msgspec.ValidationError as error:
             return BAD_RETURN.because(f"reports: {error}")
-        return Reports(told.epoch, told.next, told.lost,
-                       [Kept(number, salt, part, tokens, sign == "+") for number, sign, salt, part, tokens, _ in told.events])
+        return Reports(
+            told.epoch,
+            told.next,
+            told.lost,
+            [
+                Kept(number, salt, part, tokens, sign == "+")
+                for number, sign, salt, part, tokens, _ in told.events
+            ],
+        )
--- a/swiftdeck/platform/configs.py
+++ b/swiftdeck/platform/configs.py
@@ -1,11 +1,22 @@
 """The operator's configuration, between the platform's form and the tables of ours."""
+
 import hashlib
 from typing import Annotated, Literal
 
 import msgspec
 
-from swiftdeck.config.document import (EDITION, LIMITS, Backing, Limits, Name, Path, Service, Tenant, keyDigest,
-                                       told)
+from swiftdeck.config.document import (
+    EDITION,
+    LIMITS,
+    Backing,
+    Limits,
+    Name,
+    Path,
+    Service,
+    Tenant,
+    keyDigest,
+    told,
+)
 from swiftdeck.fault import INVALID, isFault
 
 TABLES = {"routes": "paths", "backends": "services", "customers": "tenants"}
@@ -48,11 +59,21 @@
         """The path of ours."""
         parts = self.traffic_split or [Share(self.backend, 1)]
         streaming = self.route_type == "streaming"
-        return Path(host=self.hostname.lower(), prefix=self.path_start,
-                    services=[Backing(part.backend, part.share) for part in parts], timeout_ms=self.timeout_ms,
-                    target_ms=self.target_ms, urgency=self.urgency, tries=self.tries, public=self.public,
-                    streaming=streaming, repeatable=self.route_type == "safe" or streaming and self.resumable,
-                    resumable=self.resumable, gap_ms=self.gap_target_ms or 0, told=item)
+        return Path(
+            host=self.hostname.lower(),
+            prefix=self.path_start,
+            services=[Backing(part.backend, part.share) for part in parts],
+            timeout_ms=self.timeout_ms,
+            target_ms=self.target_ms,
+            urgency=self.urgency,
+            tries=self.tries,
+            public=self.public,
+            streaming=streaming,
+            repeatable=self.route_type == "safe" or streaming and self.resumable,
+            resumable=self.resumable,
+            gap_ms=self.gap_target_ms or 0,
+            told=item,
+        )
 
 
 class ModelItem(msgspec.Struct):
@@ -89,12 +110,19 @@
     def entry(self, item):
         """The service of ours."""
         engine = self.engine or Engine()
-        return Service(models=self.models(), health_path=self.health_path, connections_most=self.max_conns,
-                       slots=engine.capacity, cache_tokens=engine.cache_tokens or self.cache_tokens,
-                       token_bytes=engine.token_bytes or self.token_bytes,
-                       network_mbps=engine.network_mbps or self.network_mbps,
-                       followers_most=engine.max_in_flight or self.max_in_flight, store_addr=self.cache_store,
-                       zone=self.zone, told=item)
+        return Service(
+            models=self.models(),
+            health_path=self.health_path,
+            connections_most=self.max_conns,
+            slots=engine.capacity,
+            cache_tokens=engine.cache_tokens or self.cache_tokens,
+            token_bytes=engine.token_bytes or self.token_bytes,
+            network_mbps=engine.network_mbps or self.network_mbps,
+            followers_most=engine.max_in_flight or self.max_in_flight,
+            store_addr=self.cache_store,
+            zone=self.zone,
+            told=item,
+        )
 
     def models(self):
         """The names of its models."""
@@ -111,8 +139,12 @@
 
     def entry(self, item):
         """The tenant of ours."""
-        return Tenant(keys=[keyDigest(key) for key in self.api_keys], apart=self.isolated, urgency=self.urgency,
-                      told=item)
+        return Tenant(
+            keys=[keyDigest(key) for key in self.api_keys],
+            apart=self.isolated,
+            urgency=self.urgency,
+            told=item,
+        )
 
 
 class LimitsItem(msgspec.Struct, rename="kebab"):
@@ -125,8 +157,13 @@
 
     def entry(self, item):
         """The limits of ours."""
-        return Limits(head_bytes=self.max_header_bytes, body_bytes=self.max_body_bytes,
-                      head_wait_ms=self.header_wait_ms, idle_ms=self.idle_ms, told=item)
+        return Limits(
+            head_bytes=self.max_header_bytes,
+            body_bytes=self.max_body_bytes,
+            head_wait_ms=self.header_wait_ms,
+            idle_ms=self.idle_ms,
+            told=item,
+        )
 
 
 class Whole(msgspec.Struct):
@@ -190,31 +227,49 @@
 
 def _tables(path, read, raw):
     """The entries of each list of ours that is there, or a fault."""
-    tables = {TABLES[name]: _entries(f"{path}.{name}", getattr(read, name), raw[name])
-              for name in TABLES if raw.get(name) is not None}
+    tables = {
+        TABLES[name]: _entries(f"{path}.{name}", getattr(read, name), raw[name])
+        for name in TABLES
+        if raw.get(name) is not None
+    }
     fault = next(filter(isFault, tables.values()), None)
     if fault is not None:
         return fault
-    return tables | ({"limits": {LIMITS: msgspec.to_builtins(read.limits.entry(raw["limits"]))}} if read.limits else {})
+    return tables | (
+        {"limits": {LIMITS: msgspec.to_builtins(read.limits.entry(raw["limits"]))}}
+        if read.limits
+        else {}
+    )
 
 
 def _models(read):
     """The models to be there, with the weights that they begin with."""
-    return {"models": {name: {"weights": FIRST_WEIGHTS} for item in read.backends for name in item.models()}}
+    return {
+        "models": {
+            name: {"weights": FIRST_WEIGHTS} for item in read.backends for name in item.models()
+        }
+    }
 
 
 def _named(items):
     """The items of a list that isn't ours by name, or none where it isn't one of named items."""
-    isNamed = isinstance(items, list) and all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in items)
+    isNamed = isinstance(items, list) and all(
+        isinstance(item, dict) and isinstance(item.get("name"), str) for item in items
+    )
     named = {item["name"]: [item] for item in items} if isNamed else {}
     return named if isNamed and len(named) == len(items) else None
 
 
 def _others(raw):
     """What else a whole configuration tells: lists of named items, and any other field."""
-    others = {name: value for name, value in raw.items() if name not in (*TABLES, VERSION, "limits")}
+    others = {
+        name: value for name, value in raw.items() if name not in (*TABLES, VERSION, "limits")
+    }
     lists = {name: named for name, value in others.items() if (named := _named(value)) is not None}
-    return {LISTS: lists, FIELDS: {name: value for name, value in others.items() if name not in lists}}
+    return {
+        LISTS: lists,
+        FIELDS: {name: value for name, value in others.items() if name not in lists},
+    }
 
 
 def _change(op, kind, body, base, **fields):
@@ -232,9 +287,21 @@
     if isFault(tables):
         return tables
     edition = {"number": read.version, "keyed": read.customers is not None, "told": _others(raw)}
-    document = {"paths": {}, "services": {}, "tenants": {}, "limits": {}} | tables | {"edition": {EDITION: edition}}
-    return _change("replace", "put", raw, base, document=document, ensure=_models(read), edition=read.version,
-                   onEdition=base)
+    document = (
+        {"paths": {}, "services": {}, "tenants": {}, "limits": {}}
+        | tables
+        | {"edition": {EDITION: edition}}
+    )
+    return _change(
+        "replace",
+        "put",
+        raw,
+        base,
+        document=document,
+        ensure=_models(read),
+        edition=read.version,
+        onEdition=base,
+    )
 
 
 def items(body: bytes, base: int):
@@ -252,13 +319,29 @@
     if wrong is not None:
         return INVALID.because(f"$.{PUT_ITEMS}.{wrong}: expected a list of items with names")
     removed = {table: dict.fromkeys(gone.get(name, [])) for name, table in TABLES.items()}
-    document = {table: entries for table in {**removed, **tables}
-                if (entries := removed.get(table, {}) | tables.get(table, {}))}
-    lists = {name: dict.fromkeys(gone.get(name, [])) | lists.get(name, {})
-             for name in {**lists, **gone} if name not in TABLES}
-    edition = ({"keyed": True} if read.put_items.customers is not None else {}) | ({"told": {LISTS: lists}} if lists else {})
-    return _change("items", "patch", raw, base, document=document | ({"edition": {EDITION: edition}} if edition else {}),
-                   ensure=_models(read.put_items), edition=read.version, onEdition=base)
+    document = {
+        table: entries
+        for table in {**removed, **tables}
+        if (entries := removed.get(table, {}) | tables.get(table, {}))
+    }
+    lists = {
+        name: dict.fromkeys(gone.get(name, [])) | lists.get(name, {})
+        for name in {**lists, **gone}
+        if name not in TABLES
+    }
+    edition = ({"keyed": True} if read.put_items.customers is not None else {}) | (
+        {"told": {LISTS: lists}} if lists else {}
+    )
+    return _change(
+        "items",
+        "patch",
+        raw,
+        base,
+        document=document | ({"edition": {EDITION: edition}} if edition else {}),
+        ensure=_models(read.put_items),
+        edition=read.version,
+        onEdition=base,
+    )
 
 
 def weights(body: bytes):
@@ -267,16 +350,30 @@
     if isFault(got):
         return got
     read, _ = got
-    return _change("raise", "weights", [read.model, read.version], 0, model=read.model, weights=read.version)
+    return _change(
+        "raise", "weights", [read.model, read.version], 0, model=read.model, weights=read.version
+    )
 
 
 def shown(document: dict) -> dict:
     """The operator's configuration as it stands in a document of ours."""
     edition = document.get("edition", {}).get(EDITION, {})
     others, limits = edition.get("told", {}), document.get("limits", {}).get(LIMITS)
-    lists = {name: [entry["told"] for entry in document.get(table, {}).values() if entry.get("told")]
-             for name, table in TABLES.items()}
-    return {VERSION: edition.get("number", 0)} | (lists if edition.get("keyed") else {
-        name: lists[name] for name in lists if name != "customers"}) | (
-        {"limits": limits["told"]} if limits else {}) | {
-        name: [item for item, in named.values()] for name, named in others.get(LISTS, {}).items()} | others.get(FIELDS, {})
+    lists = {
+        name: [entry["told"] for entry in document.get(table, {}).values() if entry.get("told")]
+        for name, table in TABLES.items()
+    }
+    return (
+        {VERSION: edition.get("number", 0)}
+        | (
+            lists
+            if edition.get("keyed")
+            else {name: lists[name] for name in lists if name != "customers"}
+        )
+        | ({"limits": limits["told"]} if limits else {})
+        | {
+            name: [item for (item,) in named.values()]
+            for name, named in others.get(LISTS, {}).items()
+        }
+        | others.get(FIELDS, {})
+    )
--- a/swiftdeck/platform/lists.py
+++ b/swiftdeck/platform/lists.py
@@ -1,4 +1,5 @@
 """The platform's list of workers."""
+
 import msgspec
 
 from swiftdeck.fault import BAD_RETURN, isFault
@@ -47,7 +48,9 @@
         found, token, seen = [], None, set()
         while token not in seen and len(seen) < PAGES_MOST:
             seen.add(token)
-            got = await fetchJson(self.addr, "GET", f"{PATH}?{PAGE}={token}" if token else PATH, timeoutMs=1000)
+            got = await fetchJson(
+                self.addr, "GET", f"{PATH}?{PAGE}={token}" if token else PATH, timeoutMs=1000
+            )
             if isFault(got) or got[0] != 200:
                 return got if isFault(got) else BAD_RETURN.because(f"list says {got[0]}")
             try:
@@ -57,6 +60,17 @@
             found += page.workers
             token = page.next
             if token is None:
-                return [Listed(each.id, each.address, each.backend, each.zone, max(1, each.capacity), each.server_state != "ready",
-                               {one.name: one.version for one in each.models or ()}, int(each.warmup_left_ms)) for each in found]
+                return [
+                    Listed(
+                        each.id,
+                        each.address,
+                        each.backend,
+                        each.zone,
+                        max(1, each.capacity),
+                        each.server_state != "ready",
+                        {one.name: one.version for one in each.models or ()},
+                        int(each.warmup_left_ms),
+                    )
+                    for each in found
+                ]
         return BAD_RETURN.because("list goes round in circles")
--- a/swiftdeck/platform/operator_door.py
+++ b/swiftdeck/platform/operator_door.py
@@ -1,10 +1,20 @@
 """The platform's operator at a core: its calls in, the chain's outcomes out."""
+
 import asyncio
 
 import msgspec
 
-from swiftdeck.fault import (BAD_METHOD, BAD_REQUEST, INVALID, LOST_RACE, NO_VIEW, REUSED_CHANGE, TIMED_OUT, UNDECIDED,
-                             isFault)
+from swiftdeck.fault import (
+    BAD_METHOD,
+    BAD_REQUEST,
+    INVALID,
+    LOST_RACE,
+    NO_VIEW,
+    REUSED_CHANGE,
+    TIMED_OUT,
+    UNDECIDED,
+    isFault,
+)
 from swiftdeck.platform import configs
 from swiftdeck.wire.messages import ConfigAsk
 
@@ -42,7 +52,9 @@
         base = exchange.headers.get(BASE_HEADER, "").strip().strip('"')
         if not (base.isascii() and base.isdecimal()) or len(base) > BASE_DIGITS:
             return BAD_REQUEST.because("If-Match is the number that the change builds on")
-        return (configs.whole if exchange.method == "PUT" else configs.items)(exchange.body, int(base))
+        return (configs.whole if exchange.method == "PUT" else configs.items)(
+            exchange.body, int(base)
+        )
 
     async def _outcome(self, change_id, change):
         """What is known of a change in time for an answer; it goes on where that isn't its end."""
@@ -71,4 +83,6 @@
     async def _refuse(self, exchange, fault):
         self.core.board.count["faults.%d" % fault.code] += 1
         status = STATUSES.get(fault.code, NO_VIEW.status)
-        await exchange.give(status, fault.asBody(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)])
+        await exchange.give(
+            status, fault.asBody(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)]
+        )
--- a/swiftdeck/platform/orders.py
+++ b/swiftdeck/platform/orders.py
@@ -1,4 +1,5 @@
 """Orders to the platform's workers to take new weights."""
+
 from swiftdeck.fault import BAD_RETURN, isFault
 from swiftdeck.http.client import fetchJson
 
@@ -10,8 +11,20 @@
 
     async def order(self, addr: str, model: str, version: int, owner: str, fence: int):
         """The status of the order, or a fault; with a fault it may have been taken."""
-        got = await fetchJson(addr, "POST", ORDER, {"operation": "version", "model": model, "version": version, "method": METHOD,
-                                                    "owner": owner, "fence": fence}, timeoutMs=800)
+        got = await fetchJson(
+            addr,
+            "POST",
+            ORDER,
+            {
+                "operation": "version",
+                "model": model,
+                "version": version,
+                "method": METHOD,
+                "owner": owner,
+                "fence": fence,
+            },
+            timeoutMs=800,
+        )
         return got if isFault(got) else got[0]
 
     async def versions(self, addr: str):
@@ -19,5 +32,9 @@
         got = await fetchJson(addr, "GET", REPORT, timeoutMs=800)
         if isFault(got) or got[0] != 200 or not isinstance(got[1], dict):
             return got if isFault(got) else BAD_RETURN.because("report can't be read")
-        models = [each for each in got[1].get("models") or () if isinstance(each, dict) and isinstance(each.get("version"), int)]
+        models = [
+            each
+            for each in got[1].get("models") or ()
+            if isinstance(each, dict) and isinstance(each.get("version"), int)
+        ]
         return {each.get("name"): each["version"] for each in models}, bool(got[1].get("busy"))
--- a/swiftdeck/platform/program.py
+++ b/swiftdeck/platform/program.py
@@ -1,4 +1,5 @@
 """The programs that the platform starts: one for edge machines, one for cores."""
+
 import asyncio
 import os
 import random
@@ -14,10 +15,12 @@
 
 def ready_door(node):
     """Answers the platform's question whether new connections should come here, and leaves the rest to the node's own door."""
+
     async def handle(exchange):
         if exchange.path != READY:
             return await node.operate(exchange)
         return await exchange.whole(200 if node.is_ready() else 503, [], b"")
+
     return handle
 
 
@@ -53,6 +56,7 @@
         box.append(asyncio.ensure_future(_look_for_seeds(role, box[0], log)))
         box.append(asyncio.ensure_future(_count_aloud(box[0], log)))
         return fault
+
     return runUntilSignal(start, lambda: box[0].stop(), lambda: _seeds_again(role, box[0], log))
 
 
@@ -62,7 +66,13 @@
     from swiftdeck.platform.caches import PlatformCaches
     from swiftdeck.platform.lists import PlatformList
     from swiftdeck.platform.speech import Callers, Workers
-    node = Gateway(place.settings, (Callers(), Workers(), PlatformList(place.list_addr), PlatformCaches()), random.SystemRandom(), log)
+
+    node = Gateway(
+        place.settings,
+        (Callers(), Workers(), PlatformList(place.list_addr), PlatformCaches()),
+        random.SystemRandom(),
+        log,
+    )
     if node.ops:
         node.ops.handler = ready_door(node)
     return node
@@ -75,8 +85,15 @@
     from swiftdeck.platform.lists import PlatformList
     from swiftdeck.platform.operator_door import OperatorDoor
     from swiftdeck.platform.orders import PlatformOrders
-    node = SwapCore(place.settings, DataFolder(place.settings.dataFolder), random.SystemRandom(), log,
-                    PlatformList(place.list_addr), PlatformOrders())
+
+    node = SwapCore(
+        place.settings,
+        DataFolder(place.settings.dataFolder),
+        random.SystemRandom(),
+        log,
+        PlatformList(place.list_addr),
+        PlatformOrders(),
+    )
     node.http.handler = OperatorDoor(node).handle
     return node
 
--- a/swiftdeck/platform/settings.py
+++ b/swiftdeck/platform/settings.py
@@ -1,4 +1,5 @@
 """The platform's settings file, as checked settings of our own."""
+
 import os
 import tomllib
 from pathlib import Path
@@ -79,7 +80,15 @@
     try:
         file = msgspec.convert(tomllib.loads(Path(path).read_text()), File, strict=False)
         return _place(role, file)
-    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError, ValueError, OverflowError, IndexError) as error:
+    except (
+        OSError,
+        tomllib.TOMLDecodeError,
+        UnicodeDecodeError,
+        msgspec.ValidationError,
+        ValueError,
+        OverflowError,
+        IndexError,
+    ) as error:
         return BAD_SETTING.because(f"{path or PATH_VARIABLE}: {error}")
 
 
@@ -88,13 +97,33 @@
     seeds = [f"{each.rpartition(':')[0]}:{port}" for each in file.seed_addresses]
     is_core = role == "core"
     http = file.listen_addresses.control if is_core else file.listen_addresses.front
-    settings = msgspec.convert(dict(
-        name=file.node_name, inner=f"{file.ip}:{port}", http=http or f"{file.ip}:{port + 1}", seeds=seeds, zone=file.zone,
-        opsHttp="" if is_core else file.listen_addresses.readiness, dataFolder=file.data_dir if is_core else "", founders=seeds, mayFound=file.first_start,
-        lossesBorne=file.tolerate.machines, stopMs=int(max(1000, file.bounds.grace_s * 1000 - 1200)),
-        budgetShare=bounds.retry_ratio, budgetExtra=int(bounds.extra_retries), budgetWindowMs=int(bounds.retry_window_s * 1000),
-        oldWeightsMs=int(max(500, bounds.version_ms - 2500)), orderLeaseMs=int(bounds.lease_ms + bounds.thaw_slack_ms),
-        viewLicenceMs=1500, configLicenceMs=2500, archive=False, ackWaitMs=400, listMs=600, bodyBytes=4 << 20), Settings)
+    settings = msgspec.convert(
+        dict(
+            name=file.node_name,
+            inner=f"{file.ip}:{port}",
+            http=http or f"{file.ip}:{port + 1}",
+            seeds=seeds,
+            zone=file.zone,
+            opsHttp="" if is_core else file.listen_addresses.readiness,
+            dataFolder=file.data_dir if is_core else "",
+            founders=seeds,
+            mayFound=file.first_start,
+            lossesBorne=file.tolerate.machines,
+            stopMs=int(max(1000, file.bounds.grace_s * 1000 - 1200)),
+            budgetShare=bounds.retry_ratio,
+            budgetExtra=int(bounds.extra_retries),
+            budgetWindowMs=int(bounds.retry_window_s * 1000),
+            oldWeightsMs=int(max(500, bounds.version_ms - 2500)),
+            orderLeaseMs=int(bounds.lease_ms + bounds.thaw_slack_ms),
+            viewLicenceMs=1500,
+            configLicenceMs=2500,
+            archive=False,
+            ackWaitMs=400,
+            listMs=600,
+            bodyBytes=4 << 20,
+        ),
+        Settings,
+    )
     first = next(settings.faults(), None)
     if first is not None:
         return BAD_SETTING.because(first)
--- a/swiftdeck/platform/speech.py
+++ b/swiftdeck/platform/speech.py
@@ -1,4 +1,5 @@
 """Requests of the platform's clients and answers of its workers, in the product's words and back."""
+
 import msgspec
 
 from swiftdeck.fault import BAD_REQUEST
@@ -9,12 +10,38 @@
 EXPECTED_WORKER, EXPECTED_VERSION = b"Swiftdeck-Expected-Worker", b"Swiftdeck-Expected-Version"
 TENANT, URGENCY, SALT = b"Swiftdeck-Tenant", b"Swiftdeck-Urgency", b"Swiftdeck-Cache-Salt"
 SOURCE, TARGET, LAST_EVENT = b"Swiftdeck-Cache-Source", b"Swiftdeck-Cache-Target", b"Last-Event-Id"
-NOT_RUN, WORKER, VERSIONS = b"swiftdeck-not-run", b"swiftdeck-worker-id", b"swiftdeck-weight-versions"
+NOT_RUN, WORKER, VERSIONS = (
+    b"swiftdeck-not-run",
+    b"swiftdeck-worker-id",
+    b"swiftdeck-weight-versions",
+)
 AUTHORIZATION, HOST, RETRY_AFTER = b"authorization", b"host", "Retry-After"
 ELSEWHERE = 421
-PER_CONNECTION = {b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-                  b"proxy-authenticate", b"proxy-authorization"}
-SET_HERE = {each.lower() for each in (EXPECTED_WORKER, EXPECTED_VERSION, TENANT, URGENCY, SALT, SOURCE, TARGET, TIME_LEFT, LAST_EVENT)}
+PER_CONNECTION = {
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"proxy-authenticate",
+    b"proxy-authorization",
+}
+SET_HERE = {
+    each.lower()
+    for each in (
+        EXPECTED_WORKER,
+        EXPECTED_VERSION,
+        TENANT,
+        URGENCY,
+        SALT,
+        SOURCE,
+        TARGET,
+        TIME_LEFT,
+        LAST_EVENT,
+    )
+}
 KEPT_BACK = PER_CONNECTION | SET_HERE | {AUTHORIZATION, b"content-length", b"expect"}
 FOREVER_MS = 3600000.0
 
@@ -34,7 +61,11 @@
 def _named(headers):
     """Headers that a Connection header names as its own."""
     told = [value for name, value in headers if name.lower() == b"connection"]
-    return {each.strip().lower() for value in told for each in value.split(b",")} - {ID, SEAL, b"content-length"}
+    return {each.strip().lower() for value in told for each in value.split(b",")} - {
+        ID,
+        SEAL,
+        b"content-length",
+    }
 
 
 def parts_of(text: str) -> list[Part]:
@@ -56,17 +87,31 @@
         parts, tokens = parts_of(_text(found, PREFIX)), _text(found, TOKENS).partition(",")[0]
         host, target = _text(found, HOST), exchange.target
         return Request(
-            name, exchange.raw_method, target, host, target.partition(b"?")[0].decode("latin-1"), exchange.raw_headers,
-            exchange.body, key.strip() if scheme.lower() == "bearer" else "", _text(found, MODEL), parts,
-            int(_number(tokens, sum(part.tokens for part in parts))), _number(_text(found, TIME_LEFT), FOREVER_MS),
-            _text(found, LAST_EVENT.lower()))
+            name,
+            exchange.raw_method,
+            target,
+            host,
+            target.partition(b"?")[0].decode("latin-1"),
+            exchange.raw_headers,
+            exchange.body,
+            key.strip() if scheme.lower() == "bearer" else "",
+            _text(found, MODEL),
+            parts,
+            int(_number(tokens, sum(part.tokens for part in parts))),
+            _number(_text(found, TIME_LEFT), FOREVER_MS),
+            _text(found, LAST_EVENT.lower()),
+        )
 
     def refusal(self, fault, request):
         """Status, headers and body of a final answer of our own."""
         status = fault.status if fault.status not in (409, 422) else 502
         headers = [("Content-Type", "application/json")]
         headers += [("Swiftdeck-Request-Id", request.name)] if request is not None else []
-        headers += [(RETRY_AFTER, f"{fault.retryMs / 1000:.3f}")] if fault.retryMs and status in (429, 503) else []
+        headers += (
+            [(RETRY_AFTER, f"{fault.retryMs / 1000:.3f}")]
+            if fault.retryMs and status in (429, 503)
+            else []
+        )
         return status, headers, msgspec.json.encode(fault.asBody())
 
 
@@ -76,11 +121,22 @@
     def head(self, request: Request, errand: Errand) -> list:
         """Headers of an attempt: the client's own, less what concerns its connection, and the errand."""
         kept_back = KEPT_BACK | _named(request.headers)
-        headers = [(name, value) for name, value in request.headers if name.lower() not in kept_back]
-        headers += [(TIME_LEFT, b"%d" % errand.time_left_ms), (EXPECTED_WORKER, errand.worker.encode()),
-                    (URGENCY, b"%d" % errand.urgency)]
-        more = ((TENANT, errand.tenant), (EXPECTED_VERSION, errand.version), (SALT, errand.salt), (SOURCE, errand.source),
-                (TARGET, errand.target), (LAST_EVENT, errand.last_event))
+        headers = [
+            (name, value) for name, value in request.headers if name.lower() not in kept_back
+        ]
+        headers += [
+            (TIME_LEFT, b"%d" % errand.time_left_ms),
+            (EXPECTED_WORKER, errand.worker.encode()),
+            (URGENCY, b"%d" % errand.urgency),
+        ]
+        more = (
+            (TENANT, errand.tenant),
+            (EXPECTED_VERSION, errand.version),
+            (SALT, errand.salt),
+            (SOURCE, errand.source),
+            (TARGET, errand.target),
+            (LAST_EVENT, errand.last_event),
+        )
         headers += [(name, value.encode("latin-1")) for name, value in more if value]
         if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
             headers.append((b"content-length", b"%d" % len(request.body)))
@@ -97,7 +153,13 @@
             return Verdict.NOT_RUN
         if 200 <= status < 300:
             return Verdict.ANSWER if found.get(SEAL) and ID in found else Verdict.BAD
-        return Verdict.FAILURE if status >= 500 or status in PROMISES else Verdict.ANSWER if ID in found else Verdict.BAD
+        return (
+            Verdict.FAILURE
+            if status >= 500 or status in PROMISES
+            else Verdict.ANSWER
+            if ID in found
+            else Verdict.BAD
+        )
 
     def passed_on(self, headers: list) -> list:
         """Headers of an answer for the client."""
@@ -113,9 +175,16 @@
 
     def worker(self, headers: list) -> str:
         """The id of the worker that answered, where it says so."""
-        return next((value.decode("latin-1").strip() for name, value in headers if name.lower() == WORKER), "")
+        return next(
+            (value.decode("latin-1").strip() for name, value in headers if name.lower() == WORKER),
+            "",
+        )
 
     def versions_in(self, data: bytes) -> int | None:
         """The newest version that events name in a first line of theirs."""
-        found = [line.partition(b":")[2].strip() for line in data.split(b"\n") if line.startswith(VERSIONS + b":")]
+        found = [
+            line.partition(b":")[2].strip()
+            for line in data.split(b"\n")
+            if line.startswith(VERSIONS + b":")
+        ]
         return int(found[-1]) if found and found[-1].isdigit() else None
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -1,4 +1,5 @@
 """The command line of the stand-ins and of the one-machine fleet."""
+
 import asyncio
 import json
 import multiprocessing
@@ -24,8 +25,12 @@
 from swiftdeck.sim.storm import BITES, SCENARIOS, Storm, idle
 from swiftdeck.programs.loop import BootLoop, runUntilSignal
 
-app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False,
-                  help="Stand-ins for callers, workers, store and platform, and a whole site on one machine.")
+app = typer.Typer(
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+    help="Stand-ins for callers, workers, store and platform, and a whole site on one machine.",
+)
 Addr = Annotated[str, typer.Option(help="IP:PORT to listen on.")]
 RecordFile = Annotated[str, typer.Option(help="File that takes what the stand-in saw.")]
 
@@ -39,21 +44,33 @@
     try:
         return storm.run(), storm.done
     except Exception:
-        return {"seed": work[1], "breaches": {"crashed": traceback.format_exc()[-1500:]}}, storm.done
+        return {
+            "seed": work[1],
+            "breaches": {"crashed": traceback.format_exc()[-1500:]},
+        }, storm.done
 
 
 def _serve(part):
     async def stop():
         part.http.stop()
+
     raise typer.Exit(runUntilSignal(part.start, stop))
 
 
 @app.command()
-def worker(addr: Addr, name: str = "worker1", weights: str = "w1", store: str = "", speed: float = 1.0,
-           room: Annotated[int, typer.Option(help="Tokens that the prefix cache holds.")] = 1_000_000,
-           record: RecordFile = "/dev/null"):
+def worker(
+    addr: Addr,
+    name: str = "worker1",
+    weights: str = "w1",
+    store: str = "",
+    speed: float = 1.0,
+    room: Annotated[int, typer.Option(help="Tokens that the prefix cache holds.")] = 1_000_000,
+    record: RecordFile = "/dev/null",
+):
     """Run a stand-in for a model worker."""
-    _serve(Worker(name, addr, FileRecord(record, name), random.Random(), weights, store, room, speed))
+    _serve(
+        Worker(name, addr, FileRecord(record, name), random.Random(), weights, store, room, speed)
+    )
 
 
 @app.command()
@@ -63,29 +80,50 @@
 
 
 @app.command()
-def platform(addr: Addr, workers: Annotated[str, typer.Option(help="JSON file with the list of workers.")],
-             record: RecordFile = "/dev/null"):
+def platform(
+    addr: Addr,
+    workers: Annotated[str, typer.Option(help="JSON file with the list of workers.")],
+    record: RecordFile = "/dev/null",
+):
     """Run a stand-in for the platform."""
     _serve(Platform(addr, FileRecord(record, "platform"), json.loads(Path(workers).read_text())))
 
 
 @app.command()
-def caller(door: Annotated[list[str], typer.Option(help="HTTP IP:PORT of a router; may be given several times.")],
-           key: str, route: str = "check", turns: int = 3, record: RecordFile = "/dev/null"):
+def caller(
+    door: Annotated[
+        list[str], typer.Option(help="HTTP IP:PORT of a router; may be given several times.")
+    ],
+    key: str,
+    route: str = "check",
+    turns: int = 3,
+    record: RecordFile = "/dev/null",
+):
     """Hold one conversation of some turns, and print what came back."""
+
     async def main():
         one = Caller("caller", door, FileRecord(record, "caller"), random.Random(), {"tenant": key})
         return await one.agent("tenant", route, turns)
+
     served = asyncio.run(main())
     typer.echo(f"{served} of {turns} turns served")
     raise typer.Exit(0 if served == turns else 1)
 
 
 @app.command()
-def fleet(folder: Annotated[str, typer.Option(help="Folder for data, records and logs.")], site: str = "hinokuni",
-          seconds: Annotated[float, typer.Option(help="How long the traffic goes on; 0 serves until a signal.")] = 60.0,
-          faults: Annotated[bool, typer.Option(help="Kill a worker, a router, a core and the keeper.")] = False,
-          basePort: int = 21000, routers: int = 9, shortEveryS: float = 0.8):
+def fleet(
+    folder: Annotated[str, typer.Option(help="Folder for data, records and logs.")],
+    site: str = "hinokuni",
+    seconds: Annotated[
+        float, typer.Option(help="How long the traffic goes on; 0 serves until a signal.")
+    ] = 60.0,
+    faults: Annotated[
+        bool, typer.Option(help="Kill a worker, a router, a core and the keeper.")
+    ] = False,
+    basePort: int = 21000,
+    routers: int = 9,
+    shortEveryS: float = 0.8,
+):
     """Run a whole site on loopback, drive its traffic, and check the records."""
     it = Fleet(folder, site, basePort, routers)
 
@@ -96,11 +134,14 @@
         if got is None:
             return 1
         if not seconds:
-            typer.echo(f"serving: core {it.site.cores[0]['http']}, router {it.site.routers[0]['http']}, "
-                       f"key {next(iter(it.site.keys.values()))}")
+            typer.echo(
+                f"serving: core {it.site.cores[0]['http']}, router {it.site.routers[0]['http']}, "
+                f"key {next(iter(it.site.keys.values()))}"
+            )
             await asyncio.Event().wait()
         await it.drive(seconds, faults, shortEveryS)
         return 0
+
     status = 1
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
@@ -119,11 +160,14 @@
 
 
 @app.command()
-def sim(scenario: Annotated[str, typer.Option(help="One of the scenarios, or all.")] = "mix",
-        seed: Annotated[int, typer.Option(help="First seed.")] = 1, seeds: Annotated[int, typer.Option(help="How many.")] = 1,
-        seconds: Annotated[float, typer.Option(help="Simulated time under faults.")] = 60.0,
-        jobs: Annotated[int, typer.Option(help="Seeds at a time, each in a process of its own.")] = 4,
-        trace: Annotated[bool, typer.Option(help="Show the faults of each seed.")] = False):
+def sim(
+    scenario: Annotated[str, typer.Option(help="One of the scenarios, or all.")] = "mix",
+    seed: Annotated[int, typer.Option(help="First seed.")] = 1,
+    seeds: Annotated[int, typer.Option(help="How many.")] = 1,
+    seconds: Annotated[float, typer.Option(help="Simulated time under faults.")] = 60.0,
+    jobs: Annotated[int, typer.Option(help="Seeds at a time, each in a process of its own.")] = 4,
+    trace: Annotated[bool, typer.Option(help="Show the faults of each seed.")] = False,
+):
     """Sweep scenarios of faults over seeds in virtual time; the status is 1 when a rule was broken."""
     names = sorted(SCENARIOS) if scenario == "all" else [scenario]
     if not set(names) <= set(SCENARIOS):
@@ -143,15 +187,21 @@
                         typer.echo(f"  {atS} {what}")
     typer.echo(json.dumps({"seeds": len(work), "broken": broken} | sums))
     for name in names if seeds >= BITES_SEEDS else []:
-        typer.echo(json.dumps({"scenario": name, "acts": {each: acts[name][each] for each in BITES[name]}}))
+        typer.echo(
+            json.dumps({"scenario": name, "acts": {each: acts[name][each] for each in BITES[name]}})
+        )
     toothless = [name for name in names if seeds >= BITES_SEEDS and idle(name, acts[name])]
     raise typer.Exit(1 if broken or toothless else 0)
 
 
 @app.command("growth")
-def growthCommand(folder: Annotated[str, typer.Option(help="Folder for data, records and logs.")],
-                  routes: Annotated[list[int], typer.Option(help="How many routes; may be given several times.")] = [0, 1000, 5000],
-                  basePort: int = 22000):
+def growthCommand(
+    folder: Annotated[str, typer.Option(help="Folder for data, records and logs.")],
+    routes: Annotated[
+        list[int], typer.Option(help="How many routes; may be given several times.")
+    ] = [0, 1000, 5000],
+    basePort: int = 22000,
+):
     """Measure acknowledgements and stalls on real processes, with configurations of many routes."""
     for at, count in enumerate(routes):
         it = Fleet(f"{folder}/{count}", basePort=basePort + 100 * at)
@@ -170,25 +220,46 @@
 
 
 @app.command()
-def measure(name: Annotated[str, typer.Argument(help="thrash, ring, failover, acks, fetch, outage, warm or day.")],
-            seed: int = 1, seeds: int = 3, jobs: int = 4):
+def measure(
+    name: Annotated[
+        str, typer.Argument(help="thrash, ring, failover, acks, fetch, outage, warm or day.")
+    ],
+    seed: int = 1,
+    seeds: int = 3,
+    jobs: int = 4,
+):
     """Measure the design in virtual time: a line of figures for each case and seed."""
     if name not in MEASURES:
         typer.echo(f"measures: {', '.join(sorted(MEASURES))}", err=True)
         raise typer.Exit(2)
     with ProcessPoolExecutor(jobs) as pool:
-        for number, rows in zip(range(seed, seed + seeds), pool.map(runMeasure, [(name, each) for each in range(seed, seed + seeds)])):
+        for number, rows in zip(
+            range(seed, seed + seeds),
+            pool.map(runMeasure, [(name, each) for each in range(seed, seed + seeds)]),
+        ):
             for row in rows:
                 typer.echo(json.dumps({"seed": number} | row))
 
 
 @app.command()
-def scale(what: Annotated[str, typer.Argument(help="fleet, of hollow nodes in virtual time; or parts, one by one.")] = "fleet",
-          routers: Annotated[list[int], typer.Option(help="How many routers; may be given several times.")] = [25, 50, 100, 200],
-          cores: Annotated[list[int], typer.Option(help="How many cores; may be given several times.")] = [3],
-          workersEach: Annotated[float, typer.Option(help="Workers for each router.")] = scales.WORKERS_EACH,
-          seconds: Annotated[float, typer.Option(help="Simulated time that is measured.")] = 4.0, seed: int = 1, seeds: int = 1,
-          jobs: Annotated[int, typer.Option(help="Fleets at a time, each in a process of its own.")] = 2):
+def scale(
+    what: Annotated[
+        str, typer.Argument(help="fleet, of hollow nodes in virtual time; or parts, one by one.")
+    ] = "fleet",
+    routers: Annotated[
+        list[int], typer.Option(help="How many routers; may be given several times.")
+    ] = [25, 50, 100, 200],
+    cores: Annotated[
+        list[int], typer.Option(help="How many cores; may be given several times.")
+    ] = [3],
+    workersEach: Annotated[
+        float, typer.Option(help="Workers for each router.")
+    ] = scales.WORKERS_EACH,
+    seconds: Annotated[float, typer.Option(help="Simulated time that is measured.")] = 4.0,
+    seed: int = 1,
+    seeds: int = 1,
+    jobs: Annotated[int, typer.Option(help="Fleets at a time, each in a process of its own.")] = 2,
+):
     """What each role sends, takes and uses against the number of nodes, workers and tenants."""
     if what not in ("fleet", "parts"):
         typer.echo("scale: fleet, parts", err=True)
@@ -196,13 +267,24 @@
     if what == "parts":
         typer.echo("\n".join(scales.table(list(scales.parts()), scales.PARTS)))
         return
-    work = [(number, count, chain, workersEach, seconds) for count in routers for chain in cores for number in range(seed, seed + seeds)]
-    with ProcessPoolExecutor(jobs, max_tasks_per_child=1, mp_context=multiprocessing.get_context("spawn")) as pool:
+    work = [
+        (number, count, chain, workersEach, seconds)
+        for count in routers
+        for chain in cores
+        for number in range(seed, seed + seeds)
+    ]
+    with ProcessPoolExecutor(
+        jobs, max_tasks_per_child=1, mp_context=multiprocessing.get_context("spawn")
+    ) as pool:
         rows = []
         for fresh in pool.map(scales.fleet, work):
             rows += fresh
             for row in fresh:
-                typer.echo(json.dumps({name: row[name] for name in ("role", "routers", "cores", "sentByKind")}))
+                typer.echo(
+                    json.dumps(
+                        {name: row[name] for name in ("role", "routers", "cores", "sentByKind")}
+                    )
+                )
     typer.echo("\n".join(scales.table(rows, scales.FLEET)))
 
 
--- a/swiftdeck/programs/deck.py
+++ b/swiftdeck/programs/deck.py
@@ -1,4 +1,5 @@
 """The command line of swiftdeck."""
+
 import asyncio
 import difflib
 import random
@@ -19,22 +20,35 @@
 from swiftdeck.programs.loop import makeLog, runUntilSignal
 from swiftdeck.traffic.router import Router
 
-app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False,
-                  help="A fleet of routers that admits long conversations by what workers can keep in their KV cache.")
+app = typer.Typer(
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+    help="A fleet of routers that admits long conversations by what workers can keep in their KV cache.",
+)
 ctl = typer.Typer(no_args_is_help=True, help="Drive the fleet through any core.")
 app.add_typer(ctl, name="ctl")
 keys = typer.Typer(no_args_is_help=True, help="Tenants' keys.")
 ctl.add_typer(keys, name="keys")
 
-SettingsFile = Annotated[str, typer.Option("--settings", help="Settings file (TOML); flags go before it.")]
+SettingsFile = Annotated[
+    str, typer.Option("--settings", help="Settings file (TOML); flags go before it.")
+]
 Name = Annotated[Optional[str], typer.Option(help="Name of the process.")]
 Inner = Annotated[Optional[str], typer.Option(help="IP:PORT towards other processes, TCP and UDP.")]
 Http = Annotated[Optional[str], typer.Option(help="IP:PORT of HTTP.")]
-Seeds = Annotated[Optional[list[str]], typer.Option("--seed", help="Inner IP:PORT of another process; give three.")]
+Seeds = Annotated[
+    Optional[list[str]],
+    typer.Option("--seed", help="Inner IP:PORT of another process; give three."),
+]
 Zone = Annotated[Optional[str], typer.Option(help="Zone of the machine.")]
 Level = Annotated[str, typer.Option(help="debug, info, warning or error.")]
-Door = Annotated[str, typer.Option("--core", envvar="SWIFTDECK_CORE", help="HTTP IP:PORT of a core.")]
-Operator = Annotated[str, typer.Option("--operator-key", envvar="SWIFTDECK_OPERATOR_KEY", help="Key of operators.")]
+Door = Annotated[
+    str, typer.Option("--core", envvar="SWIFTDECK_CORE", help="HTTP IP:PORT of a core.")
+]
+Operator = Annotated[
+    str, typer.Option("--operator-key", envvar="SWIFTDECK_OPERATOR_KEY", help="Key of operators.")
+]
 
 
 def _settings(path, flags):
@@ -53,17 +67,34 @@
         else:
             node.membership.setSeeds(settings.seeds)
             log.info("seeds exchanged", seeds=settings.seeds)
+
     return again
 
 
 @app.command()
-def core(settings: SettingsFile = "", name: Name = None, inner: Inner = None, http: Http = None, seed: Seeds = None,
-         zone: Zone = None, data: Annotated[Optional[str], typer.Option(help="Data folder.")] = None,
-         operatorKey: Annotated[Optional[str], typer.Option(help="Key that operators must show.")] = None,
-         level: Level = "info"):
+def core(
+    settings: SettingsFile = "",
+    name: Name = None,
+    inner: Inner = None,
+    http: Http = None,
+    seed: Seeds = None,
+    zone: Zone = None,
+    data: Annotated[Optional[str], typer.Option(help="Data folder.")] = None,
+    operatorKey: Annotated[
+        Optional[str], typer.Option(help="Key that operators must show.")
+    ] = None,
+    level: Level = "info",
+):
     """Run a core: a member of the chain, with a data folder. SIGHUP reads the seeds anew, SIGTERM ends it."""
-    flags = {"name": name, "inner": inner, "http": http, "seeds": seed, "zone": zone, "dataFolder": data,
-             "operatorKey": operatorKey}
+    flags = {
+        "name": name,
+        "inner": inner,
+        "http": http,
+        "seeds": seed,
+        "zone": zone,
+        "dataFolder": data,
+        "operatorKey": operatorKey,
+    }
     checked = _settings(settings, flags)
     if not checked.dataFolder:
         typer.echo("fault 600 setting is invalid: a core needs dataFolder (--data)", err=True)
@@ -79,19 +110,40 @@
     async def start():
         box.append(Core(checked, folder, random.SystemRandom(), log))
         return await box[0].start()
-    raise typer.Exit(runUntilSignal(start, lambda: box[0].stop(),
-                                    lambda: _seedsAgain(settings, flags, box[0], log)()))
+
+    raise typer.Exit(
+        runUntilSignal(
+            start, lambda: box[0].stop(), lambda: _seedsAgain(settings, flags, box[0], log)()
+        )
+    )
 
 
 @app.command()
-def router(settings: SettingsFile = "", name: Name = None, inner: Inner = None, http: Http = None, seed: Seeds = None,
-           zone: Zone = None, platform: Annotated[Optional[str], typer.Option(help="IP:PORT of the platform's list.")] = None,
-           store: Annotated[Optional[str], typer.Option(help="IP:PORT of the store of prefixes.")] = None,
-           operatorKey: Annotated[Optional[str], typer.Option(help="Key that operators must show.")] = None,
-           level: Level = "info"):
+def router(
+    settings: SettingsFile = "",
+    name: Name = None,
+    inner: Inner = None,
+    http: Http = None,
+    seed: Seeds = None,
+    zone: Zone = None,
+    platform: Annotated[Optional[str], typer.Option(help="IP:PORT of the platform's list.")] = None,
+    store: Annotated[Optional[str], typer.Option(help="IP:PORT of the store of prefixes.")] = None,
+    operatorKey: Annotated[
+        Optional[str], typer.Option(help="Key that operators must show.")
+    ] = None,
+    level: Level = "info",
+):
     """Run a router: callers' HTTP and legs towards workers. SIGHUP reads the seeds anew, SIGTERM drains."""
-    flags = {"name": name, "inner": inner, "http": http, "seeds": seed, "zone": zone, "platform": platform,
-             "store": store, "operatorKey": operatorKey}
+    flags = {
+        "name": name,
+        "inner": inner,
+        "http": http,
+        "seeds": seed,
+        "zone": zone,
+        "platform": platform,
+        "store": store,
+        "operatorKey": operatorKey,
+    }
     checked = _settings(settings, flags)
     log = makeLog(checked.name, level)
     box = []
@@ -99,8 +151,12 @@
     async def start():
         box.append(Router(checked, random.SystemRandom(), log))
         await box[0].start()
-    raise typer.Exit(runUntilSignal(start, lambda: box[0].stop(),
-                                    lambda: _seedsAgain(settings, flags, box[0], log)()))
+
+    raise typer.Exit(
+        runUntilSignal(
+            start, lambda: box[0].stop(), lambda: _seedsAgain(settings, flags, box[0], log)()
+        )
+    )
 
 
 def _show(got):
@@ -125,26 +181,47 @@
 
 def _change(method, file, base, changeId, author, door, operator):
     client, document = OperatorClient(door, operator), _read(file)
-    _show(asyncio.run(client.changeNewest(method, lambda _: document, changeId, author) if base is None else
-                      client.change(method, document, base, changeId, author)))
+    _show(
+        asyncio.run(
+            client.changeNewest(method, lambda _: document, changeId, author)
+            if base is None
+            else client.change(method, document, base, changeId, author)
+        )
+    )
 
 
 File = Annotated[str, typer.Argument(help="JSON file, - for standard input.")]
-Base = Annotated[Optional[int], typer.Option(help="Version that the change builds on; default: the newest.")]
-ChangeId = Annotated[str, typer.Option(help="Id of the change; say it again to repeat a change safely.")]
+Base = Annotated[
+    Optional[int], typer.Option(help="Version that the change builds on; default: the newest.")
+]
+ChangeId = Annotated[
+    str, typer.Option(help="Id of the change; say it again to repeat a change safely.")
+]
 Author = Annotated[str, typer.Option(help="Who asks for the change.")]
 
 
 @ctl.command()
-def put(file: File, base: Base = None, changeId: ChangeId = "", author: Author = "", core: Door = "127.0.0.1:8000",
-        operatorKey: Operator = ""):
+def put(
+    file: File,
+    base: Base = None,
+    changeId: ChangeId = "",
+    author: Author = "",
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+):
     """Put a whole configuration; returns once it is in force."""
     _change("PUT", file, base, changeId, author, core, operatorKey)
 
 
 @ctl.command()
-def patch(file: File, base: Base = None, changeId: ChangeId = "", author: Author = "", core: Door = "127.0.0.1:8000",
-          operatorKey: Operator = ""):
+def patch(
+    file: File,
+    base: Base = None,
+    changeId: ChangeId = "",
+    author: Author = "",
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+):
     """Put a partial configuration (JSON merge patch); returns once it is in force."""
     _change("PATCH", file, base, changeId, author, core, operatorKey)
 
@@ -158,20 +235,26 @@
 @ctl.command()
 def changes(file: File, core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
     """Send a stream of changes (NDJSON) in; an answer line comes out for each."""
-    lines = (sys.stdin.buffer if file == "-" else open(file, "rb"))
+    lines = sys.stdin.buffer if file == "-" else open(file, "rb")
     raise typer.Exit(asyncio.run(OperatorClient(core, operatorKey).stream(lines, typer.echo)))
 
 
 @ctl.command()
-def change(changeId: Annotated[str, typer.Argument(help="Id of the change.")], core: Door = "127.0.0.1:8000",
-           operatorKey: Operator = ""):
+def change(
+    changeId: Annotated[str, typer.Argument(help="Id of the change.")],
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+):
     """Ask what became of a change."""
     _show(asyncio.run(OperatorClient(core, operatorKey).ask("GET", f"/v1/changes/{changeId}")))
 
 
 @ctl.command()
-def watch(core: Door = "127.0.0.1:8000", operatorKey: Operator = "",
-          follow: Annotated[bool, typer.Option(help="Go on as decisions are made.")] = True):
+def watch(
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+    follow: Annotated[bool, typer.Option(help="Go on as decisions are made.")] = True,
+):
     """Watch the stream of decisions of all routers."""
     try:
         raise typer.Exit(asyncio.run(OperatorClient(core, operatorKey).watch(typer.echo, follow)))
@@ -180,15 +263,21 @@
 
 
 @ctl.command()
-def status(core: Door = "127.0.0.1:8000", operatorKey: Operator = "",
-           full: Annotated[bool, typer.Option(help="Show all counters.")] = False):
+def status(
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+    full: Annotated[bool, typer.Option(help="Show all counters.")] = False,
+):
     """Show every process of the fleet, the chain, the books and the counters."""
     _show(asyncio.run(OperatorClient(core, operatorKey).fleet(full)))
 
 
 @ctl.command()
-def explain(name: Annotated[str, typer.Argument(help="Id of a call or of a conversation.")],
-            core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
+def explain(
+    name: Annotated[str, typer.Argument(help="Id of a call or of a conversation.")],
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+):
     """Tell why a call waited, moved, was refused or ended as it did."""
     _show(asyncio.run(OperatorClient(core, operatorKey).explain(name)))
 
@@ -206,17 +295,25 @@
 
     async def work():
         return [await client.ask("GET", f"/v1/history/{version}") for version in (old, new)]
+
     texts = asyncio.run(work())
     for got in texts:
         if isFault(got) or got[0] != 200:
             _show(got)
     lines = [got[1]["text"].splitlines() for got in texts]
-    typer.echo("\n".join(difflib.unified_diff(*lines, f"version {old}", f"version {new}", lineterm="")))
+    typer.echo(
+        "\n".join(difflib.unified_diff(*lines, f"version {old}", f"version {new}", lineterm=""))
+    )
 
 
 @ctl.command()
-def weights(model: Annotated[str, typer.Argument(help="Model.")], version: Annotated[str, typer.Argument(help="Weights.")],
-            author: Author = "", core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
+def weights(
+    model: Annotated[str, typer.Argument(help="Model.")],
+    version: Annotated[str, typer.Argument(help="Weights.")],
+    author: Author = "",
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+):
     """Name new weights for a model; once this returns, no call starts on the old ones."""
     client, patch = OperatorClient(core, operatorKey), {"models": {model: {"weights": version}}}
     _show(asyncio.run(client.changeNewest("PATCH", lambda _: patch, author=author)))
@@ -229,21 +326,36 @@
 
 
 @keys.command()
-def revoke(tenant: Annotated[str, typer.Argument(help="Tenant.")],
-           key: Annotated[str, typer.Argument(help="The key, or its sha256: digest.")],
-           core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
+def revoke(
+    tenant: Annotated[str, typer.Argument(help="Tenant.")],
+    key: Annotated[str, typer.Argument(help="The key, or its sha256: digest.")],
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+):
     """Take a key from a tenant; connected clients lose it too."""
-    client, gone = OperatorClient(core, operatorKey), key if key.startswith("sha256:") else keyDigest(key)
+    client, gone = (
+        OperatorClient(core, operatorKey),
+        key if key.startswith("sha256:") else keyDigest(key),
+    )
 
     def without(document):
-        kept = [each for each in document.get("tenants", {}).get(tenant, {}).get("keys", []) if each != gone]
+        kept = [
+            each
+            for each in document.get("tenants", {}).get(tenant, {}).get("keys", [])
+            if each != gone
+        ]
         return {"tenants": {tenant: {"keys": kept}}}
+
     _show(asyncio.run(client.changeNewest("PATCH", without)))
 
 
 @app.command()
-def doctor(core: Door = "127.0.0.1:8000", operatorKey: Operator = "",
-           settings: SettingsFile = "", asJson: Annotated[bool, typer.Option("--json", help="Findings as JSON.")] = False):
+def doctor(
+    core: Door = "127.0.0.1:8000",
+    operatorKey: Operator = "",
+    settings: SettingsFile = "",
+    asJson: Annotated[bool, typer.Option("--json", help="Findings as JSON.")] = False,
+):
     """Look for common faults; each finding has a code and what to do. The status is 1 when one was found."""
     seeds, folder = [], ""
     if settings:
@@ -255,7 +367,11 @@
     else:
         for each in findings:
             typer.echo(f"{each['code']} {each['what']}: {each['where']}\n    do: {each['advice']}")
-        typer.echo(f"{len(findings)} fault{'s' * (len(findings) > 1)} found" if findings else "no faults found")
+        typer.echo(
+            f"{len(findings)} fault{'s' * (len(findings) > 1)} found"
+            if findings
+            else "no faults found"
+        )
     raise typer.Exit(1 if findings else 0)
 
 
--- a/swiftdeck/programs/loop.py
+++ b/swiftdeck/programs/loop.py
@@ -1,4 +1,5 @@
 """How a program runs: a loop on the boot clock, signals, logs."""
+
 import asyncio
 import logging
 import signal
@@ -18,15 +19,20 @@
 def makeLog(name, level="info"):
     """Lines of JSON on standard error, for changes of state only."""
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.JSONRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelName(level.upper())),
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr))
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
     return structlog.get_logger().bind(process=name)
 
 
 def runUntilSignal(start, stop, onHangup=None) -> int:
     """Run a process until SIGTERM or SIGINT; gives its exit status."""
+
     async def main():
         loop, done = asyncio.get_running_loop(), asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -40,6 +46,7 @@
         await done.wait()
         await stop()
         return 0
+
     with asyncio.Runner(loop_factory=BootLoop) as runner:
         try:
             return runner.run(main())
--- a/swiftdeck/programs/tests.py
+++ b/swiftdeck/programs/tests.py
@@ -1,4 +1,5 @@
 """Hands over to the runner of the tests, which stand beside the package in a checkout."""
+
 import os
 import sys
 from pathlib import Path
@@ -8,7 +9,9 @@
     """Become the runner, with one order of hashes for all runs; gives a status only if there are no tests."""
     root = Path(__file__).resolve().parent.parent.parent
     if not (root / "tests" / "runner.py").exists():
-        print("the tests are not installed with the package: run them from the root of a checkout\n0 passed, 1 failed")
+        print(
+            "the tests are not installed with the package: run them from the root of a checkout\n0 passed, 1 failed"
+        )
         return 1
     os.chdir(root)
     os.environ["PYTHONHASHSEED"] = "0"
--- a/swiftdeck/sim/folder.py
+++ b/swiftdeck/sim/folder.py
@@ -1,4 +1,5 @@
 """A simulated data folder: what was not synced is lost with the power."""
+
 import asyncio
 
 
@@ -52,8 +53,10 @@
 
     def losePower(self, torn=0):
         """Forget what was not synced, but for a torn first part of it."""
-        self.written = {name: bytearray(data + bytes(self.written.get(name, b""))[len(data):len(data) + torn])
-                        for name, data in self.synced.items()}
+        self.written = {
+            name: bytearray(data + bytes(self.written.get(name, b""))[len(data) : len(data) + torn])
+            for name, data in self.synced.items()
+        }
 
     def wipe(self):
         """Lose everything."""
--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -1,4 +1,5 @@
 """Simulated streams and datagrams, with cuts, delays and resets."""
+
 import asyncio
 
 HIGH_WATER = 65536
@@ -174,7 +175,9 @@
 
     def delayS(self, a, b):
         """How long one piece takes from `a` to `b`."""
-        return self.slow.get((a, b), 0.0) + (0.0002 if a == b else self.world.random.uniform(0.0003, 0.0009))
+        return self.slow.get((a, b), 0.0) + (
+            0.0002 if a == b else self.world.random.uniform(0.0003, 0.0009)
+        )
 
     def listen(self, loop, factory, host, port):
         """Open a listener; port 0 takes the next free one."""
@@ -191,7 +194,9 @@
         """Open a stream, as a process does."""
         done = loop.create_future()
         if not self.isCut(loop.ip, host):
-            self.world.at(self.delayS(loop.ip, host), lambda: self._reach(loop, factory, host, port, done))
+            self.world.at(
+                self.delayS(loop.ip, host), lambda: self._reach(loop, factory, host, port, done)
+            )
         return await done
 
     def _reach(self, loop, factory, host, port, done):
@@ -207,7 +212,10 @@
         server, serverFactory = found
         self.nextPort += 1
         local, remote = (loop.ip, self.nextPort), (host, port)
-        near, far = SimTransport(self, loop, local, remote), SimTransport(self, server, remote, local)
+        near, far = (
+            SimTransport(self, loop, local, remote),
+            SimTransport(self, server, remote, local),
+        )
         near.other, far.other = far, near
         self.open |= {near: None, far: None}
 
@@ -223,8 +231,11 @@
             near.protocol = factory()
             near.protocol.connection_made(near)
             done.set_result((near, near.protocol))
+
         server.call_soon(accept)
-        self.world.at(self.delayS(host, loop.ip), lambda: None if loop.dead else loop.call_soon(made))
+        self.world.at(
+            self.delayS(host, loop.ip), lambda: None if loop.dead else loop.call_soon(made)
+        )
 
     def _finish(self, done, error):
         if not done.done():
@@ -243,9 +254,23 @@
         def land():
             if not other.loop.dead and not other.gone:
                 other.loop.call_soon(self._arrive, other, item)
-            elif not other.loop.dead and isinstance(item, bytes) and not transport.gone and not transport.loop.dead:
-                self.world.at(self.delayS(b, a), lambda: None if transport.loop.dead else transport.loop.call_soon(
-                    self._arrive, transport, ConnectionResetError("reset by peer")))
+            elif (
+                not other.loop.dead
+                and isinstance(item, bytes)
+                and not transport.gone
+                and not transport.loop.dead
+            ):
+                self.world.at(
+                    self.delayS(b, a),
+                    lambda: (
+                        None
+                        if transport.loop.dead
+                        else transport.loop.call_soon(
+                            self._arrive, transport, ConnectionResetError("reset by peer")
+                        )
+                    ),
+                )
+
         self.world.at(at - self.world.now, land)
 
     def _arrive(self, transport, item):
@@ -272,12 +297,17 @@
             found = self.datagrams.get(tuple(addr))
             if found and not found[0].dead:
                 found[0].call_soon(found[1].datagram_received, data, transport.local)
+
         self.world.at(self.delayS(a, b), land)
 
     def drop(self, loop, silent):
         """Take all ends of a dead process away."""
-        self.listeners = {key: value for key, value in self.listeners.items() if value[0] is not loop}
-        self.datagrams = {key: value for key, value in self.datagrams.items() if value[0] is not loop}
+        self.listeners = {
+            key: value for key, value in self.listeners.items() if value[0] is not loop
+        }
+        self.datagrams = {
+            key: value for key, value in self.datagrams.items() if value[0] is not loop
+        }
         for transport in [each for each in self.open if each.loop is loop]:
             del self.open[transport]
             if not silent and not transport.gone and not transport.closing:
--- a/swiftdeck/sim/storm.py
+++ b/swiftdeck/sim/storm.py
@@ -1,4 +1,5 @@
 """Faults drawn from a seed, upon a whole site in virtual time, judged by the records."""
+
 import time
 from collections import Counter
 from unittest import mock
@@ -15,7 +16,15 @@
     def __init__(self, scenario, seed, seconds=60.0, site=None, routers=9, speed=0.1, **settings):
         self.scenario, self.seed, self.seconds = scenario, seed, seconds
         site = site or ("hinokuni" if seed % 2 else "serraria")
-        self.town = Town(seed, site, routers=routers, workers=None, speed=speed, models=2 if seed % 3 == 0 else 1, **settings)
+        self.town = Town(
+            seed,
+            site,
+            routers=routers,
+            workers=None,
+            speed=speed,
+            models=2 if seed % 3 == 0 else 1,
+            **settings,
+        )
         self.random = self.town.world.random
         self.done, self.falls, self.fallen = [], 0, {}
         self.weights, self.wallS, self.keys, self.isRolling = "w1", 0.0, 0, False
@@ -35,6 +44,7 @@
         def back():
             if self.fallen.pop(number, None):
                 town.record("operator")("back", id=number, target=name)
+
         return back
 
     def traffic(self):
@@ -42,9 +52,16 @@
         town = self.town
         town.caller.returns = 3
         isCrowded = self.seed // 2 % 2
-        agents = {name: 1 + (at < 2) if isCrowded else at < 3 for at, name in enumerate(town.site.keys)}
-        town.spawn(lambda: town.caller.run(self.seconds + 55, {name: int(count) for name, count in agents.items()},
-                                           1.5 if isCrowded else 1.0))
+        agents = {
+            name: 1 + (at < 2) if isCrowded else at < 3 for at, name in enumerate(town.site.keys)
+        }
+        town.spawn(
+            lambda: town.caller.run(
+                self.seconds + 55,
+                {name: int(count) for name, count in agents.items()},
+                1.5 if isCrowded else 1.0,
+            )
+        )
 
     def run(self) -> dict:
         """Traffic while faults come, then a closing fault; gives breaches and sums."""
@@ -79,16 +96,26 @@
         self.readBack()
         breaches = check(town.records, {town.site.apart})
         if town.world.faults:
-            breaches["noTraceback"] = [f"{name}: {context.get('message')} {context.get('exception')!r}"
-                                       for name, context in town.world.faults[:5]]
+            breaches["noTraceback"] = [
+                f"{name}: {context.get('message')} {context.get('exception')!r}"
+                for name, context in town.world.faults[:5]
+            ]
         failed = town.counters()["faults.404"] + town.counters()["http.faults.404"]
         if failed:
             breaches["noHandlerFails"] = [f"{failed} messages or exchanges met an internal fault"]
         back = [item for item in town.records if item["kind"] == "return"]
-        return {"seed": self.seed, "breaches": breaches, "faults": len(self.done), "returns": len(back),
-                "served": sum(item["whole"] for item in back), "codes": dict(Counter(item["code"] for item in back)),
-                "runs": sum(item["kind"] == "run" for item in town.records), "version": town.version,
-                "steps": world.steps, "acts": dict(town.counters())}
+        return {
+            "seed": self.seed,
+            "breaches": breaches,
+            "faults": len(self.done),
+            "returns": len(back),
+            "served": sum(item["whole"] for item in back),
+            "codes": dict(Counter(item["code"] for item in back)),
+            "runs": sum(item["kind"] == "run" for item in town.records),
+            "version": town.version,
+            "steps": world.steps,
+            "acts": dict(town.counters()),
+        }
 
     def quiet(self):
         """Some seconds in which nothing fails and changes are made."""
@@ -101,8 +128,17 @@
     def closing(self):
         """One last fault that nobody mends, or an outage that ends by itself."""
         town = self.town
-        fault = self.random.choice(["kill some", "cut a zone", "kill all cores", "freeze keeper and tail", "cut the core in two",
-                                    "whole outage", "platform restarts"])
+        fault = self.random.choice(
+            [
+                "kill some",
+                "cut a zone",
+                "kill all cores",
+                "freeze keeper and tail",
+                "cut the core in two",
+                "whole outage",
+                "platform restarts",
+            ]
+        )
         tail = next((name for name in town.coreNames() if town.up[name].chain.isLast()), None)
         keeper = town.keeper()
         self.log(f"closing: {fault}")
@@ -116,7 +152,11 @@
             zone = self.random.choice(["z1", "z2", "z3"])
             nodes = [*town.site.cores, *town.site.routers]
             near = [self._ip(node["name"]) for node in nodes if node["zone"] == zone]
-            near += [worker["addr"].rpartition(":")[0] for worker in town.site.workers if worker["zone"] == zone]
+            near += [
+                worker["addr"].rpartition(":")[0]
+                for worker in town.site.workers
+                if worker["zone"] == zone
+            ]
             for node in [*nodes, *town.site.workers]:
                 if node["zone"] == zone:
                     self.fall(node["name"])
@@ -127,15 +167,22 @@
         elif fault == "cut the core in two":
             names = town.coreNames()
             alone = self._pick(names)
-            town.world.net.cut([self._ip(alone)], [self._ip(name) for name in town.addresses if name != alone])
+            town.world.net.cut(
+                [self._ip(alone)], [self._ip(name) for name in town.addresses if name != alone]
+            )
         elif fault == "whole outage":
             for name in [*town.coreNames(), *town.routerNames(), *self._workers()]:
                 self._kill(name, least=0.5, most=2.0)
         elif fault == "platform restarts":
             town.world.kill("platform")
             self.fall("platform")
-            self._later(lambda: town.world.start("platform", town.site.platform.rpartition(":")[0], town.up["platform"].start),
-                        1, 4)
+            self._later(
+                lambda: town.world.start(
+                    "platform", town.site.platform.rpartition(":")[0], town.up["platform"].start
+                ),
+                1,
+                4,
+            )
         else:
             for name in [each for each in (tail, keeper) if each]:
                 self.fall(name)
@@ -147,8 +194,17 @@
         town = self.town
 
         def ask(route, tenant):
-            town.spawn(lambda: town.caller.call(tenant, route, [town.caller.book[route], "again"], maxTokens=16, isLast=True,
-                                                timeoutS=10))
+            town.spawn(
+                lambda: town.caller.call(
+                    tenant,
+                    route,
+                    [town.caller.book[route], "again"],
+                    maxTokens=16,
+                    isLast=True,
+                    timeoutS=10,
+                )
+            )
+
         for at in range(seconds):
             for route in sorted(town.caller.book):
                 town.world.at(at, lambda route=route: ask(route, self._pick(town.site.keys)))
@@ -188,10 +244,15 @@
         def again():
             self._back(name)
             back()
+
         self._later(again, least, most)
 
     def _workers(self):
-        return [worker["name"] for worker in self.town.site.workers if worker["name"] in self.town.world.loops]
+        return [
+            worker["name"]
+            for worker in self.town.site.workers
+            if worker["name"] in self.town.world.loops
+        ]
 
     def crashWorker(self):
         self._kill(self._pick(self._workers()))
@@ -214,7 +275,9 @@
             self._kill(name, least=0.5, most=3.0)
 
     def killMany(self):
-        for name in sorted(self.random.sample(self.town.routerNames(), min(4, len(self.town.routerNames())))):
+        for name in sorted(
+            self.random.sample(self.town.routerNames(), min(4, len(self.town.routerNames())))
+        ):
             self._kill(name, least=0.5, most=4.0)
         self.killCore()
 
@@ -230,11 +293,18 @@
 
         def look():
             for name in town.routerNames():
-                legs = [running.call.ledger.legs[-1] for running in town.up[name].running.values() if running.call.ledger.legs]
-                if name != town.keeper() and any(leg.grant is not None and not leg.wasSent for leg in legs):
+                legs = [
+                    running.call.ledger.legs[-1]
+                    for running in town.up[name].running.values()
+                    if running.call.ledger.legs
+                ]
+                if name != town.keeper() and any(
+                    leg.grant is not None and not leg.wasSent for leg in legs
+                ):
                     return self._freeze(name, least=3.2)
             if town.world.now < endS:
                 town.world.at(0.001, look)
+
         look()
 
     def freezeWorker(self):
@@ -251,6 +321,7 @@
                 if town.world.loops.get(name) is loop and loop.frozen:
                     town.world.thaw(name)
                 back()
+
             self._later(thaw, least, most)
 
     def _ip(self, name):
@@ -258,9 +329,15 @@
 
     def _cut(self, near, both=True):
         town = self.town
-        everyone = [self._ip(name) for name in town.addresses] + [town.site.platform.rpartition(":")[0]]
+        everyone = [self._ip(name) for name in town.addresses] + [
+            town.site.platform.rpartition(":")[0]
+        ]
         workers = [worker["addr"].rpartition(":")[0] for worker in town.site.workers]
-        far = [ip for ip in everyone + (workers if self.random.random() < 0.3 else []) if ip not in near]
+        far = [
+            ip
+            for ip in everyone + (workers if self.random.random() < 0.3 else [])
+            if ip not in near
+        ]
         backs = [self.fall(name) for name in town.routerNames() if self._ip(name) in near]
         pairs = town.world.net.cut(near, far, both)
         self.log(f"cut {near} both={both}")
@@ -269,6 +346,7 @@
             town.world.net.heal(pairs)
             for back in backs:
                 back()
+
         self._later(heal, 1, 15)
 
     def cutRouter(self):
@@ -283,7 +361,9 @@
 
     def loseDisk(self):
         town = self.town
-        if len(town.coreNames()) == 3 and all(town.up[name].agreement.position() >= 0 for name in town.coreNames()):
+        if len(town.coreNames()) == 3 and all(
+            town.up[name].agreement.position() >= 0 for name in town.coreNames()
+        ):
             name = self._pick(town.coreNames())
             self._patch({"models": {town.site.model: {"lineMax": self.random.randint(20, 90)}}})
             self._kill(name)
@@ -308,13 +388,18 @@
 
     def newAddress(self):
         town = self.town
-        if len(town.coreNames()) < 3 or any(town.up[name].agreement.position() < 0 for name in town.coreNames()):
+        if len(town.coreNames()) < 3 or any(
+            town.up[name].agreement.position() < 0 for name in town.coreNames()
+        ):
             return
         name = self._pick(town.coreNames())
         town.world.kill(name)
         town.folders[name].wipe()
         machine = f"{name}-{len(self.done)}"
-        town.addresses[name] |= {"inner": f"{town.ip(machine)}:7000", "http": f"{town.ip(machine)}:8000"}
+        town.addresses[name] |= {
+            "inner": f"{town.ip(machine)}:7000",
+            "http": f"{town.ip(machine)}:8000",
+        }
         town.seeds = [core["inner"] for core in town.site.cores]
         for other in [*town.coreNames(), *town.routerNames()]:
             town.up[other].membership.setSeeds(town.seeds)
@@ -326,16 +411,33 @@
         name, base = name or self._pick(town.coreNames()), town.version
         if name is None:
             return
-        changeId, askedMs = f"storm-{len(town.records)}-{self.random.getrandbits(32)}", int(town.world.now * 1000)
+        changeId, askedMs = (
+            f"storm-{len(town.records)}-{self.random.getrandbits(32)}",
+            int(town.world.now * 1000),
+        )
 
         async def work():
-            got = await fetchJson(town.addresses[name]["http"], "PATCH", f"/v1/config?base={base}", document,
-                                  [("change-id", changeId)], 14000)
+            got = await fetchJson(
+                town.addresses[name]["http"],
+                "PATCH",
+                f"/v1/config?base={base}",
+                document,
+                [("change-id", changeId)],
+                14000,
+            )
             if got and got[0] == 200:
                 town.version = max(town.version, got[1]["version"])
                 then()
-            town.record("operator")("change", method="PATCH", base=base, document=document, status=got[0] if got else 0,
-                                    answer=got[1] if got else {"changeId": changeId}, askedMs=askedMs)
+            town.record("operator")(
+                "change",
+                method="PATCH",
+                base=base,
+                document=document,
+                status=got[0] if got else 0,
+                answer=got[1] if got else {"changeId": changeId},
+                askedMs=askedMs,
+            )
+
         town.spawn(work)
 
     def patch(self):
@@ -346,30 +448,53 @@
             self.patch()
 
     def invalid(self):
-        self._patch({"tenants": {"nobody": {"keys": ["sha256:" + "0" * 64]}}, "routes": {"check": {"model": "nobody"}}})
+        self._patch(
+            {
+                "tenants": {"nobody": {"keys": ["sha256:" + "0" * 64]}},
+                "routes": {"check": {"model": "nobody"}},
+            }
+        )
 
     def rekey(self):
         """A tenant's key is exchanged; its callers know the new one once it is in force."""
         town, tenant = self.town, self._pick(self.town.site.keys)
         self.keys += 1
         key = f"key-{tenant}-{self.keys}"
-        self._patch({"tenants": {tenant: {"keys": [keyDigest(key)]}}}, lambda: town.caller.keys.update({tenant: key}))
+        self._patch(
+            {"tenants": {tenant: {"keys": [keyDigest(key)]}}},
+            lambda: town.caller.keys.update({tenant: key}),
+        )
         self.log(f"rekey {tenant}")
 
     def route(self):
         """A route comes, and goes with a later change."""
-        held = [name for item in self.town.records if item["kind"] == "change" and item["status"] == 200
-                for name, route in (item["document"].get("routes") or {}).items() if route and name.startswith("extra-")]
+        held = [
+            name
+            for item in self.town.records
+            if item["kind"] == "change" and item["status"] == 200
+            for name, route in (item["document"].get("routes") or {}).items()
+            if route and name.startswith("extra-")
+        ]
         if held and self.random.random() < 0.5:
             self._patch({"routes": {self.random.choice(held): None}})
         else:
-            self._patch({"routes": {f"extra-{len(self.town.records)}": {"model": self.town.site.model}}})
+            self._patch(
+                {"routes": {f"extra-{len(self.town.records)}": {"model": self.town.site.model}}}
+            )
 
     def powerAfterAck(self):
         """Power goes, of one core or of all, in the moment of an acknowledgement."""
-        names = self.town.coreNames() if self.random.random() < 0.5 else [self._pick(self.town.coreNames())]
-        self._patch({"models": {self.town.site.model: {"lineMax": self.random.randint(20, 90)}}},
-                    lambda: self.town.world.at(0.0, lambda: [self._kill(name, least=0.3, most=3.0) for name in names]))
+        names = (
+            self.town.coreNames()
+            if self.random.random() < 0.5
+            else [self._pick(self.town.coreNames())]
+        )
+        self._patch(
+            {"models": {self.town.site.model: {"lineMax": self.random.randint(20, 90)}}},
+            lambda: self.town.world.at(
+                0.0, lambda: [self._kill(name, least=0.3, most=3.0) for name in names]
+            ),
+        )
 
     def killAfterFault(self):
         """A second fault soon after a first: slow disk then power, freeze then kill, cut then restart."""
@@ -404,8 +529,14 @@
     def cutPlatform(self):
         """Some routers, or all, can't reach the platform, and one side may be shown a drain."""
         town = self.town
-        some = self.random.sample(town.routerNames(), self.random.randint(1, len(town.routerNames())))
-        pairs = town.world.net.cut([self._ip(name) for name in some], [town.site.platform.rpartition(":")[0]], self.random.random() < 0.5)
+        some = self.random.sample(
+            town.routerNames(), self.random.randint(1, len(town.routerNames()))
+        )
+        pairs = town.world.net.cut(
+            [self._ip(name) for name in some],
+            [town.site.platform.rpartition(":")[0]],
+            self.random.random() < 0.5,
+        )
         backs = [self.fall(name) for name in some]
         self.log(f"cut platform from {len(some)}")
         self._later(lambda: (town.world.net.heal(pairs), [back() for back in backs]), 1, 10)
@@ -420,7 +551,9 @@
         near = [keeper, *self.random.sample(others, len(others) // 2)]
         far = [self._ip(name) for name in others if name not in near]
         backs = [self.fall(name) for name in near]
-        pairs = town.world.net.cut([self._ip(name) for name in near], [town.site.platform.rpartition(":")[0], *far])
+        pairs = town.world.net.cut(
+            [self._ip(name) for name in near], [town.site.platform.rpartition(":")[0], *far]
+        )
         self.log(f"split list {near}")
         self._later(self.drain, 2, 3)
         self._later(lambda: (town.world.net.heal(pairs), [back() for back in backs]), 8, 12)
@@ -434,12 +567,15 @@
         folder = town.folders[name]
         folder.stallS = 0.9
         self.log(f"power before sync {name}")
-        self._patch({"models": {town.site.model: {"lineMax": self.random.randint(20, 90)}}}, name=self._pick(
-            [each for each in town.coreNames() if each != name]))
+        self._patch(
+            {"models": {town.site.model: {"lineMax": self.random.randint(20, 90)}}},
+            name=self._pick([each for each in town.coreNames() if each != name]),
+        )
 
         def lose():
             folder.stallS = 0.0
             self._kill(name, least=0.05, most=0.3)
+
         self._later(self.read, 0.4, 0.5)
         self._later(lose, 0.6, 0.8)
 
@@ -456,7 +592,10 @@
             near = [alone, *self.random.sample(routers, len(routers) // 2)]
             self._cut([self._ip(name) for name in near], True)
             for name in (alone, next(name for name in names if name != alone)):
-                self._patch({"models": {self.town.site.model: {"cap": self.random.randint(2, 8)}}}, name=name)
+                self._patch(
+                    {"models": {self.town.site.model: {"cap": self.random.randint(2, 8)}}},
+                    name=name,
+                )
 
     def rollWorkers(self):
         """All workers are replaced, one after another."""
@@ -488,8 +627,10 @@
                     town.folders[name].losePower()
                 self._back(name)
                 back()
+
             self.rolled[name] = again
             self._later(again, 4, 6)
+
         for at, name in enumerate(names):
             self._later(lambda name=name: roll(name), 1 + 8 * at, 2 + 8 * at)
         self.log("roll nodes")
@@ -503,7 +644,13 @@
 
     def grow(self):
         at = len(self.done)
-        self._patch({"routes": {f"grown-{at}-{number}": {"model": self.town.site.model} for number in range(400)}})
+        self._patch(
+            {
+                "routes": {
+                    f"grown-{at}-{number}": {"model": self.town.site.model} for number in range(400)
+                }
+            }
+        )
 
     def drain(self):
         self._release(self._pick([worker["name"] for worker in self.town.site.workers]))
@@ -511,8 +658,15 @@
     def _release(self, name):
         """A worker drains, leaves the list, ends, and a new one takes its place."""
         town = self.town
-        platform, plan = town.up.get("platform"), next(worker for worker in town.site.workers if worker["name"] == name)
-        left = [each for each in platform.workers.values() if not each["draining"] and each["model"] == plan["model"]]
+        platform, plan = (
+            town.up.get("platform"),
+            next(worker for worker in town.site.workers if worker["name"] == name),
+        )
+        left = [
+            each
+            for each in platform.workers.values()
+            if not each["draining"] and each["model"] == plan["model"]
+        ]
         if name not in platform.workers or platform.workers[name]["draining"] or len(left) < 2:
             return
         platform.drain(name)
@@ -529,14 +683,29 @@
             platform.add(plan)
             for back in falls:
                 back()
+
         self._later(leave, 4, 5.5)
         self._later(again, 6, 7)
 
     def quirk(self):
         town, name = self.town, self._pick(self._workers())
         if name:
-            worker, quirk = town.up[name], self.random.choice(
-                ["lose reports", "double reports", "late reports", "old reports", "die midway", "foreign", "repeat", "malformed", "hang"])
+            worker, quirk = (
+                town.up[name],
+                self.random.choice(
+                    [
+                        "lose reports",
+                        "double reports",
+                        "late reports",
+                        "old reports",
+                        "die midway",
+                        "foreign",
+                        "repeat",
+                        "malformed",
+                        "hang",
+                    ]
+                ),
+            )
             worker.quirk = quirk
             worker.record("quirk", quirk=quirk)
             self.log(f"quirk {name} {quirk}")
@@ -545,6 +714,7 @@
                 if town.up.get(name) is worker:
                     worker.quirk = ""
                     worker.record("quirk", quirk="")
+
             self._later(mend, 1, 6)
 
     def slowLinks(self):
@@ -570,7 +740,9 @@
         self.town.world.net.lossRate = self.random.choice([0.0, 0.1, 0.4])
 
     def slowClock(self):
-        loop = self.town.world.loops.get(self._pick([*self.town.coreNames(), *self.town.routerNames()]))
+        loop = self.town.world.loops.get(
+            self._pick([*self.town.coreNames(), *self.town.routerNames()])
+        )
         if loop:
             nowS = loop.time()
             loop.rate = self.random.choice([0.97, 1.0, 1.03])
@@ -586,8 +758,14 @@
         async def work():
             got = await fetchJson(town.addresses[name]["http"], "GET", "/v1/config", timeoutMs=5000)
             isGood = bool(got) and got[0] == 200
-            town.record("operator")("read", status=got[0] if got else 0, version=got[1]["version"] if isGood else 0,
-                                    askedMs=askedMs, **({"document": got[1]["document"]} if isGood else {}))
+            town.record("operator")(
+                "read",
+                status=got[0] if got else 0,
+                version=got[1]["version"] if isGood else 0,
+                askedMs=askedMs,
+                **({"document": got[1]["document"]} if isGood else {}),
+            )
+
         town.spawn(work)
 
     def mendAll(self):
@@ -621,16 +799,38 @@
         """What became of each undecided change, and the whole configuration at the end of the day."""
         town = self.town
         town.record("operator")("dayEnds")
-        known = {item["answer"].get("changeId") for item in town.records if item["kind"] == "change" and item["status"] == 200}
-        for item in [each for each in town.records if each["kind"] == "change" and each["status"] not in (200, 409, 422)]:
+        known = {
+            item["answer"].get("changeId")
+            for item in town.records
+            if item["kind"] == "change" and item["status"] == 200
+        }
+        for item in [
+            each
+            for each in town.records
+            if each["kind"] == "change" and each["status"] not in (200, 409, 422)
+        ]:
             changeId = item["answer"].get("changeId", "")
-            got = town.ask("GET", f"/v1/changes/{changeId}") if changeId and changeId not in known else None
+            got = (
+                town.ask("GET", f"/v1/changes/{changeId}")
+                if changeId and changeId not in known
+                else None
+            )
             if got and got[0] == 200:
-                item |= {"status": 200, "answer": got[1], "atMs": int(town.world.now * 1000), "settled": True}
+                item |= {
+                    "status": 200,
+                    "answer": got[1],
+                    "atMs": int(town.world.now * 1000),
+                    "settled": True,
+                }
         askedMs, got = int(town.world.now * 1000), town.ask("GET", "/v1/config")
         isGood = bool(got) and got[0] == 200
-        town.record("operator")("read", status=got[0] if got else 0, version=got[1]["version"] if isGood else 0, askedMs=askedMs,
-                                **({"document": got[1]["document"]} if isGood else {}))
+        town.record("operator")(
+            "read",
+            status=got[0] if got else 0,
+            version=got[1]["version"] if isGood else 0,
+            askedMs=askedMs,
+            **({"document": got[1]["document"]} if isGood else {}),
+        )
 
 
 CONTROL = ["patch", "race", "invalid", "rekey", "route"]
@@ -640,16 +840,57 @@
     "rolling": ["rollNodes", "rollNodes", "patch", "rekey"],
     "routers": ["killRouter", "killKeeper", "killRouter", "killMany"],
     "cores": ["killCore", "killAllCores", "powerAfterAck", "killAfterFault", *CONTROL],
-    "freezes": ["freeze", "freezeBusy", "freezeBusy", "freezeKeeper", "freezeWorker", "patch", "newWeights", "slowClock", "jumpWall"],
-    "disks": ["loseDisk", "fillDisk", "stallDisk", "slowDisk", "powerAfterAck", "powerBeforeSync", "powerBeforeSync", "killAfterFault", *CONTROL],
+    "freezes": [
+        "freeze",
+        "freezeBusy",
+        "freezeBusy",
+        "freezeKeeper",
+        "freezeWorker",
+        "patch",
+        "newWeights",
+        "slowClock",
+        "jumpWall",
+    ],
+    "disks": [
+        "loseDisk",
+        "fillDisk",
+        "stallDisk",
+        "slowDisk",
+        "powerAfterAck",
+        "powerBeforeSync",
+        "powerBeforeSync",
+        "killAfterFault",
+        *CONTROL,
+    ],
     "cuts": ["cutRouter", "cutCore", "oneWay", "writeBothSides", "loseDatagrams", *CONTROL],
     "addresses": ["newAddress", "patch", "killRouter"],
-    "operators": ["race", "invalid", "grow", "patch", "rekey", "route", "killCore", "freeze", "writeBothSides"],
+    "operators": [
+        "race",
+        "invalid",
+        "grow",
+        "patch",
+        "rekey",
+        "route",
+        "killCore",
+        "freeze",
+        "writeBothSides",
+    ],
     "weights": ["newWeights", "newWeights", "killKeeper", "cutRouter", "crashWorker", "freeze"],
     "store": ["loseStore", "slowLinks", "drain", "quirk"],
-    "platform": ["losePlatform", "cutPlatform", "splitList", "splitList", "drain", "cutRouter", "crashWorker"],
+    "platform": [
+        "losePlatform",
+        "cutPlatform",
+        "splitList",
+        "splitList",
+        "drain",
+        "cutRouter",
+        "crashWorker",
+    ],
 }
-SCENARIOS["mix"] = sorted({name for names in SCENARIOS.values() for name in names} - {"newAddress", "rollNodes", "rollWorkers"})
+SCENARIOS["mix"] = sorted(
+    {name for names in SCENARIOS.values() for name in names}
+    - {"newAddress", "rollNodes", "rollWorkers"}
+)
 
 
 BITES = {
--- a/swiftdeck/sim/town.py
+++ b/swiftdeck/sim/town.py
@@ -1,4 +1,5 @@
 """A whole site in one process: cores, routers and stand-ins on simulated machines."""
+
 import asyncio
 import random
 from collections import Counter
@@ -20,11 +21,23 @@
 class Town:
     """Starts, breaks and mends the processes of a site in virtual time, and collects the records."""
 
-    def __init__(self, seed=1, site="hinokuni", routers=3, workers=2, speed=0.2, models=1, cores=3, names_founders=False,
-                 **settings):
+    def __init__(
+        self,
+        seed=1,
+        site="hinokuni",
+        routers=3,
+        workers=2,
+        speed=0.2,
+        models=1,
+        cores=3,
+        names_founders=False,
+        **settings,
+    ):
         self.world = World(seed)
         self.ips = {}
-        self.site = planSite(site, self.ip, routers=routers, workers=workers, models=models, cores=cores)
+        self.site = planSite(
+            site, self.ip, routers=routers, workers=workers, models=models, cores=cores
+        )
         self.settings, self.speed = settings, speed
         self.records, self.folders, self.up = [], {}, {}
         self.addresses = {node["name"]: node for node in [*self.site.cores, *self.site.routers]}
@@ -34,15 +47,28 @@
 
     def ip(self, machine):
         """The address of a machine."""
-        return self.ips.setdefault(machine, f"10.0.{len(self.ips) // 200}.{len(self.ips) % 200 + 1}")
+        return self.ips.setdefault(
+            machine, f"10.0.{len(self.ips) // 200}.{len(self.ips) % 200 + 1}"
+        )
 
     def record(self, who):
         return ListRecord(self.records, who, lambda: self.world.now)
 
     def _settings(self, node):
-        founding = {"founders": self.seeds, "mayFound": self.is_first_start} if self.names_founders else {}
-        return Settings(name=node["name"], inner=node["inner"], http=node["http"], zone=node["zone"], seeds=self.seeds,
-                        platform=self.site.platform, store=self.site.store, **founding, **self.settings)
+        founding = (
+            {"founders": self.seeds, "mayFound": self.is_first_start} if self.names_founders else {}
+        )
+        return Settings(
+            name=node["name"],
+            inner=node["inner"],
+            http=node["http"],
+            zone=node["zone"],
+            seeds=self.seeds,
+            platform=self.site.platform,
+            store=self.site.store,
+            **founding,
+            **self.settings,
+        )
 
     def startCore(self, name):
         """Start a core on what its disk has."""
@@ -50,8 +76,11 @@
         folder = self.folders.setdefault(name, SimFolder())
 
         async def main():
-            self.up[name] = self.all[len(self.all)] = Core(self._settings(node), folder, random.Random(self.world.random.random()))
+            self.up[name] = self.all[len(self.all)] = Core(
+                self._settings(node), folder, random.Random(self.world.random.random())
+            )
             await self.up[name].start()
+
         self.world.start(name, node["inner"].rpartition(":")[0], main)
 
     def startRouter(self, name):
@@ -59,8 +88,11 @@
         node = self.addresses[name]
 
         async def main():
-            self.up[name] = self.all[len(self.all)] = Router(self._settings(node), random.Random(self.world.random.random()))
+            self.up[name] = self.all[len(self.all)] = Router(
+                self._settings(node), random.Random(self.world.random.random())
+            )
             await self.up[name].start()
+
         self.world.start(name, node["inner"].rpartition(":")[0], main)
 
     def startWorker(self, name, weights="w1", **more):
@@ -68,16 +100,26 @@
         plan = next(worker for worker in self.site.workers if worker["name"] == name)
 
         async def main():
-            self.up[name] = Worker(name, plan["addr"], self.record(name), random.Random(self.world.random.random()),
-                                   weights, self.site.store, **({"speed": self.speed} | more))
+            self.up[name] = Worker(
+                name,
+                plan["addr"],
+                self.record(name),
+                random.Random(self.world.random.random()),
+                weights,
+                self.site.store,
+                **({"speed": self.speed} | more),
+            )
             await self.up[name].start()
+
         self.world.start(name, plan["addr"].rpartition(":")[0], main)
 
     def startStore(self):
         """Start the store, empty."""
+
         async def main():
             self.up["store"] = Store(self.site.store, self.record("store"))
             await self.up["store"].start()
+
         self.world.start("store", self.site.store.rpartition(":")[0], main)
 
     def start(self, **model):
@@ -86,8 +128,11 @@
             self.startCore(node["name"])
 
         async def platform():
-            self.up["platform"] = Platform(self.site.platform, self.record("platform"), self.site.workers)
+            self.up["platform"] = Platform(
+                self.site.platform, self.record("platform"), self.site.workers
+            )
             await self.up["platform"].start()
+
         self.world.start("platform", self.site.platform.rpartition(":")[0], platform)
         self.startStore()
         for worker in self.site.workers:
@@ -97,8 +142,14 @@
         self.world.start("operator", self.ip("operator"), lambda: asyncio.sleep(0))
         self.world.start("callers", self.ip("callers"), lambda: asyncio.sleep(0))
         doors = [node["http"] for node in self.site.routers]
-        self.caller = Caller("c", doors, self.record("caller"), random.Random(self.world.random.random()), self.site.keys,
-                             routers={node["http"]: node["name"] for node in self.site.routers})
+        self.caller = Caller(
+            "c",
+            doors,
+            self.record("caller"),
+            random.Random(self.world.random.random()),
+            self.site.keys,
+            routers={node["http"]: node["name"] for node in self.site.routers},
+        )
         self.world.run(until=self.coresServe, limitS=30)
         got = self.change("PUT", self.site.document(**model))
         assert got[0] == 200, got
@@ -129,12 +180,23 @@
 
     def keeperNames(self):
         """The routers that keep the books of some model now."""
-        return {name for name in self.routerNames() for keeper in self.up[name].keepers.values() if keeper.duty.isHeld()}
+        return {
+            name
+            for name in self.routerNames()
+            for keeper in self.up[name].keepers.values()
+            if keeper.duty.isHeld()
+        }
 
     def counters(self):
         """All counters of all processes that ever ran, and those of the routers' workers' lists and doors."""
-        return sum((Counter(node.counters()) + Counter({f"http.{name}": count for name, count in node.http.count.items()})
-                    for node in self.all.values()), Counter())
+        return sum(
+            (
+                Counter(node.counters())
+                + Counter({f"http.{name}": count for name, count in node.http.count.items()})
+                for node in self.all.values()
+            ),
+            Counter(),
+        )
 
     def books(self):
         """The books of the present keeper."""
@@ -143,7 +205,10 @@
     def ask(self, method, path, body=None, name=None, headers=(), timeoutMs=15000):
         """An operator's exchange with a process."""
         name = name or self.coreNames()[0]
-        return self.world.do("operator", lambda: fetchJson(self.addresses[name]["http"], method, path, body, headers, timeoutMs))
+        return self.world.do(
+            "operator",
+            lambda: fetchJson(self.addresses[name]["http"], method, path, body, headers, timeoutMs),
+        )
 
     def change(self, method, document, base=None, name=None, changeId=None):
         """An operator's change on the newest version, recorded with what came back."""
@@ -154,13 +219,22 @@
         got = self.ask(method, f"/v1/config?base={base}", document, name, headers)
         if got and got[0] == 200:
             self.version = max(self.version, got[1]["version"])
-        self.record("operator")("change", method=method, base=base, document=document,
-                                status=got[0] if got else 0, answer=got[1] if got else {}, askedMs=askedMs)
+        self.record("operator")(
+            "change",
+            method=method,
+            base=base,
+            document=document,
+            status=got[0] if got else 0,
+            answer=got[1] if got else {},
+            askedMs=askedMs,
+        )
         return got
 
     def call(self, tenant, route, parts, **more):
         """One call, to its return."""
-        return self.world.do("callers", lambda: self.caller.call(tenant, route, parts, **more), limitS=200)
+        return self.world.do(
+            "callers", lambda: self.caller.call(tenant, route, parts, **more), limitS=200
+        )
 
     def spawn(self, make):
         """Run a coroutine of the callers beside all else; gives a list that will hold its result."""
@@ -168,6 +242,7 @@
 
         async def main():
             box.append(await make())
+
         loop = self.world.loops["callers"]
         self.world._within(loop, lambda: loop.create_task(main()))
         return box
--- a/swiftdeck/sim/world.py
+++ b/swiftdeck/sim/world.py
@@ -1,4 +1,5 @@
 """Virtual time: many simulated processes, each with a loop of its own, in one test process."""
+
 import asyncio
 import heapq
 import random
@@ -72,6 +73,7 @@
 
     def __init__(self, seed=1):
         from swiftdeck.sim.net import SimNet
+
         warnings.filterwarnings("ignore", "coroutine .* was never awaited")
         self.now, self.serial, self.heap = 0.0, 0, []
         self.random = random.Random(seed)
--- a/swiftdeck/traffic/book.py
+++ b/swiftdeck/traffic/book.py
@@ -1,4 +1,5 @@
 """The admission book of one worker: its open conversations, its cap, and its waiting line."""
+
 from collections import deque
 
 import attrs
@@ -51,12 +52,19 @@
 
     def ended(self, nowS: float, idleMs: float):
         """Conversations that are over: said to be so, or idle for long."""
-        return [each for each in self.open.values() if not each.running and
-                (each.isOver or nowS - each.idleSinceS > idleMs / 1000)]
+        return [
+            each
+            for each in self.open.values()
+            if not each.running and (each.isOver or nowS - each.idleSinceS > idleMs / 1000)
+        ]
 
     def longestPaused(self, nowS: float, pauseMs: float):
         """The conversation to end first when others wait, if one has paused long enough."""
-        paused = [each for each in self.open.values() if not each.running and nowS - each.idleSinceS > pauseMs / 1000]
+        paused = [
+            each
+            for each in self.open.values()
+            if not each.running and nowS - each.idleSinceS > pauseMs / 1000
+        ]
         return min(paused, key=lambda each: each.idleSinceS, default=None)
 
     def survival(self):
@@ -65,7 +73,10 @@
 
     def adapt(self, model):
         """Move the cap by prefix survival, not by how full the cache is."""
-        share, self.hits, self.returns = self.survival(), *((0, 0) if self.returns >= 5 else (self.hits, self.returns))
+        share, self.hits, self.returns = (
+            self.survival(),
+            *((0, 0) if self.returns >= 5 else (self.hits, self.returns)),
+        )
         if not model.adapts:
             self.cap = model.cap
         elif share is not None and share < 0.8:
--- a/swiftdeck/traffic/books.py
+++ b/swiftdeck/traffic/books.py
@@ -1,4 +1,5 @@
 """The admission books of one model: who is open where, and which conversation a prompt extends."""
+
 import asyncio
 import typing
 
@@ -20,7 +21,12 @@
     """Owner of the books: the other parts read them and change them only by its commands, each of which runs to its end."""
 
     def __init__(self, host: Host, board, decisions, holdLicenceMs=3000):
-        self.host, self.board, self.decisions, self.holdLicenceMs = host, board, decisions, holdLicenceMs
+        self.host, self.board, self.decisions, self.holdLicenceMs = (
+            host,
+            board,
+            decisions,
+            holdLicenceMs,
+        )
         self.loop = asyncio.get_running_loop()
         self.clear()
 
@@ -32,7 +38,9 @@
         """The book of a worker."""
         if worker not in self.table:
             config = self.host.config()
-            self.table[worker] = Book(worker, (config.capLeast if config.adapts else config.cap) if config else 1)
+            self.table[worker] = Book(
+                worker, (config.capLeast if config.adapts else config.cap) if config else 1
+            )
         return self.table[worker]
 
     def all(self):
@@ -55,7 +63,9 @@
         found = self.conversations.get(told.conversation)
         idleSinceS = max(nowS - told.idleMs / 1000, graceS)
         if found is None:
-            found = Conversation(told.conversation, told.tenant, told.group, told.worker, told.weights)
+            found = Conversation(
+                told.conversation, told.tenant, told.group, told.worker, told.weights
+            )
             found.idleSinceS = idleSinceS
             self.open(found)
         elif idleSinceS > found.idleSinceS and told.worker != found.worker:
@@ -109,7 +119,13 @@
         for last in conversation.lasts:
             self._forget(conversation, last)
         self.board.count["conversationsEnded"] += 1
-        self.decisions.add("end", conversation=conversation.name, worker=conversation.worker, why=why, turns=conversation.turns)
+        self.decisions.add(
+            "end",
+            conversation=conversation.name,
+            worker=conversation.worker,
+            why=why,
+            turns=conversation.turns,
+        )
 
     def _forget(self, conversation, last):
         names = self.byLast.get((conversation.tenant, last))
@@ -156,11 +172,19 @@
     def mend(self, sender, calls, settledS):
         """End what a router no longer runs; gives those of its calls that are not known here."""
         for each in list(self.conversations.values()):
-            for call in [call for call, (addr, sinceS) in each.running.items()
-                         if addr == sender and call not in calls and sinceS < settledS]:
+            for call in [
+                call
+                for call, (addr, sinceS) in each.running.items()
+                if addr == sender and call not in calls and sinceS < settledS
+            ]:
                 self.callEnded(each, call)
                 self.board.count["legEndsMended"] += 1
-        return calls - {call for each in self.conversations.values() for call, (addr, _) in each.running.items() if addr == sender}
+        return calls - {
+            call
+            for each in self.conversations.values()
+            for call, (addr, _) in each.running.items()
+            if addr == sender
+        }
 
     def endIdle(self, book: Book, config):
         """Close what has been idle for long, and follow the configuration's cap."""
@@ -171,13 +195,25 @@
 
     def drop(self, listed):
         """Forget the books of workers that are no longer listed and have nothing open."""
-        for name in [name for name, book in self.table.items() if name not in listed and not book.open and not len(book.line)]:
+        for name in [
+            name
+            for name, book in self.table.items()
+            if name not in listed and not book.open and not len(book.line)
+        ]:
             del self.table[name]
 
     def status(self, index):
         """The books in their outward form."""
         for worker in self.host.mine():
             self.of(worker.name)
-        return {name: {"open": len(book.open), "cap": book.cap, "line": len(book.line), "up": index.isUp(name),
-                       "weights": index.weights(name), "running": sum(len(each.running) for each in book.open.values())}
-                for name, book in sorted(self.table.items())}
+        return {
+            name: {
+                "open": len(book.open),
+                "cap": book.cap,
+                "line": len(book.line),
+                "up": index.isUp(name),
+                "weights": index.weights(name),
+                "running": sum(len(each.running) for each in book.open.values()),
+            }
+            for name, book in sorted(self.table.items())
+        }
--- a/swiftdeck/traffic/budget.py
+++ b/swiftdeck/traffic/budget.py
@@ -1,4 +1,5 @@
 """The shared budget of extra legs."""
+
 from collections import deque
 
 
