--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -1,12 +1,31 @@
 """One call on its way through a router: a ledger of legs from which the next move is derived."""
+
 import asyncio
 import hashlib
 from typing import Annotated
 
 import msgspec
 
-from swiftdeck.fault import (BAD_RETURN, CLAIM_LEFT, HORIZON, NO_CLAIM, NO_KEEPER, NO_ROUTE, NO_WORKER, OTHER_WEIGHTS, UNKNOWN_KEY, NO_LICENCE, STALE_LIST, UNREACHED, WAITED_OUT,
-                             WORKER_BAD, WORKER_HANGS, WORKER_LOST, WORKER_REFUSED, isFault)
+from swiftdeck.fault import (
+    BAD_RETURN,
+    CLAIM_LEFT,
+    HORIZON,
+    NO_CLAIM,
+    NO_KEEPER,
+    NO_ROUTE,
+    NO_WORKER,
+    OTHER_WEIGHTS,
+    UNKNOWN_KEY,
+    NO_LICENCE,
+    STALE_LIST,
+    UNREACHED,
+    WAITED_OUT,
+    WORKER_BAD,
+    WORKER_HANGS,
+    WORKER_LOST,
+    WORKER_REFUSED,
+    isFault,
+)
 from swiftdeck.http.client import connect, fetchJson
 from swiftdeck.traffic.ledger import Leg, Ledger, Move, nextMove
 from swiftdeck.traffic.prefix import chainOf, groupOf
@@ -39,8 +58,12 @@
         key = exchange.headers.get("idempotency-key", "")
         self.claimKey = f"{tenant}:{key}" if key and not route.repeatable else ""
         self.digest = hashlib.sha256(exchange.body).hexdigest()[:32] if self.claimKey else ""
-        self.ledger = Ledger(route.repeatable, bool(self.claimKey), startS * 1000 + route.waitMs,
-                             startS * 1000 + route.horizonMs)
+        self.ledger = Ledger(
+            route.repeatable,
+            bool(self.claimKey),
+            startS * 1000 + route.waitMs,
+            startS * 1000 + route.horizonMs,
+        )
         self.isLast = exchange.headers.get("conversation-end", "") not in ("", "0", "false")
         self.conversation, self.avoid, self.pieces, self.begun = "", [], [], False
         self.wasGranted, self.claiming, self.released = False, None, None
@@ -75,7 +98,9 @@
             self._release()
         leg = self.ledger.legs[-1] if self.ledger.legs else None
         if leg and leg.grant is None and (leg.fault is None or leg.fault.code == WAITED_OUT.code):
-            self.router.tellKeeper(self.route.model, GrantDrop(call=self.name, model=self.route.model))
+            self.router.tellKeeper(
+                self.route.model, GrantDrop(call=self.name, model=self.route.model)
+            )
         self._closeLeg()
 
     def _closeLeg(self):
@@ -94,7 +119,9 @@
         While the chain is mended a new conversation's slot does not stand empty for long; an open one keeps its own.
         """
         leg = self.ledger.legs[-1]
-        self.claiming = self.claiming or self.router.claims.claim(self.claimKey, self.name, self.digest)
+        self.claiming = self.claiming or self.router.claims.claim(
+            self.claimKey, self.name, self.digest
+        )
         boundMs = min(CLAIM_MS if leg.grant.isStart else 1e9, self._leftMs())
         await asyncio.wait([self.claiming], timeout=boundMs / 1000)
         if self.claiming.done():
@@ -145,7 +172,10 @@
         group = groupOf(self.tenant, tenant.apart)
         if (self.weights, group) != (model.weights, getattr(self, "group", None)):
             self.weights, self.group = model.weights, group
-            self.chain, self.talk = chainOf(model.weights, group, self.body.parts), chainOf("", group, self.body.parts)
+            self.chain, self.talk = (
+                chainOf(model.weights, group, self.body.parts),
+                chainOf("", group, self.body.parts),
+            )
         leg.fault = await self._askKeeper(leg)
 
     async def _askKeeper(self, leg):
@@ -153,11 +183,23 @@
         if keeper is None:
             return NO_KEEPER
         sliceMs, askedS = int(min(self._leftMs(), SLICE_MS)), self.loop.time()
-        ask = GrantAsk(router=self.router.me.name, call=self.name, leg=leg.number, tenant=self.tenant,
-                       model=self.route.model, group=self.group, chain=self.chain, talk=self.talk, weights=self.weights,
-                       waitMs=sliceMs, avoid=self.avoid, conversation=self.conversation,
-                       waitedMs=int((askedS - self.startS) * 1000), wasGranted=self.wasGranted,
-                       size=sum(map(len, self.body.parts[:-1])))
+        ask = GrantAsk(
+            router=self.router.me.name,
+            call=self.name,
+            leg=leg.number,
+            tenant=self.tenant,
+            model=self.route.model,
+            group=self.group,
+            chain=self.chain,
+            talk=self.talk,
+            weights=self.weights,
+            waitMs=sliceMs,
+            avoid=self.avoid,
+            conversation=self.conversation,
+            waitedMs=int((askedS - self.startS) * 1000),
+            wasGranted=self.wasGranted,
+            size=sum(map(len, self.body.parts[:-1])),
+        )
         got = await self.router.askKeeper(keeper, ask, sliceMs + 300)
         if isFault(got):
             return got
@@ -172,7 +214,11 @@
         if not router.licence.isHeld():
             return NO_LICENCE
         model = router.licence.held.document.models.get(self.route.model)
-        if model is None or model.weights != self.weights or router.licence.held.tenantByKey.get(self.keyDigest) != self.tenant:
+        if (
+            model is None
+            or model.weights != self.weights
+            or router.licence.held.tenantByKey.get(self.keyDigest) != self.tenant
+        ):
             return NO_LICENCE.because("configuration changed meanwhile", 200)
         if not router.workers.mayTake(leg.grant.worker):
             return STALE_LIST.because("worker drains, is gone, or the list is old", 200)
@@ -214,29 +260,57 @@
     async def _fetch(self, leg):
         boundMs = int(max(50, min(leg.grant.fetchMs, self._leftMs())))
         startMs = self.nowMs()
-        got = await fetchJson(leg.grant.url, "POST", "/v1/fetch", {
-            "from": leg.grant.fetchFrom, "chain": [link.hex() for link in self.chain], "weights": self.weights,
-            "group": self.group, "withinMs": boundMs, "call": self.name}, timeoutMs=boundMs)
+        got = await fetchJson(
+            leg.grant.url,
+            "POST",
+            "/v1/fetch",
+            {
+                "from": leg.grant.fetchFrom,
+                "chain": [link.hex() for link in self.chain],
+                "weights": self.weights,
+                "group": self.group,
+                "withinMs": boundMs,
+                "call": self.name,
+            },
+            timeoutMs=boundMs,
+        )
         tookMs = int(self.nowMs() - startMs)
         self.slowFrom = leg.grant.fetchFrom if isFault(got) or tookMs > 0.8 * boundMs else ""
         parts = got[1].get("parts", 0) if not isFault(got) and isinstance(got[1], dict) else 0
         self.router.board.count["fetches"] += 1
         self.router.board.count["fetchesBounded"] += bool(self.slowFrom)
         self.router.board.count["fetchedParts"] += parts if isinstance(parts, int) else 0
-        self.router.decisions.add("fetch", call=self.name, source=leg.grant.fetchFrom, worker=leg.grant.worker,
-                                  parts=parts, tookMs=tookMs)
+        self.router.decisions.add(
+            "fetch",
+            call=self.name,
+            source=leg.grant.fetchFrom,
+            worker=leg.grant.worker,
+            parts=parts,
+            tookMs=tookMs,
+        )
 
     slowFrom, keyDigest, group = "", "", None
 
     async def _runAtWorker(self, leg):
-        body = msgspec.json.encode({"run": self.run(), "call": self.name, "weights": self.weights, "group": self.group,
-                           "parts": self.body.parts, "maxTokens": self.body.maxTokens, "route": self.body.model,
-                           "tenant": self.tenant, "key": self.claimKey})
+        body = msgspec.json.encode(
+            {
+                "run": self.run(),
+                "call": self.name,
+                "weights": self.weights,
+                "group": self.group,
+                "parts": self.body.parts,
+                "maxTokens": self.body.maxTokens,
+                "route": self.body.model,
+                "tenant": self.tenant,
+                "key": self.claimKey,
+            }
+        )
         leftS = max(0.05, self.ledger.horizonMs / 1000 - self.loop.time())
         try:
             async with asyncio.timeout(min(leftS, self.route.firstPieceMs / 1000)):
-                got = await self.link.exchange("POST", "/v1/run", [("content-type", "application/json")], body,
-                                               leg.grant.url)
+                got = await self.link.exchange(
+                    "POST", "/v1/run", [("content-type", "application/json")], body, leg.grant.url
+                )
             if isFault(got):
                 return got if got.code != BAD_RETURN.code else WORKER_BAD.because(got.reason)
             if got.status == OTHER_WEIGHTS.status:
@@ -262,7 +336,11 @@
             except TimeoutError:
                 return self._late()
             if line is None:
-                fault = got.fault if got.fault is not None else WORKER_LOST.because("stream ended early")
+                fault = (
+                    got.fault
+                    if got.fault is not None
+                    else WORKER_LOST.because("stream ended early")
+                )
                 return fault if fault.code != BAD_RETURN.code else WORKER_BAD.because(fault.reason)
             if not line.strip():
                 continue
@@ -298,13 +376,26 @@
             self.pieces.append(piece.get("text", ""))
             return
         self._begin()
-        await self._event({"call": self.name, "run": piece["run"], "seq": piece["seq"], "text": piece.get("text", "")})
+        await self._event(
+            {
+                "call": self.name,
+                "run": piece["run"],
+                "seq": piece["seq"],
+                "text": piece.get("text", ""),
+            }
+        )
 
     def _begin(self):
         if not self.begun:
             self.begun = True
-            self.exchange.begin(200, [("content-type", "text/event-stream"), ("transfer-encoding", "chunked"),
-                                      ("call-id", self.name)])
+            self.exchange.begin(
+                200,
+                [
+                    ("content-type", "text/event-stream"),
+                    ("transfer-encoding", "chunked"),
+                    ("call-id", self.name),
+                ],
+            )
 
     async def _event(self, body, name=""):
         lead = f"event: {name}\n".encode() if name else b""
@@ -316,15 +407,26 @@
         if self.released is None:
             return fault
         await asyncio.wait([self.released], timeout=RELEASE_MS / 1000)
-        return fault if self.released.done() else CLAIM_LEFT.because(fault.reason or fault.name, fault.retryMs or None)
+        return (
+            fault
+            if self.released.done()
+            else CLAIM_LEFT.because(fault.reason or fault.name, fault.retryMs or None)
+        )
 
     async def _end(self, move, fault):
         leg = self.ledger.legs[-1] if self.ledger.legs else None
         self._closeLeg()
         if move is Move.FINISH:
             self.router.board.count["callsServed"] += 1
-            body = {"call": self.name, "run": self.run(), "end": True, "legs": len(self.ledger.sent()),
-                    "usage": self.usage, "worker": leg.grant.worker, "waitedMs": leg.grant.waitedMs}
+            body = {
+                "call": self.name,
+                "run": self.run(),
+                "end": True,
+                "legs": len(self.ledger.sent()),
+                "usage": self.usage,
+                "worker": leg.grant.worker,
+                "waitedMs": leg.grant.waitedMs,
+            }
             if not self.body.stream:
                 text = {"text": "".join(self.pieces)}
                 return await self.exchange.give(200, body | text, [("call-id", self.name)])
@@ -334,7 +436,9 @@
         if fault.notRun:
             fault = await self._promised(fault)
         self.router.board.count[f"faults.{fault.code}"] += 1
-        self.router.decisions.add("final", call=self.name, tenant=self.tenant, code=fault.code, why=fault.name)
+        self.router.decisions.add(
+            "final", call=self.name, tenant=self.tenant, code=fault.code, why=fault.name
+        )
         sent = self.ledger.sent()
         told = {"call": self.name} | ({"worker": sent[-1].grant.worker} if sent else {})
         if self.begun:
--- a/swiftdeck/traffic/claims.py
+++ b/swiftdeck/traffic/claims.py
@@ -1,4 +1,5 @@
 """Once-only claims of a router, written through the chain in batches."""
+
 import asyncio
 
 from swiftdeck.chain.state import CLAIM, FINISH, FULL, RELEASE
@@ -53,7 +54,9 @@
     async def _write(self, batch):
         got, name = NO_CLAIM, f"batch/{self.router}/{self.random.getrandbits(64):x}"
         while isFault(got) or len(got.results) != len(batch):
-            got = await self.scribe.write(name, {"t": "claims", "ops": [op for op, _ in batch]}, 8000)
+            got = await self.scribe.write(
+                name, {"t": "claims", "ops": [op for op, _ in batch]}, 8000
+            )
             self.board.count["claimBatches"] += 1
             if isFault(got):
                 self.board.count["claimBatchesAgain"] += 1
--- a/swiftdeck/traffic/decisions.py
+++ b/swiftdeck/traffic/decisions.py
@@ -1,4 +1,5 @@
 """The stream of decisions out: numbered, kept for a while, and honest about what was dropped."""
+
 import asyncio
 from collections import deque
 
@@ -30,7 +31,9 @@
 
     def about(self, name: str):
         """Those that name a call or a conversation, and those of the conversations that they name."""
-        direct = [item for item in self.items if name in (item.get("call"), item.get("conversation"))]
+        direct = [
+            item for item in self.items if name in (item.get("call"), item.get("conversation"))
+        ]
         talks = {item["conversation"] for item in direct if item.get("conversation")}
         return [item for item in self.items if item in direct or item.get("conversation") in talks]
 
--- a/swiftdeck/traffic/fetches.py
+++ b/swiftdeck/traffic/fetches.py
@@ -1,4 +1,5 @@
 """The fetch planner: where an admitted conversation's prefix comes from, if its worker lacks it."""
+
 import asyncio
 
 SLOW_S = 10.0
@@ -23,7 +24,9 @@
         here = self.index.depth(target, ask.chain)
         if here >= len(ask.chain) - 1:
             return ""
-        depths = {name: self.index.depth(name, ask.chain) for name in self.index.kept if name != target}
+        depths = {
+            name: self.index.depth(name, ask.chain) for name in self.index.kept if name != target
+        }
         best = max(depths, key=lambda name: (depths[name], self._speed(name, target)), default=None)
         listed = self.workers.workers.get(best)
         if best and depths[best] > here and listed and self._speed(best, target) >= 0:
@@ -34,7 +37,9 @@
 
     def _speed(self, source, target):
         """Below zero while a link was lately too slow to be worth a try."""
-        return -1 if self.links.get((source, target), -1e9) > asyncio.get_running_loop().time() else 0
+        return (
+            -1 if self.links.get((source, target), -1e9) > asyncio.get_running_loop().time() else 0
+        )
 
     def slow(self, addr, target):
         """A fetch over this link took too long."""
--- a/swiftdeck/traffic/index.py
+++ b/swiftdeck/traffic/index.py
@@ -1,4 +1,5 @@
 """The index of which worker keeps which prefix, fed by the workers' numbered reports."""
+
 import asyncio
 
 import msgspec
@@ -17,7 +18,11 @@
     def snapshot(self, body) -> bool:
         """Take a whole report; false when it is malformed."""
         try:
-            number, weights, kept = int(body["n"]), str(body["weights"]), {bytes.fromhex(each) for each in body["kept"]}
+            number, weights, kept = (
+                int(body["n"]),
+                str(body["weights"]),
+                {bytes.fromhex(each) for each in body["kept"]},
+            )
         except (KeyError, TypeError, ValueError):
             return False
         self.number, self.weights, self.prefixes = number, weights, kept
@@ -36,7 +41,9 @@
             if kind == "weights":
                 self.weights, self.prefixes = str(body["weights"]), set()
             else:
-                (self.prefixes.add if kind == "kept" else self.prefixes.discard)(bytes.fromhex(body["prefix"]))
+                (self.prefixes.add if kind == "kept" else self.prefixes.discard)(
+                    bytes.fromhex(body["prefix"])
+                )
         except (KeyError, TypeError, ValueError):
             return False
         self.number = number
@@ -53,7 +60,9 @@
     def follow(self, workers):
         """Follow these workers and no others."""
         wanted = {worker.name: worker for worker in workers}
-        for name in [name for name, (worker, _) in self.followers.items() if wanted.get(name) != worker]:
+        for name in [
+            name for name, (worker, _) in self.followers.items() if wanted.get(name) != worker
+        ]:
             self.followers.pop(name)[1].cancel()
             if name not in wanted:
                 self.kept.pop(name, None)
@@ -105,7 +114,9 @@
             return
         try:
             async with asyncio.timeout(1.5):
-                stream = await link.exchange("GET", f"/v1/events?since={kept.number}", host=worker.addr)
+                stream = await link.exchange(
+                    "GET", f"/v1/events?since={kept.number}", host=worker.addr
+                )
             if isFault(stream) or stream.status != 200:
                 return
             if not kept.isUp:
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/keeper.py
@@ -1,8 +1,17 @@
 """The keeper of a model: one process in which admission, placement and the retry budget are decided."""
+
 import asyncio
 
 from swiftdeck.duty.duty import Duty
-from swiftdeck.fault import BUDGET_SPENT, NOT_KEEPER, NO_LICENCE, NO_WORKER, OLD_VIEW, RECOVERING, isFault
+from swiftdeck.fault import (
+    BUDGET_SPENT,
+    NOT_KEEPER,
+    NO_LICENCE,
+    NO_WORKER,
+    OLD_VIEW,
+    RECOVERING,
+    isFault,
+)
 from swiftdeck.http.client import fetchJson
 from swiftdeck.traffic.books import Books
 from swiftdeck.traffic.budget import Budget
@@ -21,9 +30,22 @@
     """Held by one router at a time; it composes the books and what reads them, and hands messages to them."""
 
     def __init__(self, model, router):
-        self.model, self.router, self.board, self.settings = model, router, router.board, router.settings
-        self.duty = Duty(f"keeper/{model}", router.me, router.mesh, router.news, router.chart, router.random,
-                         router.settings.dutyLicenceMs, router.board)
+        self.model, self.router, self.board, self.settings = (
+            model,
+            router,
+            router.board,
+            router.settings,
+        )
+        self.duty = Duty(
+            f"keeper/{model}",
+            router.me,
+            router.mesh,
+            router.news,
+            router.chart,
+            router.random,
+            router.settings.dutyLicenceMs,
+            router.board,
+        )
         self.term = self.readyTerm = 0
         self.loading, self.adaptedS = set(), 0.0
 
@@ -32,7 +54,9 @@
         self.loop, router = asyncio.get_running_loop(), self.router
         self.index = PrefixIndex(self.board, self.onWorkers)
         self.books = Books(self, self.board, router.decisions, self.settings.holdLicenceMs)
-        self.placement = Placement(self, self.books, self.index, self.settings.virtualPlaces, self.settings.placesWeighed)
+        self.placement = Placement(
+            self, self.books, self.index, self.settings.virtualPlaces, self.settings.placesWeighed
+        )
         self.fetches = FetchPlanner(self, self.index, router.workers, self.settings.store)
         self.lines = Lines(self, self.books, self.placement, router, self._grant)
         self.moves = Moves(self.books, self.placement, router)
@@ -93,7 +117,9 @@
             self.readyTerm = term
             self.board.count["takeovers"] += 1
             self.takeover.release()
-            self.router.decisions.add("keeper", model=self.model, term=term, open=len(self.books.conversations))
+            self.router.decisions.add(
+                "keeper", model=self.model, term=term, open=len(self.books.conversations)
+            )
 
     def onWorkers(self):
         """The workers or their reports have changed: place anew who waits, follow whom we have."""
@@ -118,9 +144,13 @@
                 asyncio.ensure_future(self._loadOne(worker, config.weights))
 
     async def _loadOne(self, worker, weights):
-        got = await fetchJson(worker.addr, "POST", "/v1/weights", {"weights": weights}, timeoutMs=5000)
+        got = await fetchJson(
+            worker.addr, "POST", "/v1/weights", {"weights": weights}, timeoutMs=5000
+        )
         self.board.count["weightsAsked"] += 1
-        self.router.decisions.add("weights", worker=worker.name, weights=weights, taken=not isFault(got))
+        self.router.decisions.add(
+            "weights", worker=worker.name, weights=weights, taken=not isFault(got)
+        )
         await asyncio.sleep(0.5)
         self.loading.discard((worker.name, weights))
 
@@ -142,7 +172,9 @@
     async def onGrantAsk(self, ask, sender):
         """Grant a leg now, after a wait in line, or not at all."""
         startS = self.loop.time()
-        if not self.isReady() and not await self.takeover.gathered(startS - ask.waitedMs / 1000, ask.waitMs / 1000):
+        if not self.isReady() and not await self.takeover.gathered(
+            startS - ask.waitedMs / 1000, ask.waitMs / 1000
+        ):
             return RECOVERING if self.duty.isHeld() else NOT_KEEPER
         config = self.config()
         if config is None or ask.weights != config.weights or not self.router.licence.isHeld():
@@ -166,9 +198,16 @@
             self.budget.call(self.loop.time())
         self.board.count["grants"] += 1
         source = self.fetches.source(conversation.worker, ask)
-        return GrantReturn(term=self.term, worker=worker.name, url=worker.addr, conversation=conversation.name,
-                           isStart=isStart, fetchFrom=source, fetchMs=self.config().fetchMs if source else 0,
-                           earlier=earlier)
+        return GrantReturn(
+            term=self.term,
+            worker=worker.name,
+            url=worker.addr,
+            conversation=conversation.name,
+            isStart=isStart,
+            fetchFrom=source,
+            fetchMs=self.config().fetchMs if source else 0,
+            earlier=earlier,
+        )
 
     def _allowance(self):
         """This model's part of the site's allowance of extra legs."""
@@ -196,7 +235,9 @@
         if hold.term > self.term:
             return OLD_VIEW.because("router knows a newer keeper")
         self.books.seen(sender)
-        lost = self.books.mend(sender, set(hold.calls), self.loop.time() - 2 * self.settings.grantMs / 1000)
+        lost = self.books.mend(
+            sender, set(hold.calls), self.loop.time() - 2 * self.settings.grantMs / 1000
+        )
         if lost:
             await self.takeover.gather(sender, self.term)
         return HoldReturn(lost=sorted(lost))
@@ -204,6 +245,12 @@
     def status(self):
         """The books in their outward form."""
         config = self.config()
-        return {"model": self.model, "held": self.duty.isHeld(), "term": self.duty.term, "ready": self.isReady(),
-                "weights": config.weights if config else "", "lineMax": config.lineMax if config else 0,
-                "books": self.books.status(self.index) if self.duty.isHeld() else {}}
+        return {
+            "model": self.model,
+            "held": self.duty.isHeld(),
+            "term": self.duty.term,
+            "ready": self.isReady(),
+            "weights": config.weights if config else "",
+            "lineMax": config.lineMax if config else 0,
+            "books": self.books.status(self.index) if self.duty.isHeld() else {},
+        }
--- a/swiftdeck/traffic/ledger.py
+++ b/swiftdeck/traffic/ledger.py
@@ -1,13 +1,45 @@
 """The ledger of a call's legs, from which its next move is derived."""
+
 import enum
 
 import attrs
 
-from swiftdeck.fault import (HANDLER_FAILED, HORIZON, NO_CLAIM, NO_KEEPER, NO_LICENCE, NO_WORKER, NOT_KEEPER, OLD_TERM,
-                             RECOVERING, STALE_LIST, TIMED_OUT, UNREACHABLE, UNREACHED, WAITED_OUT, WORKER_LOST, Fault)
-
-AGAIN = {each.code for each in (WAITED_OUT, NO_WORKER, NO_LICENCE, STALE_LIST, NO_KEEPER, NO_CLAIM, UNREACHABLE, TIMED_OUT,
-                                HANDLER_FAILED, OLD_TERM, NOT_KEEPER, RECOVERING)}
+from swiftdeck.fault import (
+    HANDLER_FAILED,
+    HORIZON,
+    NO_CLAIM,
+    NO_KEEPER,
+    NO_LICENCE,
+    NO_WORKER,
+    NOT_KEEPER,
+    OLD_TERM,
+    RECOVERING,
+    STALE_LIST,
+    TIMED_OUT,
+    UNREACHABLE,
+    UNREACHED,
+    WAITED_OUT,
+    WORKER_LOST,
+    Fault,
+)
+
+AGAIN = {
+    each.code
+    for each in (
+        WAITED_OUT,
+        NO_WORKER,
+        NO_LICENCE,
+        STALE_LIST,
+        NO_KEEPER,
+        NO_CLAIM,
+        UNREACHABLE,
+        TIMED_OUT,
+        HANDLER_FAILED,
+        OLD_TERM,
+        NOT_KEEPER,
+        RECOVERING,
+    )
+}
 
 
 class Move(enum.Enum):
@@ -52,9 +84,15 @@
         """The final fault: one that promises "not run" only if nothing was ever sent."""
         sent = self.sent()
         if not sent:
-            return fault if fault.notRun else UNREACHED.because(fault.reason or fault.name, fault.retryMs or 1000)
+            return (
+                fault
+                if fault.notRun
+                else UNREACHED.because(fault.reason or fault.name, fault.retryMs or 1000)
+            )
         known = next((leg.fault for leg in reversed(sent) if leg.fault is not None), None)
-        return known if known is not None and not known.notRun else WORKER_LOST.because(fault.reason)
+        return (
+            known if known is not None and not known.notRun else WORKER_LOST.because(fault.reason)
+        )
 
 
 def nextMove(ledger: Ledger, nowMs: float):
--- a/swiftdeck/traffic/licence.py
+++ b/swiftdeck/traffic/licence.py
@@ -1,4 +1,5 @@
 """The licence of a router to serve by the configuration that it holds."""
+
 import asyncio
 
 import attrs
@@ -27,7 +28,13 @@
     """Renews from the tail, directly or through a neighbour; without it nothing is sent to a worker."""
 
     def __init__(self, me, mesh, membership, chart, board, renewMs=500):
-        self.me, self.mesh, self.membership, self.chart, self.board = me, mesh, membership, chart, board
+        self.me, self.mesh, self.membership, self.chart, self.board = (
+            me,
+            mesh,
+            membership,
+            chart,
+            board,
+        )
         self.renewMs = renewMs
         self.router = f"{me.name}/{me.incarnation:x}"
         self.held, self.untilS, self.watchers = None, -1.0, []
@@ -55,14 +62,21 @@
             self.board.put("configLicence", "held" if self.isHeld() else "lapsed")
             if not wasNew:
                 try:
-                    await asyncio.wait_for(self.kick.wait(), self.renewMs / 1000 if self.isHeld() else 0.15)
+                    await asyncio.wait_for(
+                        self.kick.wait(), self.renewMs / 1000 if self.isHeld() else 0.15
+                    )
                 except TimeoutError:
                     pass
             self.kick.clear()
 
     def _ask(self, handBack=False):
-        return LicenceAsk(router=self.router, addr=self.me.addr, held=self.held.version if self.held else 0,
-                          handBack=handBack, digest=self.held.config.digest() if self.held and not self.mustHaveWhole else b"")
+        return LicenceAsk(
+            router=self.router,
+            addr=self.me.addr,
+            held=self.held.version if self.held else 0,
+            handBack=handBack,
+            digest=self.held.config.digest() if self.held and not self.mustHaveWhole else b"",
+        )
 
     async def _renew(self):
         sentS, ask, tail = self.loop.time(), self._ask(), self.chart.tail()
@@ -81,17 +95,23 @@
 
     async def _peek(self):
         """Take what a tail has on its disk, to serve by without a lease: it was committed once, if perhaps not last."""
-        addrs = {each.addr for each in self.membership.alive("core")} | {ref.addr for ref in self.chart.view.members}
+        addrs = {each.addr for each in self.membership.alive("core")} | {
+            ref.addr for ref in self.chart.view.members
+        }
         got = await asyncio.gather(*(self.mesh.ask(addr, PeekAsk(), 500) for addr in sorted(addrs)))
         told = [each for each in got if isinstance(each, PeekReturn) and each.version]
         best = max(told, key=lambda each: each.view, default=None)
         if best is not None and self.held is None:
             self.board.count["configsPeeked"] += 1
-            self._install(LicenceReturn(version=best.version, document=best.document, digest=best.digest))
+            self._install(
+                LicenceReturn(version=best.version, document=best.document, digest=best.digest)
+            )
 
     async def _throughOthers(self, ask):
         some = self.membership.some(2, "router")
-        asked = [asyncio.ensure_future(self.mesh.ask(each.addr, Relay(ask=ask), 900)) for each in some]
+        asked = [
+            asyncio.ensure_future(self.mesh.ask(each.addr, Relay(ask=ask), 900)) for each in some
+        ]
         for each in asked:
             got = await each
             if not isFault(got):
@@ -120,7 +140,9 @@
             self.mustHaveWhole = True
             return False
         self.mustHaveWhole = False
-        byKey = {key: name for name, tenant in config.document.tenants.items() for key in tenant.keys}
+        byKey = {
+            key: name for name, tenant in config.document.tenants.items() for key in tenant.keys
+        }
         self.held = Held(got.version, config, byKey)
         self.board.put("config", got.version)
         for watch in self.watchers:
@@ -135,7 +157,13 @@
         try:
             for delta in got.deltas:
                 config = config.apply(msgspec.msgpack.decode(delta))
-        except (msgspec.DecodeError, msgspec.ValidationError, KeyError, TypeError, AttributeError) as error:
+        except (
+            msgspec.DecodeError,
+            msgspec.ValidationError,
+            KeyError,
+            TypeError,
+            AttributeError,
+        ) as error:
             return INVALID.because(repr(error))
         self.board.count["configsChanged"] += 1
         return config
--- a/swiftdeck/traffic/line.py
+++ b/swiftdeck/traffic/line.py
@@ -1,4 +1,5 @@
 """A waiting line that serves tenants in turn, first come first served within each."""
+
 from collections import deque
 
 import attrs
--- a/swiftdeck/traffic/lines.py
+++ b/swiftdeck/traffic/lines.py
@@ -1,4 +1,5 @@
 """The waiting lines of one model: who waits, who begins next."""
+
 import asyncio
 
 from swiftdeck.fault import LINE_FULL, NO_WORKER, WAITED_OUT, isFault
@@ -12,7 +13,13 @@
     """Owner of the places in line; it begins conversations by commands to the books."""
 
     def __init__(self, host, books, placement, router, grant):
-        self.host, self.books, self.placement, self.router, self.grant = host, books, placement, router, grant
+        self.host, self.books, self.placement, self.router, self.grant = (
+            host,
+            books,
+            placement,
+            router,
+            grant,
+        )
         self.board, self.loop = router.board, asyncio.get_running_loop()
         self.waits = {}
 
@@ -27,11 +34,22 @@
         """A grant for a start, now or within the question's slice of the wait."""
         waiting = self.waits.get(ask.call)
         if waiting is None:
-            waiting = self.waits[ask.call] = Waiting(ask.tenant, ask, self.loop.create_future(),
-                                                     startS - ask.waitedMs / 1000, sender, startS)
+            waiting = self.waits[ask.call] = Waiting(
+                ask.tenant,
+                ask,
+                self.loop.create_future(),
+                startS - ask.waitedMs / 1000,
+                sender,
+                startS,
+            )
             self.place(waiting)
         else:
-            waiting.ask, waiting.done, waiting.sender, waiting.seenS = ask, self.loop.create_future(), sender, startS
+            waiting.ask, waiting.done, waiting.sender, waiting.seenS = (
+                ask,
+                self.loop.create_future(),
+                sender,
+                startS,
+            )
             for book in self.books.all():
                 if book.line.first() is waiting:
                     self.pump(book)
@@ -61,17 +79,30 @@
             return self._begin(book, waiting)
         if len(book.line) >= config.lineMax:
             self.board.count["lineFull"] += 1
-            self.router.decisions.add("refuse", call=ask.call, tenant=ask.tenant, worker=name, why="line full")
+            self.router.decisions.add(
+                "refuse", call=ask.call, tenant=ask.tenant, worker=name, why="line full"
+            )
             return self._give(waiting, LINE_FULL)
         book.line.add(waiting)
         self.board.count["waits"] += 1
-        self.router.decisions.add("wait", call=ask.call, tenant=ask.tenant, worker=name, line=len(book.line),
-                                  open=len(book.open), cap=book.cap)
+        self.router.decisions.add(
+            "wait",
+            call=ask.call,
+            tenant=ask.tenant,
+            worker=name,
+            line=len(book.line),
+            open=len(book.open),
+            cap=book.cap,
+        )
         self.pump(book)
 
     def pump(self, book):
         """Let the next ones begin while there is room."""
-        if not self.host.isReady() or self.host.config() is None or not self.router.workers.mayTake(book.worker):
+        if (
+            not self.host.isReady()
+            or self.host.config() is None
+            or not self.router.workers.mayTake(book.worker)
+        ):
             return
         while len(book.line):
             first = book.line.first()
@@ -95,14 +126,27 @@
 
     def replace(self, serving):
         """Place anew who waits for a worker that no longer serves."""
-        lost = [(book, each) for name, book in self.books.table.items() if name not in serving for each in book.line]
+        lost = [
+            (book, each)
+            for name, book in self.books.table.items()
+            if name not in serving
+            for each in book.line
+        ]
         for book, each in lost:
             book.line.remove(each)
             self.place(each)
 
     def leave(self, call):
         """A caller went away while its agent waited."""
-        found = next(((book, each) for book in self.books.table.values() for each in book.line if each.ask.call == call), None)
+        found = next(
+            (
+                (book, each)
+                for book in self.books.table.values()
+                for each in book.line
+                if each.ask.call == call
+            ),
+            None,
+        )
         if found:
             found[0].line.remove(found[1])
             self._forget(found[1])
@@ -118,8 +162,16 @@
         self.books.open(conversation)
         self.board.count["starts"] += 1
         waitedMs = int((self.loop.time() - waiting.sinceS) * 1000)
-        self.router.decisions.add("start", call=ask.call, tenant=ask.tenant, conversation=name, worker=book.worker,
-                                  waitedMs=waitedMs, open=len(book.open), cap=book.cap)
+        self.router.decisions.add(
+            "start",
+            call=ask.call,
+            tenant=ask.tenant,
+            conversation=name,
+            worker=book.worker,
+            waitedMs=waitedMs,
+            open=len(book.open),
+            cap=book.cap,
+        )
         got = self.grant(conversation, ask, waiting.sender, True)
         if not isFault(got):
             got.waitedMs = waitedMs
--- a/swiftdeck/traffic/moves.py
+++ b/swiftdeck/traffic/moves.py
@@ -1,4 +1,5 @@
 """What becomes of an open conversation whose worker leaves."""
+
 import asyncio
 
 from swiftdeck.fault import NO_WORKER
@@ -16,7 +17,11 @@
         book = self.books.of(worker)
         listed = self.router.workers.workers.get(worker)
         isLost = listed is None or listed.draining or worker in ask.avoid
-        if not isLost and book.shunnedUntilS <= nowS and not self.placement.otherWeights(worker, ask.weights):
+        if (
+            not isLost
+            and book.shunnedUntilS <= nowS
+            and not self.placement.otherWeights(worker, ask.weights)
+        ):
             return None
         target = next((name for name in self.placement.candidates(ask) if name != worker), None)
         if target is None:
@@ -26,5 +31,7 @@
         over = len(fresh.open) > fresh.cap
         self.router.board.count["moves"] += 1
         self.router.board.count["movesOverCap"] += over
-        self.router.decisions.add("move", conversation=conversation.name, old=worker, new=target, overCap=over)
+        self.router.decisions.add(
+            "move", conversation=conversation.name, old=worker, new=target, overCap=over
+        )
         return None
--- a/swiftdeck/traffic/placement.py
+++ b/swiftdeck/traffic/placement.py
@@ -1,4 +1,5 @@
 """Where a conversation goes: the ring, warmth among its first places, and who is shunned."""
+
 import asyncio
 
 from swiftdeck.traffic.ring import Ring
@@ -29,17 +30,33 @@
     def candidates(self, ask):
         """Workers in the order in which a start would take them."""
         nowS = asyncio.get_running_loop().time()
-        places = [name for name in self.ring.walk(ask.chain[-1] + ask.group.encode()) if name not in ask.avoid]
+        places = [
+            name
+            for name in self.ring.walk(ask.chain[-1] + ask.group.encode())
+            if name not in ask.avoid
+        ]
         fit = [name for name in places if self.index.weights(name) in ("", ask.weights)]
-        good = [name for name in fit if self.books.of(name).shunnedUntilS <= nowS and self.index.isUp(name)]
+        good = [
+            name
+            for name in fit
+            if self.books.of(name).shunnedUntilS <= nowS and self.index.isUp(name)
+        ]
         return good or fit
 
     def nominate(self, ask):
         """The worker for a start: with room if one of the first places has it, and there the warmest."""
-        few = self.candidates(ask)[:self.placesWeighed]
+        few = self.candidates(ask)[: self.placesWeighed]
         if not few:
             return None
-        roomy = [name for name in few if self.books.of(name).hasRoom() and not len(self.books.of(name).line)]
-        places = roomy or [name for name in few if len(self.books.of(name).line) < self.host.config().lineMax] or few
+        roomy = [
+            name
+            for name in few
+            if self.books.of(name).hasRoom() and not len(self.books.of(name).line)
+        ]
+        places = (
+            roomy
+            or [name for name in few if len(self.books.of(name).line) < self.host.config().lineMax]
+            or few
+        )
         best = max(self.index.depth(name, ask.chain) for name in places)
         return next(name for name in places if self.index.depth(name, ask.chain) == best)
--- a/swiftdeck/traffic/prefix.py
+++ b/swiftdeck/traffic/prefix.py
@@ -1,4 +1,5 @@
 """Names of prefixes: a chain of digests over weights, isolation group and prompt parts."""
+
 import hashlib
 
 SHARED_GROUP = "shared"
@@ -14,6 +15,8 @@
     link = hashlib.blake2b(f"{len(weights)}:{weights}{group}".encode(), digest_size=16).digest()
     chain = []
     for part in parts:
-        link = hashlib.blake2b(link + part.encode("utf-8", "surrogatepass"), digest_size=16).digest()
+        link = hashlib.blake2b(
+            link + part.encode("utf-8", "surrogatepass"), digest_size=16
+        ).digest()
         chain.append(link)
     return chain
--- a/swiftdeck/traffic/ring.py
+++ b/swiftdeck/traffic/ring.py
@@ -1,4 +1,5 @@
 """Placement: a ring on which each worker holds many virtual places."""
+
 import bisect
 import hashlib
 
@@ -12,7 +13,11 @@
 
     def __init__(self, workers, places=128):
         self.workers = sorted(workers)
-        spots = sorted((_hash(f"{worker}#{place}".encode()), worker) for worker in self.workers for place in range(places))
+        spots = sorted(
+            (_hash(f"{worker}#{place}".encode()), worker)
+            for worker in self.workers
+            for place in range(places)
+        )
         self.hashes = [spot for spot, _ in spots]
         self.owners = [worker for _, worker in spots]
 
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -1,4 +1,5 @@
 """A router process: callers' door, legs towards workers, and the duties that it wins."""
+
 import asyncio
 import json
 
@@ -9,8 +10,22 @@
 from swiftdeck.chain.scribe import Scribe
 from swiftdeck.config.document import keyDigest
 from swiftdeck.control.node import Node
-from swiftdeck.fault import (BAD_METHOD, BAD_OPERATOR, BAD_REQUEST, BUSY, NOT_FOUND, NOT_KEEPER, NO_LICENCE, NO_ROUTE,
-                             OLD_TERM, STOPPING, TOO_LARGE, UNKNOWN_KEY, UNREACHED, isFault)
+from swiftdeck.fault import (
+    BAD_METHOD,
+    BAD_OPERATOR,
+    BAD_REQUEST,
+    BUSY,
+    NOT_FOUND,
+    NOT_KEEPER,
+    NO_LICENCE,
+    NO_ROUTE,
+    OLD_TERM,
+    STOPPING,
+    TOO_LARGE,
+    UNKNOWN_KEY,
+    UNREACHED,
+    isFault,
+)
 from swiftdeck.http.server import HttpServer
 from swiftdeck.traffic.call import Call, CallBody
 from swiftdeck.traffic.claims import Claims
@@ -18,7 +33,16 @@
 from swiftdeck.traffic.keeper import Keeper
 from swiftdeck.traffic.licence import ConfigLicence
 from swiftdeck.traffic.workers import WorkerList
-from swiftdeck.wire.messages import GrantAsk, GrantDrop, Hold, HoldReturn, LegEnd, OpenAsk, OpenConversation, OpenReturn
+from swiftdeck.wire.messages import (
+    GrantAsk,
+    GrantDrop,
+    Hold,
+    HoldReturn,
+    LegEnd,
+    OpenAsk,
+    OpenConversation,
+    OpenReturn,
+)
 
 
 OUTAGE_S = 15.0
@@ -52,16 +76,26 @@
         self.chart = Chart(self.mesh, self.membership, self.news)
         self.scribe = Scribe(self.mesh, self.chart)
         self.licence = ConfigLicence(self.me, self.mesh, self.membership, self.chart, self.board)
-        self.workers = WorkerList(settings.platform, self.mesh, self.membership, self.board, settings.listMs,
-                                  settings.listOldMs)
+        self.workers = WorkerList(
+            settings.platform,
+            self.mesh,
+            self.membership,
+            self.board,
+            settings.listMs,
+            settings.listOldMs,
+        )
         self.claims = Claims(self.me.name, self.scribe, random, self.board)
         self.http = HttpServer(self.handle, settings.bodyBytes, note=self.board.note)
         self.keepers, self.known, self.running, self.served = {}, {}, {}, {}
         self.stopping, self.open = False, 0
         self.news.watch("duty/keeper/", self.onKeeperNews)
-        for kind, handler, isBound in ((GrantAsk, self.onGrantAsk, True), (LegEnd, self.onLegEnd, False),
-                                       (GrantDrop, self.onGrantDrop, False), (OpenAsk, self.onOpenAsk, False),
-                                       (Hold, self.onHold, False)):
+        for kind, handler, isBound in (
+            (GrantAsk, self.onGrantAsk, True),
+            (LegEnd, self.onLegEnd, False),
+            (GrantDrop, self.onGrantDrop, False),
+            (OpenAsk, self.onOpenAsk, False),
+            (Hold, self.onHold, False),
+        ):
             self.mesh.on(kind, handler, isBound)
 
     async def start(self):
@@ -84,7 +118,9 @@
         endS = self.loop.time() + self.settings.stopMs / 1000
         while self.open and self.loop.time() < endS:
             await asyncio.sleep(0.05)
-        await asyncio.gather(self.licence.handBack(), *(keeper.duty.handBack() for keeper in self.keepers.values()))
+        await asyncio.gather(
+            self.licence.handBack(), *(keeper.duty.handBack() for keeper in self.keepers.values())
+        )
         self.board.note("router stopped", open=self.open)
         self.mesh.close()
 
@@ -124,7 +160,9 @@
         if keeper is None:
             return
         if keeper[1] == self.me.addr:
-            {LegEnd: self.onLegEnd, GrantDrop: self.onGrantDrop}[type(message)](message, self.me.addr)
+            {LegEnd: self.onLegEnd, GrantDrop: self.onGrantDrop}[type(message)](
+                message, self.me.addr
+            )
         else:
             self.mesh.tell(keeper[1], message)
 
@@ -134,9 +172,17 @@
         if grant.term < self.known.get(model, (0, ""))[0]:
             return OLD_TERM.because(f"grant of term {grant.term}", 50)
         self.running[call.name] = Running(call, model, grant.term, askedS)
-        told = OpenConversation(conversation=grant.conversation, tenant=call.tenant, group=call.group,
-                                worker=grant.worker, last=call.talk[-1], parts=len(call.chain), call=call.name,
-                                weights=call.weights, leg=leg.number)
+        told = OpenConversation(
+            conversation=grant.conversation,
+            tenant=call.tenant,
+            group=call.group,
+            worker=grant.worker,
+            last=call.talk[-1],
+            parts=len(call.chain),
+            call=call.name,
+            weights=call.weights,
+            leg=leg.number,
+        )
         self.served[grant.conversation] = Served(told, model, self.loop.time(), grant.isStart)
         return None
 
@@ -149,8 +195,11 @@
     def isGrantValid(self, name) -> bool:
         """Whether a grant may still be acted on: its time counts from the question, or from the newest hold."""
         running = self.running.get(name)
-        return (running is not None and self.loop.time() - running.askedS <= self.settings.grantMs / 1000
-                and running.term >= self.known.get(running.model, (0, ""))[0])
+        return (
+            running is not None
+            and self.loop.time() - running.askedS <= self.settings.grantMs / 1000
+            and running.term >= self.known.get(running.model, (0, ""))[0]
+        )
 
     def legEnded(self, call, leg):
         """A leg is over: tell the keeper, and remember the conversation for a while."""
@@ -164,15 +213,31 @@
                 served.told.call = ""
         usage = call.usage if leg.isWhole else {}
         hits, parts = usage.get("hitParts", 0), usage.get("parts", 0)
-        isCounted = isinstance(hits, int) and isinstance(parts, int) and 0 <= hits <= parts < 1 << 31
-        isOver = (call.isLast or call.route.single) and (leg.isWhole or leg.fault is None or leg.wasSent)
+        isCounted = (
+            isinstance(hits, int) and isinstance(parts, int) and 0 <= hits <= parts < 1 << 31
+        )
+        isOver = (call.isLast or call.route.single) and (
+            leg.isWhole or leg.fault is None or leg.wasSent
+        )
         if isOver:
             self.served.pop(leg.grant.conversation, None)
-        self.tellKeeper(call.route.model, LegEnd(
-            router=self.me.name, call=call.name, leg=leg.number, conversation=leg.grant.conversation,
-            model=call.route.model, isOver=isOver, hits=hits if isCounted else 0, parts=parts if isCounted else 0,
-            neverSent=not leg.wasSent, isBad=leg.fault is not None and leg.fault.code == UNREACHED.code,
-            slowFrom=call.slowFrom, earlier=leg.grant.earlier))
+        self.tellKeeper(
+            call.route.model,
+            LegEnd(
+                router=self.me.name,
+                call=call.name,
+                leg=leg.number,
+                conversation=leg.grant.conversation,
+                model=call.route.model,
+                isOver=isOver,
+                hits=hits if isCounted else 0,
+                parts=parts if isCounted else 0,
+                neverSent=not leg.wasSent,
+                isBad=leg.fault is not None and leg.fault.code == UNREACHED.code,
+                slowFrom=call.slowFrom,
+                earlier=leg.grant.earlier,
+            ),
+        )
 
     async def onGrantAsk(self, ask, sender):
         keeper = self.keepers.get(ask.model)
@@ -205,8 +270,12 @@
         for name, served in list(self.served.items()):
             if not served.told.call and nowS - served.idleSinceS > idleS + OUTAGE_S:
                 del self.served[name]
-            elif served.model == ask.model and (served.told.isSent or not served.told.call or not served.isStart):
-                served.told.idleMs = 0 if served.told.call else int((nowS - served.idleSinceS) * 1000)
+            elif served.model == ask.model and (
+                served.told.isSent or not served.told.call or not served.isStart
+            ):
+                served.told.idleMs = (
+                    0 if served.told.call else int((nowS - served.idleSinceS) * 1000)
+                )
                 told.append(served.told)
         return OpenReturn(conversations=told)
 
@@ -226,13 +295,20 @@
     async def _hold(self, keeper, model, calls):
         sentS = self.loop.time()
         hold = Hold(router=self.me.name, model=model, calls=calls, term=keeper[0])
-        got = await (self.onHold(hold, self.me.addr) if keeper[1] == self.me.addr else
-                     self.mesh.ask(keeper[1], hold, 1000))
+        got = await (
+            self.onHold(hold, self.me.addr)
+            if keeper[1] == self.me.addr
+            else self.mesh.ask(keeper[1], hold, 1000)
+        )
         if not isFault(got):
             lost = set(got.lost) if isinstance(got, HoldReturn) else set()
             self.board.count["grantsLapsed"] += len(lost)
-            for running in [self.running[name] for name in calls if name in self.running and name not in lost]:
-                running.askedS = max(running.askedS, sentS) if running.term == keeper[0] else running.askedS
+            for running in [
+                self.running[name] for name in calls if name in self.running and name not in lost
+            ]:
+                running.askedS = (
+                    max(running.askedS, sentS) if running.term == keeper[0] else running.askedS
+                )
 
     async def handle(self, exchange):
         """One exchange at the callers' door."""
@@ -251,7 +327,9 @@
         if path == "/v1/decisions":
             return await self._decisions(exchange)
         if path.startswith("/v1/explain/"):
-            return await exchange.give(200, {"decisions": self.decisions.about(path.rsplit("/", 1)[1])})
+            return await exchange.give(
+                200, {"decisions": self.decisions.about(path.rsplit("/", 1)[1])}
+            )
         return NOT_FOUND
 
     async def _call(self, exchange):
@@ -304,8 +382,13 @@
             return BAD_REQUEST.because("since is a number")
         process = f"{self.me.incarnation:x}"
         at = int(since) if exchange.query.get("process", process) == process else 0
-        exchange.begin(200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")])
-        await exchange.piece(msgspec.json.encode({"kind": "process", "process": process, "name": self.me.name}) + b"\n")
+        exchange.begin(
+            200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")]
+        )
+        await exchange.piece(
+            msgspec.json.encode({"kind": "process", "process": process, "name": self.me.name})
+            + b"\n"
+        )
         while not self.stopping:
             lost, items = self.decisions.since(at)
             lead = [{"kind": "dropped", "count": lost}] if lost else []
@@ -323,14 +406,34 @@
         """What doctor and operators want to know of this process."""
         view, held = self.chart.view, self.licence.held
         return {
-            "name": self.me.name, "role": "router", "zone": self.me.zone, "stopping": self.stopping,
-            "view": {"number": view.number, "members": [ref.addr for ref in view.members],
-                     "voters": [ref.addr for ref in view.voters]},
-            "version": held.version if held else 0, "licence": self.licence.isHeld(),
-            "list": {"ageMs": self.workers.ageMs(), "fresh": self.workers.isFresh(),
-                     "workers": [msgspec.to_builtins(worker) for worker in self.workers.workers.values()]},
-            "keepers": {model: {"term": term, "addr": addr} for model, (term, addr) in self.known.items()},
+            "name": self.me.name,
+            "role": "router",
+            "zone": self.me.zone,
+            "stopping": self.stopping,
+            "view": {
+                "number": view.number,
+                "members": [ref.addr for ref in view.members],
+                "voters": [ref.addr for ref in view.voters],
+            },
+            "version": held.version if held else 0,
+            "licence": self.licence.isHeld(),
+            "list": {
+                "ageMs": self.workers.ageMs(),
+                "fresh": self.workers.isFresh(),
+                "workers": [
+                    msgspec.to_builtins(worker) for worker in self.workers.workers.values()
+                ],
+            },
+            "keepers": {
+                model: {"term": term, "addr": addr} for model, (term, addr) in self.known.items()
+            },
             "keeps": [keeper.status() for keeper in self.keepers.values() if keeper.duty.isHeld()],
-            "clockMs": self.clockMs(), "shared": self.settings.shared(), "tasks": self.taskCount(), "open": self.open, "running": len(self.running), "neighbours": self.neighbours(),
-            "seeds": self.membership.seeds, "counters": self.counters(),
+            "clockMs": self.clockMs(),
+            "shared": self.settings.shared(),
+            "tasks": self.taskCount(),
+            "open": self.open,
+            "running": len(self.running),
+            "neighbours": self.neighbours(),
+            "seeds": self.membership.seeds,
+            "counters": self.counters(),
         }
--- a/swiftdeck/traffic/takeover.py
+++ b/swiftdeck/traffic/takeover.py
@@ -1,4 +1,5 @@
 """How a new keeper learns what is open before it grants a start."""
+
 import asyncio
 
 from swiftdeck.fault import isFault
@@ -25,7 +26,9 @@
         self.graceS = nowS + GRACE_S - (min(config.idleMs, config.pauseMs) / 1000 if config else 0)
         endS, heard = nowS + self.router.settings.holdLicenceMs / 1000, set()
         while self.duty.isHeld() and self.duty.term == term:
-            wanted = {each.addr for each in [self.router.me, *self.router.membership.alive("router")]} - heard
+            wanted = {
+                each.addr for each in [self.router.me, *self.router.membership.alive("router")]
+            } - heard
             got = await asyncio.gather(*(self.gather(addr, term) for addr in sorted(wanted)))
             heard |= {addr for addr, ok in zip(sorted(wanted), got) if ok}
             if all(got) or self.loop.time() > endS:
@@ -38,7 +41,11 @@
         """Take in what one router serves and served."""
         ask = OpenAsk(term=term, model=self.host.model, keeper=self.router.me.addr)
         isOwn = addr == self.router.me.addr
-        got = self.router.onOpenAsk(ask, addr) if isOwn else await self.router.mesh.ask(addr, ask, 800)
+        got = (
+            self.router.onOpenAsk(ask, addr)
+            if isOwn
+            else await self.router.mesh.ask(addr, ask, 800)
+        )
         if isFault(got):
             return False
         for each in got.conversations:
--- a/swiftdeck/traffic/workers.py
+++ b/swiftdeck/traffic/workers.py
@@ -1,4 +1,5 @@
 """The platform's list of workers as a router knows it, with its age."""
+
 import asyncio
 from typing import Annotated
 
@@ -65,7 +66,11 @@
     async def _reading(self):
         while True:
             startS = self.loop.time()
-            got = await fetchJson(self.platform, "GET", "/v1/workers", timeoutMs=1000) if self.platform else None
+            got = (
+                await fetchJson(self.platform, "GET", "/v1/workers", timeoutMs=1000)
+                if self.platform
+                else None
+            )
             if got and got[0] == 200:
                 self._take(msgspec.json.encode(got[1]), startS)
             if self.ageMs() > self.oldMs / 2:
--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -1,10 +1,20 @@
 """Links between processes: framed messages over TCP, single ones over UDP."""
+
 import asyncio
 import inspect
 import struct
 from collections import Counter
 
-from swiftdeck.fault import (BAD_FRAME, BUSY, HANDLER_FAILED, TIMED_OUT, UNKNOWN_KIND, UNREACHABLE, faultOf, isFault)
+from swiftdeck.fault import (
+    BAD_FRAME,
+    BUSY,
+    HANDLER_FAILED,
+    TIMED_OUT,
+    UNKNOWN_KIND,
+    UNREACHABLE,
+    faultOf,
+    isFault,
+)
 from swiftdeck.wire.messages import KINDS, NUMBERS, Done, FaultReturn
 
 FRAME_LIMIT = 64 << 20
@@ -46,12 +56,12 @@
         self.buffer += data
         at = 0
         while len(self.buffer) - at >= 4:
-            length = int.from_bytes(self.buffer[at:at + 4], "big")
+            length = int.from_bytes(self.buffer[at : at + 4], "big")
             if length > FRAME_LIMIT:
                 return self.refuse("frame over the limit")
             if len(self.buffer) - at - 4 < length:
                 break
-            frame = bytes(self.buffer[at + 4:at + 4 + length])
+            frame = bytes(self.buffer[at + 4 : at + 4 + length])
             at += 4 + length
             if not self.mesh.take(frame, self):
                 return self.refuse("frame does not parse")
@@ -99,7 +109,9 @@
         loop = asyncio.get_running_loop()
         ip, port = splitAddr(self.addr)
         self.server = await loop.create_server(lambda: Link(self), ip, port)
-        self.datagrams, _ = await loop.create_datagram_endpoint(lambda: Datagrams(self), local_addr=(ip, port))
+        self.datagrams, _ = await loop.create_datagram_endpoint(
+            lambda: Datagrams(self), local_addr=(ip, port)
+        )
 
     def close(self):
         """Stop listening and drop all links."""
@@ -124,7 +136,9 @@
         try:
             ip, port = splitAddr(addr)
             async with asyncio.timeout(1.0):
-                _, link = await asyncio.get_running_loop().create_connection(lambda: Link(self, addr), ip, port)
+                _, link = await asyncio.get_running_loop().create_connection(
+                    lambda: Link(self, addr), ip, port
+                )
             self.dialled[addr] = link
             return link
         except (OSError, ValueError, TimeoutError) as error:
@@ -134,7 +148,11 @@
 
     def _envelope(self, message, exchange=0, isReturn=False):
         sender = self.addr.encode()
-        return HEAD.pack(NUMBERS[type(message)], exchange, isReturn, len(sender)) + sender + bytes(message)
+        return (
+            HEAD.pack(NUMBERS[type(message)], exchange, isReturn, len(sender))
+            + sender
+            + bytes(message)
+        )
 
     async def ask(self, addr, message, timeoutMs=1000):
         """Send a message and give what comes back: a message or a fault; UNREACHABLE means it was never sent."""
@@ -184,16 +202,19 @@
         """Handle one arrived frame; false when it does not parse."""
         try:
             number, exchange, isReturn, length = HEAD.unpack_from(frame)
-            sender = frame[HEAD.size:HEAD.size + length].decode("ascii")
+            sender = frame[HEAD.size : HEAD.size + length].decode("ascii")
             kind = KINDS.get(number)
-            message = kind().parse(frame[HEAD.size + length:]) if kind else None
+            message = kind().parse(frame[HEAD.size + length :]) if kind else None
         except Exception:
             return False
         if isReturn:
             _, done = self.asked.get(exchange, (None, None))
             if done and not done.done():
-                done.set_result(faultOf(message.code, message.reason, message.retryMs or None)
-                                if isinstance(message, FaultReturn) else message)
+                done.set_result(
+                    faultOf(message.code, message.reason, message.retryMs or None)
+                    if isinstance(message, FaultReturn)
+                    else message
+                )
             return kind is not None
         handler, isBound = self.handlers.get(kind, (None, False))
         if handler is None:
@@ -229,7 +250,12 @@
 
     def _failed(self, error, message):
         self.count["faults.%d" % HANDLER_FAILED.code] += 1
-        self.note("handler failed", code=HANDLER_FAILED.code, kind=type(message).__name__, reason=repr(error))
+        self.note(
+            "handler failed",
+            code=HANDLER_FAILED.code,
+            kind=type(message).__name__,
+            reason=repr(error),
+        )
         return HANDLER_FAILED.because(type(message).__name__)
 
     def _giveBack(self, link, exchange, got):
--- a/tests/bench/outer/test_checker.py
+++ b/tests/bench/outer/test_checker.py
@@ -1,16 +1,52 @@
 """Tests of the checker of the platform's rules: a good day has no breach, and each planted one is caught."""
+
 import copy
 import unittest
 
 from swiftdeck.bench.outer.checker import RULES, Bounds, check
 
-DOCUMENT = {"version": 1, "routes": [
-    {"name": "r1", "hostname": "h", "path-start": "/once/", "route-type": "unsafe", "backend": "app", "tries": 2},
-    {"name": "r2", "hostname": "h", "path-start": "/safe/", "route-type": "safe", "backend": "app", "tries": 2},
-    {"name": "r3", "hostname": "h", "path-start": "/lm/", "route-type": "streaming", "backend": "lm", "resumable": False},
-    {"name": "r4", "hostname": "h", "path-start": "/up/", "route-type": "streaming", "backend": "lm", "resumable": True}],
+DOCUMENT = {
+    "version": 1,
+    "routes": [
+        {
+            "name": "r1",
+            "hostname": "h",
+            "path-start": "/once/",
+            "route-type": "unsafe",
+            "backend": "app",
+            "tries": 2,
+        },
+        {
+            "name": "r2",
+            "hostname": "h",
+            "path-start": "/safe/",
+            "route-type": "safe",
+            "backend": "app",
+            "tries": 2,
+        },
+        {
+            "name": "r3",
+            "hostname": "h",
+            "path-start": "/lm/",
+            "route-type": "streaming",
+            "backend": "lm",
+            "resumable": False,
+        },
+        {
+            "name": "r4",
+            "hostname": "h",
+            "path-start": "/up/",
+            "route-type": "streaming",
+            "backend": "lm",
+            "resumable": True,
+        },
+    ],
     "backends": [{"name": "app"}, {"name": "lm"}],
-    "customers": [{"name": "t", "api-keys": ["k"]}, {"name": "u", "api-keys": ["l"], "isolated": True}]}
+    "customers": [
+        {"name": "t", "api-keys": ["k"]},
+        {"name": "u", "api-keys": ["l"], "isolated": True},
+    ],
+}
 
 
 def line(at_ms, kind, **fields):
@@ -20,27 +56,82 @@
 
 def asked(at_ms, name, target="/once/1", key="k", after=0):
     """A try."""
-    return line(at_ms, "try", id=name, root=name, host="h", target=target, key=key, method="POST", body="b", router="router1", after=after,
-                mode="streaming" if target[1] in "lu" else "safe", resumable=False)
-
-
-def ran(at_ms, name, run, target="/once/1", service="app", version=0, tenant="t", after="", worker="w", model=""):
+    return line(
+        at_ms,
+        "try",
+        id=name,
+        root=name,
+        host="h",
+        target=target,
+        key=key,
+        method="POST",
+        body="b",
+        router="router1",
+        after=after,
+        mode="streaming" if target[1] in "lu" else "safe",
+        resumable=False,
+    )
+
+
+def ran(
+    at_ms,
+    name,
+    run,
+    target="/once/1",
+    service="app",
+    version=0,
+    tenant="t",
+    after="",
+    worker="w",
+    model="",
+):
     """The lines of a run."""
-    return [line(at_ms, "arrive", worker=worker, service=service, id=name),
-            line(at_ms, "run", worker=worker, service=service, id=name, run=run, tenant=tenant, version=version, model=model, method="POST",
-                 target=target, body="b", keyed=False, after=after),
-            line(at_ms + 9, "ran", worker=worker, id=name, run=run, whole=True)]
-
-
-def result(at_ms, name, status=200, seal="", complete=True, own=None, body="", mode="safe", events=()):
+    return [
+        line(at_ms, "arrive", worker=worker, service=service, id=name),
+        line(
+            at_ms,
+            "run",
+            worker=worker,
+            service=service,
+            id=name,
+            run=run,
+            tenant=tenant,
+            version=version,
+            model=model,
+            method="POST",
+            target=target,
+            body="b",
+            keyed=False,
+            after=after,
+        ),
+        line(at_ms + 9, "ran", worker=worker, id=name, run=run, whole=True),
+    ]
+
+
+def result(
+    at_ms, name, status=200, seal="", complete=True, own=None, body="", mode="safe", events=()
+):
     """What came back."""
-    return line(at_ms, "result", id=name, status=status, seal=seal, complete=complete, ownId=name if own is None else own, body=body,
-                mode=mode, events=[list(each) for each in events], rest=0)
+    return line(
+        at_ms,
+        "result",
+        id=name,
+        status=status,
+        seal=seal,
+        complete=complete,
+        ownId=name if own is None else own,
+        body=body,
+        mode=mode,
+        events=[list(each) for each in events],
+        rest=0,
+    )
 
 
 def answer(at_ms, name, run, seal, body="", events=0, status=200):
     """What a worker sends."""
-    return line(at_ms, "answer", id=name, run=run, seal=seal, status=status, body=body, events=events)
+    return line(
+        at_ms, "answer", id=name, run=run, seal=seal, status=status, body=body, events=events
+    )
 
 
 def good():
@@ -48,22 +139,37 @@
     second = copy.deepcopy(DOCUMENT) | {"version": 2}
     pieces = [(number, "c", "w#3" if number < 3 else "w#4") for number in (1, 2, 3, 4)]
     return [
-        line(0, "sent", version=1, base=0, document=DOCUMENT, bad=False), line(5, "told", version=1, base=0, status=200, bad=False),
-        asked(100, "a"), *ran(110, "a", "w#1"), answer(115, "a", "w#1", "s1", "B"), result(120, "a", seal="s1", body="B"),
-        asked(200, "b", "/lm/1"), *ran(210, "b", "w#2", "/lm/1", "lm", 1, model="m"), line(211, "read", run="w#2", new=5, origins=[["t", 1]]),
+        line(0, "sent", version=1, base=0, document=DOCUMENT, bad=False),
+        line(5, "told", version=1, base=0, status=200, bad=False),
+        asked(100, "a"),
+        *ran(110, "a", "w#1"),
+        answer(115, "a", "w#1", "s1", "B"),
+        result(120, "a", seal="s1", body="B"),
+        asked(200, "b", "/lm/1"),
+        *ran(210, "b", "w#2", "/lm/1", "lm", 1, model="m"),
+        line(211, "read", run="w#2", new=5, origins=[["t", 1]]),
         answer(212, "b", "w#2", "s2", events=2),
         result(220, "b", seal="s2", mode="streaming", events=[(1, "b", "w#2"), (2, "b", "w#2")]),
-        asked(300, "c", "/up/1"), *ran(310, "c", "w#3", "/up/1", "lm", 1, model="m"), answer(312, "c", "w#3", "s3", events=4),
-        *ran(330, "c", "w#4", "/up/1", "lm", 1, after="2", model="m"), answer(332, "c", "w#4", "s4", events=4),
+        asked(300, "c", "/up/1"),
+        *ran(310, "c", "w#3", "/up/1", "lm", 1, model="m"),
+        answer(312, "c", "w#3", "s3", events=4),
+        *ran(330, "c", "w#4", "/up/1", "lm", 1, after="2", model="m"),
+        answer(332, "c", "w#4", "s4", events=4),
         result(350, "c", seal="s3", mode="streaming", events=pieces),
         line(400, "order", worker="w", owner="core1", fence=3, model="m", version=2, status=202),
-        line(400, "naming", model="m", version=2), line(450, "named", model="m", version=2),
-        asked(500, "d"), line(505, "arrive", worker="w", service="app", id="d"), line(506, "refused", worker="w", id="d", status=503),
+        line(400, "naming", model="m", version=2),
+        line(450, "named", model="m", version=2),
+        asked(500, "d"),
+        line(505, "arrive", worker="w", service="app", id="d"),
+        line(506, "refused", worker="w", id="d", status=503),
         result(510, "d", status=503, seal=""),
-        line(600, "sent", version=2, base=1, document=second, bad=False), line(605, "told", version=2, base=1, status=200, bad=False),
+        line(600, "sent", version=2, base=1, document=second, bad=False),
+        line(605, "told", version=2, base=1, status=200, bad=False),
         line(610, "sent", version=3, base=1, document=DOCUMENT | {"version": 3}, bad=False),
-        line(615, "told", version=3, base=1, status=412, bad=False), line(700, "shown", worker="v", state="draining"),
-        line(9000, "readBack", document=second)]
+        line(615, "told", version=3, base=1, status=412, bad=False),
+        line(700, "shown", worker="v", state="draining"),
+        line(9000, "readBack", document=second),
+    ]
 
 
 class CheckerTest(unittest.TestCase):
@@ -81,14 +187,26 @@
         self.assertEqual(check(good()), {})
 
     def test_mixed(self):
-        for fits, fields in [({"kind": "result", "id": "a"}, {"seal": ""}), ({"kind": "result", "id": "a"}, {"seal": "s2"}),
-                             ({"kind": "result", "id": "a"}, {"body": "C"}), ({"kind": "result", "id": "a"}, {"ownId": "b"}),
-                             ({"kind": "ran", "id": "a"}, {"whole": False}), ({"kind": "answer", "id": "a"}, {"status": 500})]:
+        for fits, fields in [
+            ({"kind": "result", "id": "a"}, {"seal": ""}),
+            ({"kind": "result", "id": "a"}, {"seal": "s2"}),
+            ({"kind": "result", "id": "a"}, {"body": "C"}),
+            ({"kind": "result", "id": "a"}, {"ownId": "b"}),
+            ({"kind": "ran", "id": "a"}, {"whole": False}),
+            ({"kind": "answer", "id": "a"}, {"status": 500}),
+        ]:
             self.caught("MIXED", change=[(fits, fields)])
         self.caught("MIXED", line(800, "surplus", data="HTTP"))
 
     def test_unasked(self):
-        for fields in ({"method": "PUT"}, {"target": "/once/2"}, {"body": "c"}, {"keyed": True}, {"tenant": "u"}, {"tenant": ""}):
+        for fields in (
+            {"method": "PUT"},
+            {"target": "/once/2"},
+            {"body": "c"},
+            {"keyed": True},
+            {"tenant": "u"},
+            {"tenant": ""},
+        ):
             self.caught("UNASKED", change=[({"kind": "run", "id": "a"}, fields)])
         self.caught("UNASKED", *ran(800, "nobody", "w#9"))
 
@@ -98,7 +216,11 @@
 
     def test_refused(self):
         for status in (408, 421, 429, 503):
-            self.caught("REFUSED", *ran(508, "d", "w#9"), change=[({"kind": "result", "id": "d"}, {"status": status})])
+            self.caught(
+                "REFUSED",
+                *ran(508, "d", "w#9"),
+                change=[({"kind": "result", "id": "d"}, {"status": status})],
+            )
 
     def test_route(self):
         self.caught("ROUTE", change=[({"kind": "run", "id": "a"}, {"service": "lm"})])
@@ -106,16 +228,36 @@
         self.caught("ROUTE", asked(800, "e", target="/no/"), *ran(801, "e", "w#9", target="/no/"))
 
     def test_stale(self):
-        self.caught("STALE", change=[({"kind": "read", "run": "w#2"}, {"origins": [["t", 1], ["t", 2]]})])
+        self.caught(
+            "STALE", change=[({"kind": "read", "run": "w#2"}, {"origins": [["t", 1], ["t", 2]]})]
+        )
 
     def test_wall(self):
         self.caught("WALL", change=[({"kind": "read", "run": "w#2"}, {"origins": [["u", 1]]})])
-        self.caught("WALL", change=[({"kind": "try", "id": "b"}, {"key": "l"}), ({"kind": "run", "id": "b"}, {"tenant": "u"})])
+        self.caught(
+            "WALL",
+            change=[
+                ({"kind": "try", "id": "b"}, {"key": "l"}),
+                ({"kind": "run", "id": "b"}, {"tenant": "u"}),
+            ],
+        )
 
     def test_order(self):
-        for events in ([(1, "b", "w#2")], [(2, "b", "w#2"), (1, "b", "w#2")], [(1, "b", "w#2")] * 2, [(1, "b", "w#2"), (3, "b", "w#2")],
-                       [(1, "b", "w#2"), (2, "b", "w#9")], [(1, "b", "w#2"), (2, "a", "w#2")], []):
-            self.caught("ORDER", change=[({"kind": "result", "id": "b"}, {"events": [list(each) for each in events]})])
+        for events in (
+            [(1, "b", "w#2")],
+            [(2, "b", "w#2"), (1, "b", "w#2")],
+            [(1, "b", "w#2")] * 2,
+            [(1, "b", "w#2"), (3, "b", "w#2")],
+            [(1, "b", "w#2"), (2, "b", "w#9")],
+            [(1, "b", "w#2"), (2, "a", "w#2")],
+            [],
+        ):
+            self.caught(
+                "ORDER",
+                change=[
+                    ({"kind": "result", "id": "b"}, {"events": [list(each) for each in events]})
+                ],
+            )
         self.caught("ORDER", change=[({"kind": "run", "run": "w#4"}, {"after": "1"})])
 
     def test_budget(self):
@@ -125,42 +267,75 @@
 
     def test_one(self):
         def order(at_ms, owner, fence, status=202):
-            return line(at_ms, "order", worker="w", owner=owner, fence=fence, model="m", version=2, status=status)
+            return line(
+                at_ms,
+                "order",
+                worker="w",
+                owner=owner,
+                fence=fence,
+                model="m",
+                version=2,
+                status=status,
+            )
+
         self.caught("ONE", order(4000, "core2", 3))
         self.caught("ONE", order(4000, "core1", 2))
         self.caught("ONE", order(3000, "core2", 4))
         self.caught("ONE", order(4000, "core1", 2, 412), checks_fences=False)
-        self.assertEqual(check([*good(), order(4000, "core1", 2, 412), order(8000, "core2", 5)]), {})
+        self.assertEqual(
+            check([*good(), order(4000, "core1", 2, 412), order(8000, "core2", 5)]), {}
+        )
 
     def test_version(self):
         late = [asked(8500, "e", "/lm/1"), *ran(8510, "e", "w#9", "/lm/1", "lm", 1, model="m")]
         self.caught("VERSION", *late)
         self.assertEqual(check([*good(), *late], Bounds(troubles=[["router1", 4000, 5000]])), {})
-        self.assertEqual(check([*good(), *late], Bounds(troubles=[["router2", 4000, 5000]])).keys(), {"VERSION"})
+        self.assertEqual(
+            check([*good(), *late], Bounds(troubles=[["router2", 4000, 5000]])).keys(), {"VERSION"}
+        )
 
     def test_drain(self):
         late = [asked(3800, "e"), line(3801, "arrive", worker="v", service="app", id="e")]
         self.caught("DRAIN", *late)
-        self.assertEqual(check([*good(), *late, line(3802, "refused", worker="v", id="e", status=421)]), {})
+        self.assertEqual(
+            check([*good(), *late, line(3802, "refused", worker="v", id="e", status=421)]), {}
+        )
         self.assertEqual(check([*good(), *late], Bounds(troubles=[["router1", 1000, 1000]])), {})
 
     def test_config(self):
         moved = copy.deepcopy(DOCUMENT) | {"version": 4}
         moved["routes"][0]["backend"], moved["customers"][1]["api-keys"] = "lm", []
-        change = [line(700, "sent", version=4, base=2, document=moved, bad=False), line(705, "told", version=4, base=2, status=200, bad=False),
-                  line(9001, "readBack", document=moved)]
+        change = [
+            line(700, "sent", version=4, base=2, document=moved, bad=False),
+            line(705, "told", version=4, base=2, status=200, bad=False),
+            line(9001, "readBack", document=moved),
+        ]
         self.caught("CONFIG", *change, asked(3000, "e"), *ran(3001, "e", "w#9"))
-        self.caught("CONFIG", *change, asked(3000, "e", "/safe/1", key="l"), *ran(3001, "e", "w#9", "/safe/1", tenant="u"))
+        self.caught(
+            "CONFIG",
+            *change,
+            asked(3000, "e", "/safe/1", key="l"),
+            *ran(3001, "e", "w#9", "/safe/1", tenant="u"),
+        )
         self.assertEqual(check([*good(), *change, asked(2000, "e"), *ran(3001, "e", "w#9")]), {})
         for status in (401, 403, 404):
             self.caught("CONFIG", asked(3000, "e"), result(3010, "e", status=status))
         self.caught("CONFIG", line(800, "told", version=9, base=2, status=200, bad=True))
-        self.caught("CONFIG", change=[({"kind": "told", "version": 3}, {"status": 200}), ({"kind": "readBack"}, {"document": DOCUMENT | {"version": 3}})])
+        self.caught(
+            "CONFIG",
+            change=[
+                ({"kind": "told", "version": 3}, {"status": 200}),
+                ({"kind": "readBack"}, {"document": DOCUMENT | {"version": 3}}),
+            ],
+        )
         for back in (None, DOCUMENT, DOCUMENT | {"version": 2, "routes": []}):
             self.caught("CONFIG", change=[({"kind": "readBack"}, {"document": back})])
 
     def test_each_rule_has_a_planted_breach(self):
-        self.assertEqual({name.lower() for name in RULES} - {name.removeprefix("test_") for name in dir(self)}, set())
+        self.assertEqual(
+            {name.lower() for name in RULES} - {name.removeprefix("test_") for name in dir(self)},
+            set(),
+        )
 
 
 def fits_all(item, fields):
--- a/tests/bench/outer/test_listing.py
+++ b/tests/bench/outer/test_listing.py
@@ -1,4 +1,5 @@
 """Tests of the stand-in for the list of workers, read by the adapter."""
+
 import asyncio
 import unittest
 
@@ -12,13 +13,22 @@
 class ListingTest(unittest.TestCase):
     def setUp(self):
         self.world, self.items = World(1), []
-        self.list = WorkerList("10.0.0.9:80", ListRecord(self.items, "list", lambda: self.world.now), lag_ms=400, rate_per_s=5, page=2)
+        self.list = WorkerList(
+            "10.0.0.9:80",
+            ListRecord(self.items, "list", lambda: self.world.now),
+            lag_ms=400,
+            rate_per_s=5,
+            page=2,
+        )
         self.world.start("list", "10.0.0.9", self.list.start)
         self.world.start("here", "10.0.0.1", lambda: asyncio.sleep(0))
         self.world.run(0.1)
 
     def show(self, *names, state="ready"):
-        entries = [{"id": name, "backend": "b", "address": "10.1.1.1:80", "server-state": state} for name in names]
+        entries = [
+            {"id": name, "backend": "b", "address": "10.1.1.1:80", "server-state": state}
+            for name in names
+        ]
         self.world._within(self.world.loops["list"], lambda: self.list.show(entries))
 
     def read(self):
@@ -45,4 +55,7 @@
         self.show("w1", "w2")
         self.show("w1", state="draining")
         self.world.run(0.5)
-        self.assertEqual([(each["worker"], each["state"], each["atMs"]) for each in self.items], [("w1", "draining", 500), ("w2", "gone", 500)])
+        self.assertEqual(
+            [(each["worker"], each["state"], each["atMs"]) for each in self.items],
+            [("w1", "draining", 500), ("w2", "gone", 500)],
+        )
--- a/tests/bench/outer/test_parts.py
+++ b/tests/bench/outer/test_parts.py
@@ -1,4 +1,5 @@
 """Tests of the stand-in for kept parts."""
+
 import asyncio
 import random
 import unittest
@@ -24,7 +25,15 @@
 
     def test_parts_are_found_from_the_beginning_under_their_salt_and_model(self):
         self.keep("a", "b")
-        self.assertEqual([self.first("a", "b", "c"), self.first("x", "a"), self.first("a", salt="o"), self.first("a", model="o")], [2, 0, 0, 0])
+        self.assertEqual(
+            [
+                self.first("a", "b", "c"),
+                self.first("x", "a"),
+                self.first("a", salt="o"),
+                self.first("a", model="o"),
+            ],
+            [2, 0, 0, 0],
+        )
 
     def test_those_unused_longest_give_way(self):
         self.keep("a", "b", "c")
@@ -36,11 +45,16 @@
         self.keep("a", "a")
         self.cache.clear("m")
         got = self.reports(0)
-        self.assertEqual((got["next-token"], got["lost"], got["events"]), (2, False, [[1, "+", "s", "a", 30, "m"], [2, "-", "s", "a", 30, "m"]]))
+        self.assertEqual(
+            (got["next-token"], got["lost"], got["events"]),
+            (2, False, [[1, "+", "s", "a", 30, "m"], [2, "-", "s", "a", 30, "m"]]),
+        )
         self.assertEqual((self.reports(2)["events"], self.cache.listed()["held"]), ([], []))
 
     def test_a_call_is_held_until_there_is_something(self):
-        self.world.at(0.3, lambda: self.world._within(self.world.loops["here"], lambda: self.keep("a")))
+        self.world.at(
+            0.3, lambda: self.world._within(self.world.loops["here"], lambda: self.keep("a"))
+        )
         self.assertEqual(len(self.reports(0, 800)["events"]), 1)
         self.assertAlmostEqual(self.world.now, 0.3, delta=0.01)
         self.assertEqual(self.reports(1, 500)["events"], [])
--- a/tests/bench/test_cache.py
+++ b/tests/bench/test_cache.py
@@ -1,4 +1,5 @@
 """Tests of `bench/cache.py`."""
+
 import unittest
 
 from swiftdeck.bench.cache import Entry, PrefixCache
@@ -10,4 +11,7 @@
         cache.keep([b"a", b"b"], [entry] * 2)
         cache.keep([b"a", b"c"], [entry] * 2)
         cache.keep([b"a", b"d"], [entry] * 2)
-        self.assertEqual((cache.depth([b"a", b"b"]), cache.depth([b"a", b"c"]), cache.depth([b"a", b"d"])), (1, 2, 2))
+        self.assertEqual(
+            (cache.depth([b"a", b"b"]), cache.depth([b"a", b"c"]), cache.depth([b"a", b"d"])),
+            (1, 2, 2),
+        )
--- a/tests/bench/test_checker.py
+++ b/tests/bench/test_checker.py
@@ -1,55 +1,156 @@
 """Tests of `bench/checker.py`."""
+
 import unittest
 
 from swiftdeck.bench.checker import RULES, check
 
 
 class CheckerTest(unittest.TestCase):
-    DOCUMENT = {"models": {"m": {"weights": "w1", "cap": 2}}, "tenants": {"a": {"keys": ["k"]}, "b": {"keys": ["l"]}},
-                "routes": {"check": {"model": "m"}}}
+    DOCUMENT = {
+        "models": {"m": {"weights": "w1", "cap": 2}},
+        "tenants": {"a": {"keys": ["k"]}, "b": {"keys": ["l"]}},
+        "routes": {"check": {"model": "m"}},
+    }
 
     def good(self):
         """A day on which nothing went wrong."""
         lines = [
-            (0, "operator", "change", {"status": 200, "method": "PUT", "document": self.DOCUMENT, "askedMs": 0,
-                                       "answer": {"version": 1, "changeId": "c1"}}),
-            (10, "platform", "list", {"workers": [{"name": "w", "model": "m", "draining": False},
-                                                  {"name": "v", "model": "m", "draining": False}]}),
+            (
+                0,
+                "operator",
+                "change",
+                {
+                    "status": 200,
+                    "method": "PUT",
+                    "document": self.DOCUMENT,
+                    "askedMs": 0,
+                    "answer": {"version": 1, "changeId": "c1"},
+                },
+            ),
+            (
+                10,
+                "platform",
+                "list",
+                {
+                    "workers": [
+                        {"name": "w", "model": "m", "draining": False},
+                        {"name": "v", "model": "m", "draining": False},
+                    ]
+                },
+            ),
             (95_000, "operator", "dayEnds", {}),
-            (95_500, "operator", "read", {"status": 200, "version": 1, "askedMs": 95_400, "document": self.DOCUMENT}),
+            (
+                95_500,
+                "operator",
+                "read",
+                {"status": 200, "version": 1, "askedMs": 95_400, "document": self.DOCUMENT},
+            ),
+        ]
+        return [
+            *(self.line(*each) for each in lines),
+            *self.served(50, "1", "r-1", talk="t", turn=0),
         ]
-        return [*(self.line(*each) for each in lines), *self.served(50, "1", "r-1", talk="t", turn=0)]
 
     def served(self, atMs, marker, run, **more):
         """The lines of one call that is served whole."""
         call = run.split("-")[0]
-        return [self.try_(atMs, marker, **more), self.run_(atMs + 10, run=run, call=call, marker=marker),
-                self.line(atMs + 11, "w", "prefill", {"run": run, "origins": [["a", "w1"]]}),
-                self.line(atMs + 40, "w", "ran", {"run": run, "call": call, "marker": marker, "whole": True}),
-                self.back(atMs + 45, marker, run=run, call=call, whole=True, status=200, worker="w", waitedMs=0)]
+        return [
+            self.try_(atMs, marker, **more),
+            self.run_(atMs + 10, run=run, call=call, marker=marker),
+            self.line(atMs + 11, "w", "prefill", {"run": run, "origins": [["a", "w1"]]}),
+            self.line(
+                atMs + 40, "w", "ran", {"run": run, "call": call, "marker": marker, "whole": True}
+            ),
+            self.back(
+                atMs + 45,
+                marker,
+                run=run,
+                call=call,
+                whole=True,
+                status=200,
+                worker="w",
+                waitedMs=0,
+            ),
+        ]
 
     @staticmethod
     def line(atMs, who, kind, fields):
         return {"atMs": atMs, "who": who, "kind": kind} | fields
 
     def try_(self, atMs, marker, **fields):
-        return self.line(atMs, "caller", "try", {"marker": marker, "tenant": "a", "route": "check", "idempotency": f"k{marker}",
-                                                 "router": "router1", "key": "k", "talk": "", "turn": 0} | fields)
+        return self.line(
+            atMs,
+            "caller",
+            "try",
+            {
+                "marker": marker,
+                "tenant": "a",
+                "route": "check",
+                "idempotency": f"k{marker}",
+                "router": "router1",
+                "key": "k",
+                "talk": "",
+                "turn": 0,
+            }
+            | fields,
+        )
 
     def run_(self, atMs, who="w", **fields):
-        return self.line(atMs, who, "run", {"run": "s-1", "call": "s", "tenant": "a", "weights": "w1", "loaded": "w1",
-                                            "marker": "1", "route": "check"} | fields)
+        return self.line(
+            atMs,
+            who,
+            "run",
+            {
+                "run": "s-1",
+                "call": "s",
+                "tenant": "a",
+                "weights": "w1",
+                "loaded": "w1",
+                "marker": "1",
+                "route": "check",
+            }
+            | fields,
+        )
 
     def back(self, atMs, marker="1", **fields):
-        return self.line(atMs, "caller", "return", {"marker": marker, "tenant": "a", "route": "check", "run": "", "whole": False,
-                                                    "code": 0, "notRun": False, "wrong": "", "status": 503, "call": ""} | fields)
+        return self.line(
+            atMs,
+            "caller",
+            "return",
+            {
+                "marker": marker,
+                "tenant": "a",
+                "route": "check",
+                "run": "",
+                "whole": False,
+                "code": 0,
+                "notRun": False,
+                "wrong": "",
+                "status": 503,
+                "call": "",
+            }
+            | fields,
+        )
 
     def ack(self, atMs, status=200, version=2, askedMs=None, **fields):
-        return self.line(atMs, "operator", "change", {"status": status, "document": {}, "method": "PATCH", "answer": {
-            "version": version, "changeId": f"c{version}"}, "askedMs": atMs - 10 if askedMs is None else askedMs} | fields)
+        return self.line(
+            atMs,
+            "operator",
+            "change",
+            {
+                "status": status,
+                "document": {},
+                "method": "PATCH",
+                "answer": {"version": version, "changeId": f"c{version}"},
+                "askedMs": atMs - 10 if askedMs is None else askedMs,
+            }
+            | fields,
+        )
 
     def read(self, atMs, **fields):
-        return self.line(atMs, "operator", "read", {"status": 200, "version": 1, "askedMs": atMs - 50} | fields)
+        return self.line(
+            atMs, "operator", "read", {"status": 200, "version": 1, "askedMs": atMs - 50} | fields
+        )
 
     def found(self, *lines):
         return check(sorted([*self.good(), *lines], key=lambda item: item["atMs"]), {"b"})
@@ -61,40 +162,128 @@
     def testEachPlantedBreachIsCaught(self):
         keys = {"tenants": {"a": {"keys": ["other"]}}}
         planted = {
-            "runsOnce": [[self.run_(70)], [self.try_(3000, "1"), self.run_(3010, run="z-1", call="z")]],
+            "runsOnce": [
+                [self.run_(70)],
+                [self.try_(3000, "1"), self.run_(3010, run="z-1", call="z")],
+            ],
             "notRunStays": [[self.back(80, notRun=True)], [self.back(80, call="r", notRun=True)]],
             "piecesBelong": [[self.back(80, wrong="piece of another run")]],
-            "apartStaysApart": [[self.line(70, "w", "prefill", {"run": "r-1", "origins": [["b", "w1"]]})]],
-            "weightsMatch": [[self.line(70, "w", "prefill", {"run": "r-1", "origins": [["a", "w0"]]})]],
-            "oldWeightsEnd": [[self.ack(100, document={"models": {"m": {"weights": "w2"}}}), self.run_(15200, marker="9")],
-                              [self.ack(100, 409, document={"models": {"m": {"weights": "w2"}}}), self.run_(200, weights="w2")],
-                              [self.ack(100, document={"models": {"m": {"weights": "w2"}}}), self.run_(5000, weights="w2"),
-                               self.ack(6000, version=3, document={"models": {"m": {"weights": "w1"}}}),
-                               self.run_(21_500, weights="w2", marker="9")]],
-            "versionsStand": [[self.ack(100), self.read(200)], [self.ack(100), self.ack(200, answer={"version": 2, "changeId": "x"})]],
-            "readBackWhole": [[self.read(300, document={"models": {}})], [self.ack(95_200, askedMs=95_100)],
-                              [self.ack(100, document={"models": {"m": {"cap": 3}}}),
-                               self.read(300, version=2, document=self.DOCUMENT)]],
-            "ackIsQuick": [[self.line(0, "operator", "quiet", {"untilMs": 9000}), self.ack(4000, askedMs=1900)],
-                           [self.line(0, "operator", "quiet", {"untilMs": 9000}), self.ack(2000, 504)]],
+            "apartStaysApart": [
+                [self.line(70, "w", "prefill", {"run": "r-1", "origins": [["b", "w1"]]})]
+            ],
+            "weightsMatch": [
+                [self.line(70, "w", "prefill", {"run": "r-1", "origins": [["a", "w0"]]})]
+            ],
+            "oldWeightsEnd": [
+                [
+                    self.ack(100, document={"models": {"m": {"weights": "w2"}}}),
+                    self.run_(15200, marker="9"),
+                ],
+                [
+                    self.ack(100, 409, document={"models": {"m": {"weights": "w2"}}}),
+                    self.run_(200, weights="w2"),
+                ],
+                [
+                    self.ack(100, document={"models": {"m": {"weights": "w2"}}}),
+                    self.run_(5000, weights="w2"),
+                    self.ack(6000, version=3, document={"models": {"m": {"weights": "w1"}}}),
+                    self.run_(21_500, weights="w2", marker="9"),
+                ],
+            ],
+            "versionsStand": [
+                [self.ack(100), self.read(200)],
+                [self.ack(100), self.ack(200, answer={"version": 2, "changeId": "x"})],
+            ],
+            "readBackWhole": [
+                [self.read(300, document={"models": {}})],
+                [self.ack(95_200, askedMs=95_100)],
+                [
+                    self.ack(100, document={"models": {"m": {"cap": 3}}}),
+                    self.read(300, version=2, document=self.DOCUMENT),
+                ],
+            ],
+            "ackIsQuick": [
+                [
+                    self.line(0, "operator", "quiet", {"untilMs": 9000}),
+                    self.ack(4000, askedMs=1900),
+                ],
+                [self.line(0, "operator", "quiet", {"untilMs": 9000}), self.ack(2000, 504)],
+            ],
             "refusedIsNotObeyed": [
-                [self.ack(100, 409, document={"tenants": {"z": {}}}), self.run_(200, tenant="z", marker="9")],
-                [self.ack(100, 422, document={"routes": {"z": {}}}), self.run_(200, route="z", marker="9")],
+                [
+                    self.ack(100, 409, document={"tenants": {"z": {}}}),
+                    self.run_(200, tenant="z", marker="9"),
+                ],
+                [
+                    self.ack(100, 422, document={"routes": {"z": {}}}),
+                    self.run_(200, route="z", marker="9"),
+                ],
                 [self.ack(100, document=keys), self.try_(101, "9"), self.run_(110, marker="9")],
-                [self.ack(100, document={"routes": {"check": None}}), self.try_(101, "9"), self.run_(110, marker="9")]],
-            "drainingIsLeft": [[self.line(100, "platform", "list", {"workers": [{"name": "w", "model": "m", "draining": True}]}),
-                                self.run_(3200, marker="9")]],
-            "notCutOff": [[self.back(200, run="r-1", code=140)], [self.try_(200, "2"), self.back(300, "2", status=-2)],
-                          [self.line(90, "operator", "kill", {"target": "router2", "id": 1}), self.back(200, run="r-1", code=144)]],
-            "laterCallsPass": [[*self.served(1000, "2", "q-1", talk="t", turn=1)[:-1],
-                                self.back(1100, "2", run="q-1", call="q", whole=True, status=200, worker="w", waitedMs=40)],
-                               [self.try_(1000, "2", talk="t", turn=1), self.back(1100, "2", code=110, notRun=True, retryAfter="2")]],
-            "startsWithinCap": [[each for at in range(3) for each in (self.try_(500 + at, f"m{at}"),
-                                 self.run_(510 + at, run=f"n{at}-1", call=f"n{at}", marker=f"m{at}"))]],
-            "returnedAtOnce": [[self.try_(1000, "2"), self.back(1100, "2", code=111, notRun=True)],
-                               [self.try_(1000, "2"), self.back(13_000, "2", code=111, notRun=True, retryAfter="2")],
-                               [self.back(9000, call="r", code=140)]],
-            "triesAreFew": [[self.run_(70 + n, run=f"x{n}-2", call=f"x{n}", marker=f"m{n}") for n in range(4)]],
+                [
+                    self.ack(100, document={"routes": {"check": None}}),
+                    self.try_(101, "9"),
+                    self.run_(110, marker="9"),
+                ],
+            ],
+            "drainingIsLeft": [
+                [
+                    self.line(
+                        100,
+                        "platform",
+                        "list",
+                        {"workers": [{"name": "w", "model": "m", "draining": True}]},
+                    ),
+                    self.run_(3200, marker="9"),
+                ]
+            ],
+            "notCutOff": [
+                [self.back(200, run="r-1", code=140)],
+                [self.try_(200, "2"), self.back(300, "2", status=-2)],
+                [
+                    self.line(90, "operator", "kill", {"target": "router2", "id": 1}),
+                    self.back(200, run="r-1", code=144),
+                ],
+            ],
+            "laterCallsPass": [
+                [
+                    *self.served(1000, "2", "q-1", talk="t", turn=1)[:-1],
+                    self.back(
+                        1100,
+                        "2",
+                        run="q-1",
+                        call="q",
+                        whole=True,
+                        status=200,
+                        worker="w",
+                        waitedMs=40,
+                    ),
+                ],
+                [
+                    self.try_(1000, "2", talk="t", turn=1),
+                    self.back(1100, "2", code=110, notRun=True, retryAfter="2"),
+                ],
+            ],
+            "startsWithinCap": [
+                [
+                    each
+                    for at in range(3)
+                    for each in (
+                        self.try_(500 + at, f"m{at}"),
+                        self.run_(510 + at, run=f"n{at}-1", call=f"n{at}", marker=f"m{at}"),
+                    )
+                ]
+            ],
+            "returnedAtOnce": [
+                [self.try_(1000, "2"), self.back(1100, "2", code=111, notRun=True)],
+                [
+                    self.try_(1000, "2"),
+                    self.back(13_000, "2", code=111, notRun=True, retryAfter="2"),
+                ],
+                [self.back(9000, call="r", code=140)],
+            ],
+            "triesAreFew": [
+                [self.run_(70 + n, run=f"x{n}-2", call=f"x{n}", marker=f"m{n}") for n in range(4)]
+            ],
             "serviceReturns": [[self.line(100, "operator", "closing", {}), self.back(12200)]],
         }
         self.assertEqual(set(planted), set(RULES))
@@ -105,12 +294,22 @@
     def testAPardonIsTiedToTheRouterAndTheWorkerOfTheRun(self):
         def kill(target, **more):
             return self.line(90, "operator", "kill", {"target": target, "id": 7} | more)
+
         broken = self.back(200, run="r-1", code=140)
-        for target, isPardoned in (("w", True), ("v", False), ("router1", True), ("router2", False)):
-            self.assertEqual("notCutOff" not in self.found(kill(target), broken), isPardoned, target)
+        for target, isPardoned in (
+            ("w", True),
+            ("v", False),
+            ("router1", True),
+            ("router2", False),
+        ):
+            self.assertEqual(
+                "notCutOff" not in self.found(kill(target), broken), isPardoned, target
+            )
         unseen = [self.try_(80, "9"), self.back(200, "9", code=140, sentTo="u")]
         for target, isPardoned in (("u", True), ("w", False), ("router2", False)):
-            self.assertEqual("notCutOff" not in self.found(kill(target), *unseen), isPardoned, target)
+            self.assertEqual(
+                "notCutOff" not in self.found(kill(target), *unseen), isPardoned, target
+            )
         back = self.line(95, "operator", "back", {"id": 7})
         late = [self.try_(9000, "2"), self.back(9100, "2", status=-2)]
         self.assertIn("notCutOff", self.found(kill("router1"), back, *late))
--- a/tests/bench/test_measure.py
+++ b/tests/bench/test_measure.py
@@ -1,4 +1,5 @@
 """Tests of `bench/measure.py`."""
+
 import unittest
 
 from swiftdeck.bench.measure import fetch
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -1,4 +1,5 @@
 """Tests of `bench/scale.py`."""
+
 import unittest
 
 from swiftdeck.bench.scale import FLEET, HollowFleet, held_bytes, table, timed
@@ -15,7 +16,9 @@
         fleet, rows = self.rows(6)
         self.assertEqual(set(rows), {"head", "tail", "reader", "router"})
         routers = [fleet.up[name] for name in fleet.routers]
-        self.assertTrue(all(each.licence.isHeld() and len(each.roster.workers) == 45 for each in routers))
+        self.assertTrue(
+            all(each.licence.isHeld() and len(each.roster.workers) == 45 for each in routers)
+        )
         self.assertTrue(all(len(each.membership.alive("router")) == 5 for each in routers))
         self.assertGreater(sum(each.board.count["starts"] for each in routers), 5)
         self.assertEqual(sum(each.board.count["placesUnasked"] for each in routers), 0)
@@ -24,14 +27,23 @@
 
     def test_what_is_told_to_all_grows_with_the_fleet_and_the_renewals_of_one_router_do_not(self):
         small, large = (self.rows(count, calls_s=2.0)[1] for count in (4, 12))
-        self.assertGreater(large["router"]["sentByKind"]["LoadNews"][0], 2 * small["router"]["sentByKind"]["LoadNews"][0])
-        self.assertGreater(large["tail"]["sentByKind"]["LicenceReturn"][0], 2 * small["tail"]["sentByKind"]["LicenceReturn"][0])
+        self.assertGreater(
+            large["router"]["sentByKind"]["LoadNews"][0],
+            2 * small["router"]["sentByKind"]["LoadNews"][0],
+        )
+        self.assertGreater(
+            large["tail"]["sentByKind"]["LicenceReturn"][0],
+            2 * small["tail"]["sentByKind"]["LicenceReturn"][0],
+        )
         for rows in (small, large):
             self.assertAlmostEqual(rows["router"]["sentByKind"]["LicenceAsk"][0], 2.5, delta=0.8)
 
     def test_what_is_sent_is_taken(self):
         fleet, _ = self.rows(4)
-        sent, taken = (sum(sum(getattr(meter, name).values()) for meter in fleet.meters.values()) for name in ("sent", "taken"))
+        sent, taken = (
+            sum(sum(getattr(meter, name).values()) for meter in fleet.meters.values())
+            for name in ("sent", "taken")
+        )
         self.assertAlmostEqual(taken / sent, 1.0, delta=0.02)
 
     def test_a_chain_of_more_cores_serves_too(self):
@@ -41,7 +53,9 @@
 
 class MeasureTest(unittest.TestCase):
     def test_times_and_bytes_grow_with_the_work(self):
-        little, much = (timed(lambda count=count: sum(range(count)), 20) for count in (100, 100_000))
+        little, much = (
+            timed(lambda count=count: sum(range(count)), 20) for count in (100, 100_000)
+        )
         self.assertGreater(much[0], 20 * little[0])
         self.assertEqual(little, sorted(little))
         size, made = held_bytes(lambda: [bytes(1000) for _ in range(500)], 500)
@@ -50,6 +64,8 @@
         self.assertEqual(len(made), 500)
 
     def test_rows_become_a_table(self):
-        self.assertEqual(table([{"role": "tail", "cpuMsS": [1, 2, 3]}], ("role", "cpuMsS", "cores")),
-                         ["| role | cpuMsS | cores |", "|---|---|---|", "| tail | 1 / 2 / 3 |  |"])
+        self.assertEqual(
+            table([{"role": "tail", "cpuMsS": [1, 2, 3]}], ("role", "cpuMsS", "cores")),
+            ["| role | cpuMsS | cores |", "|---|---|---|", "| tail | 1 / 2 / 3 |  |"],
+        )
         self.assertIn("cpuMsS", FLEET)
--- a/tests/bench/test_thrash.py
+++ b/tests/bench/test_thrash.py
@@ -1,4 +1,5 @@
 """Tests of `bench/thrash.py`."""
+
 import unittest
 from collections import defaultdict
 
@@ -17,9 +18,18 @@
             call = thrash.town.caller.call
 
             def noted(tenant, route, parts, **more):
-                asked[tenant].append((tenant, [part.partition(" [[")[0] for part in parts], more["door"], more["isLast"]))
+                asked[tenant].append(
+                    (
+                        tenant,
+                        [part.partition(" [[")[0] for part in parts],
+                        more["door"],
+                        more["isLast"],
+                    )
+                )
                 return call(tenant, route, parts, **more)
+
             thrash.town.caller.call = noted
+
         thrash.town.start = start_otherwise
         thrash.run()
         return asked
@@ -34,8 +44,10 @@
         self.assertNotEqual(one, self.asked(2, 7))
 
     def testACapKeepsPrefixesWhereNoneThrashes(self):
-        capped, other, free = (Thrash(cap, seed, agents=10, seconds=200.0, room=400000).run()
-                               for cap, seed in ((3, 1), (3, 2), (1000, 1)))
+        capped, other, free = (
+            Thrash(cap, seed, agents=10, seconds=200.0, room=400000).run()
+            for cap, seed in ((3, 1), (3, 2), (1000, 1))
+        )
         self.assertGreater(capped["hits"], 0.95)
         self.assertGreater(other["hits"], 0.95)
         self.assertLess(free["hits"], 0.6)
--- a/tests/board/test_board.py
+++ b/tests/board/test_board.py
@@ -1,4 +1,5 @@
 """Tests of `board/board.py`."""
+
 import unittest
 
 from swiftdeck.board.board import Board
@@ -11,6 +12,7 @@
         class Log:
             def info(self, event, **fields):
                 lines.append((event, fields["now"]))
+
         board = Board(Log())
         for value in (1, 1, 2, 2, 1):
             board.put("health", value)
--- a/tests/board/test_owner.py
+++ b/tests/board/test_owner.py
@@ -1,4 +1,5 @@
 """Tests of `board/owner.py`."""
+
 import asyncio
 import unittest
 
@@ -18,6 +19,7 @@
         async def main():
             owner = Owner()
             await asyncio.gather(owner.send(slow, "a"), owner.send(slow, "b"))
+
         world.start("p", "10.0.0.1", main)
         world.run(5)
         self.assertEqual(seen, ["a", "a", "b", "b"])
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -1,4 +1,5 @@
 """Cases of admission: books, lines, moves and keepers that fail."""
+
 import unittest
 from unittest import mock
 
@@ -12,7 +13,11 @@
     """Conversations that start, wait, go on, pause, move and end."""
 
     def town(self, seed=1, cap=2, **more):
-        settings = {name: more.pop(name) for name in list(more) if name in ("idleMs", "pauseMs", "lineMax", "adapts", "capLeast")}
+        settings = {
+            name: more.pop(name)
+            for name in list(more)
+            if name in ("idleMs", "pauseMs", "lineMax", "adapts", "capLeast")
+        }
         return Town(seed, **({"routers": 3, "workers": 1} | more)).start(cap=cap, **settings)
 
     def sound(self, town):
@@ -28,6 +33,7 @@
             if town.keeper():
                 most = max([most, *(len(book.open) for book in town.books().values())])
             return until()
+
         for _ in range(int(limitS / 0.05)):
             town.world.run(0.05)
             if look():
@@ -40,8 +46,12 @@
     def testStartsFromManyRoutersAtOnceNeverPassTheCap(self):
         town = self.town(cap=3)
         tenants = list(town.site.keys)
-        box = [town.spawn(lambda number=number: town.caller.agent(tenants[number % 8], turns=3, gap=0.2))
-               for number in range(24)]
+        box = [
+            town.spawn(
+                lambda number=number: town.caller.agent(tenants[number % 8], turns=3, gap=0.2)
+            )
+            for number in range(24)
+        ]
         self.assertEqual(self.mostOpen(town, lambda: all(box)), 3)
         self.assertEqual([each[0] for each in box], [3] * 24)
         turns = [item["hitParts"] for item in town.records if item["kind"] == "prefill"]
@@ -54,7 +64,9 @@
         waiting = town.spawn(lambda: town.caller.call("oita", "check", ["book", "other"]))
         town.world.run(1)
         again = town.call("saga", "check", [*got["parts"], "said", "more"])
-        self.assertEqual((again["status"], again["waitedMs"], again["usage"]["hitParts"]), (200, 0, 2))
+        self.assertEqual(
+            (again["status"], again["waitedMs"], again["usage"]["hitParts"]), (200, 0, 2)
+        )
         self.assertFalse(waiting)
         last = town.call("saga", "check", [*again["parts"], "said", "end"], isLast=True)
         self.assertTrue(last["whole"])
@@ -70,8 +82,14 @@
 
     def testTheLineServesTenantsInTurn(self):
         town = self.town(cap=1, idleMs=300, pauseMs=100)
-        large = [town.spawn(lambda number=number: town.caller.call("chikugo", "check", ["b", str(number)], isLast=True,
-                                                                   maxTokens=320)) for number in range(12)]
+        large = [
+            town.spawn(
+                lambda number=number: town.caller.call(
+                    "chikugo", "check", ["b", str(number)], isLast=True, maxTokens=320
+                )
+            )
+            for number in range(12)
+        ]
         town.world.run(0.3)
         small = town.spawn(lambda: town.caller.call("saga", "check", ["b", "small"], isLast=True))
         town.world.run(until=lambda: small, limitS=60)
@@ -83,7 +101,10 @@
         town.change("PATCH", {"routes": {"check": {"waitMs": 3000}}})
         town.call("saga", "check", ["b", "first"])
         atS = town.world.now
-        box = [town.spawn(lambda number=number: town.caller.call("oita", "check", ["b", str(number)])) for number in range(4)]
+        box = [
+            town.spawn(lambda number=number: town.caller.call("oita", "check", ["b", str(number)]))
+            for number in range(4)
+        ]
         town.world.run(0.5)
         full = [each[0] for each in box if each]
         self.assertEqual([each["code"] for each in full], [LINE_FULL.code] * 2)
@@ -110,8 +131,11 @@
         town = self.town(cap=1)
         keeper = town.keeper()
         victim = next(name for name in town.routerNames() if name != keeper)
-        town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"], maxTokens=20000,
-                                            door=town.addresses[victim]["http"]))
+        town.spawn(
+            lambda: town.caller.call(
+                "saga", "check", ["b", "x"], maxTokens=20000, door=town.addresses[victim]["http"]
+            )
+        )
         town.world.run(1)
         self.assertEqual(self.open(town), 1)
         town.world.kill(victim, silent=True)
@@ -128,16 +152,47 @@
 
         def running():
             ended = {item["run"] for item in town.records if item["kind"] == "ran"}
-            return len([item for item in town.records if item["kind"] == "run" and item["run"] not in ended])
-        own = [town.spawn(lambda number=number: town.caller.call("saga", "check", ["b", str(number)], isLast=True, maxTokens=12000,
-                                                                 door=town.addresses[name]["http"])) for number in range(2)]
+            return len(
+                [
+                    item
+                    for item in town.records
+                    if item["kind"] == "run" and item["run"] not in ended
+                ]
+            )
+
+        own = [
+            town.spawn(
+                lambda number=number: town.caller.call(
+                    "saga",
+                    "check",
+                    ["b", str(number)],
+                    isLast=True,
+                    maxTokens=12000,
+                    door=town.addresses[name]["http"],
+                )
+            )
+            for number in range(2)
+        ]
         town.world.run(1)
         ip = town.addresses[name]["inner"].rpartition(":")[0]
-        town.world.net.cut([ip], [node["inner"].rpartition(":")[0] for each, node in town.addresses.items() if each != name])
+        town.world.net.cut(
+            [ip],
+            [
+                node["inner"].rpartition(":")[0]
+                for each, node in town.addresses.items()
+                if each != name
+            ],
+        )
         town.record("operator")("kill", target=name, id=1)
-        cut = town.spawn(lambda: town.caller.call("saga", "check", ["b", "cut off"],
-                                                  door=town.addresses[name]["http"]))
-        box = [town.spawn(lambda number=number: town.caller.agents("oita", turns=(1, 3), restS=0.1)) for number in range(6)]
+        cut = town.spawn(
+            lambda: town.caller.call(
+                "saga", "check", ["b", "cut off"], door=town.addresses[name]["http"]
+            )
+        )
+        box = [
+            town.spawn(lambda number=number: town.caller.agents("oita", turns=(1, 3), restS=0.1))
+            for number in range(6)
+        ]
         town.caller.doors, most, over = doors, 0, 0
         for _ in range(140):
             town.world.run(0.1)
@@ -148,7 +203,12 @@
         town.record("operator")("back", id=1, target=name)
         self.assertTrue(town.world.run(until=lambda: self.open(town) > 2, limitS=3))
         town.world.run(until=lambda: all(own), limitS=60)
-        starts = [item for each in town.routerNames() for item in town.up[each].decisions.items if item["kind"] == "start"]
+        starts = [
+            item
+            for each in town.routerNames()
+            for item in town.up[each].decisions.items
+            if item["kind"] == "start"
+        ]
         self.assertTrue(all(item["open"] <= item["cap"] for item in starts))
         self.assertTrue(all(each[0]["whole"] for each in own))
         self.assertTrue(cut and cut[0]["notRun"])
@@ -162,13 +222,31 @@
             old = town.keeper()
             doors = [town.addresses[name]["http"] for name in town.routerNames() if name != old]
             town.caller.doors = doors
-            running = [town.spawn(lambda number=number: town.caller.call("saga", "check", ["b", str(number)], maxTokens=20000,
-                                                                         timeoutS=600, door=doors[number])) for number in range(2)]
+            running = [
+                town.spawn(
+                    lambda number=number: town.caller.call(
+                        "saga",
+                        "check",
+                        ["b", str(number)],
+                        maxTokens=20000,
+                        timeoutS=600,
+                        door=doors[number],
+                    )
+                )
+                for number in range(2)
+            ]
             town.world.run(1)
             ip = town.addresses[old]["inner"].rpartition(":")[0]
-            others = [node["inner"].rpartition(":")[0] for name, node in town.addresses.items() if name != old]
-            {"kill": lambda: town.world.kill(old), "freeze": lambda: town.world.freeze(old),
-             "cut": lambda: town.world.net.cut([ip], others)}[how]()
+            others = [
+                node["inner"].rpartition(":")[0]
+                for name, node in town.addresses.items()
+                if name != old
+            ]
+            {
+                "kill": lambda: town.world.kill(old),
+                "freeze": lambda: town.world.freeze(old),
+                "cut": lambda: town.world.net.cut([ip], others),
+            }[how]()
             atS = town.world.now
             start = town.spawn(lambda: town.caller.call("oita", "check", ["b", "new"], timeoutS=5))
             town.world.run(until=lambda: town.keeper() not in (None, old), limitS=20)
@@ -179,7 +257,12 @@
                 town.world.thaw(old)
             town.world.net.heal()
             town.world.run(5)
-            held = [name for name in town.routerNames() for keeper in town.up[name].keepers.values() if keeper.duty.isHeld()]
+            held = [
+                name
+                for name in town.routerNames()
+                for keeper in town.up[name].keepers.values()
+                if keeper.duty.isHeld()
+            ]
             self.assertEqual(len(held), 1, how)
             self.assertTrue(not start or not start[0]["whole"], how)
             self.assertFalse(any(running), how)
@@ -190,16 +273,27 @@
             self.assertEqual(town.change("PATCH", {"routes": {"check": {"waitMs": 40000}}})[0], 200)
             old = town.keeper()
             doors = [town.addresses[name]["http"] for name in town.routerNames() if name != old]
-            long = town.spawn(lambda: town.caller.call("saga", "check", ["b", "long"], isLast=True,
-                                                       maxTokens=4800, door=doors[0]))
+            long = town.spawn(
+                lambda: town.caller.call(
+                    "saga", "check", ["b", "long"], isLast=True, maxTokens=4800, door=doors[0]
+                )
+            )
             town.world.run(1)
             order = ["chikugo", "hitoyoshi", "kumamoto", "miyazaki", "nagasaki", "oita"]
             for at, tenant in enumerate(order):
-                town.spawn(lambda tenant=tenant, at=at: town.caller.call(tenant, "check", ["b", tenant], isLast=True,
-                                                                         door=doors[at % 3]))
+                town.spawn(
+                    lambda tenant=tenant, at=at: town.caller.call(
+                        tenant, "check", ["b", tenant], isLast=True, door=doors[at % 3]
+                    )
+                )
                 town.world.run(0.23)
             town.world.kill(old)
-            self.assertTrue(town.world.run(until=lambda: len([1 for item in town.records if item["kind"] == "run"]) == 7, limitS=60))
+            self.assertTrue(
+                town.world.run(
+                    until=lambda: len([1 for item in town.records if item["kind"] == "run"]) == 7,
+                    limitS=60,
+                )
+            )
             self.assertTrue(long[0]["whole"])
             tenants = [item["tenant"] for item in town.records if item["kind"] == "run"][1:]
             self.assertEqual(tenants, order)
@@ -210,24 +304,47 @@
         keeper = town.keeper()
         alone = next(name for name in town.routerNames() if name != keeper)
         doors = {"alone": town.addresses[alone]["http"], "keeper": town.addresses[keeper]["http"]}
-        talks = [town.call("saga", "check", ["b", str(number)], door=doors["keeper"]) for number in range(2)]
-        others = [town.spawn(lambda: town.caller.call("oita", "check", ["b", "z"], isLast=True, door=doors["keeper"]))]
+        talks = [
+            town.call("saga", "check", ["b", str(number)], door=doors["keeper"])
+            for number in range(2)
+        ]
+        others = [
+            town.spawn(
+                lambda: town.caller.call(
+                    "oita", "check", ["b", "z"], isLast=True, door=doors["keeper"]
+                )
+            )
+        ]
         town.world.run(0.2)
-        late = town.spawn(lambda: town.caller.call("nagasaki", "check", ["b", "y"], door=doors["alone"]))
+        late = town.spawn(
+            lambda: town.caller.call("nagasaki", "check", ["b", "y"], door=doors["alone"])
+        )
         town.world.run(0.2)
-        place = next((name, each) for name, book in town.books().items() for each in book.line if each.tenant == "nagasaki")
+        place = next(
+            (name, each)
+            for name, book in town.books().items()
+            for each in book.line
+            if each.tenant == "nagasaki"
+        )
         ips = [town.addresses[name]["inner"].rpartition(":")[0] for name in (alone, keeper)]
         town.world.net.cut(ips[:1], ips[1:])
         town.world.run(until=lambda: not place[1].isAsking(), limitS=2)
 
         async def leave():
             town.up["platform"].remove(place[0])
+
         town.world.do("platform", leave)
         town.world.run(0.7)
         town.world.net.heal()
         for talk in talks:
             if talk["worker"] != place[0]:
-                town.call("saga", "check", [*talk["parts"], "said", "end"], isLast=True, door=doors["keeper"])
+                town.call(
+                    "saga",
+                    "check",
+                    [*talk["parts"], "said", "end"],
+                    isLast=True,
+                    door=doors["keeper"],
+                )
         town.world.run(until=lambda: late and others[0], limitS=60)
         self.assertTrue(late[0]["whole"], late)
 
@@ -238,7 +355,12 @@
         mesh, duty = town.up[name].mesh, next(iter(town.up[name].keepers.values())).duty
         town.world.freeze("core3")
         town.world.run(2)
-        self.assertTrue(town.world.run(until=lambda: sum(link.addr in town.seeds for link, _ in mesh.asked.values()) >= 3, limitS=5))
+        self.assertTrue(
+            town.world.run(
+                until=lambda: sum(link.addr in town.seeds for link, _ in mesh.asked.values()) >= 3,
+                limitS=5,
+            )
+        )
         leftS = duty.untilS - duty.loop.time()
         town.world.freeze(name)
         town.world.run(leftS + 0.1)
@@ -249,16 +371,26 @@
     def testARouterFrozenWithAGrantOnItsWayDoesNotActOnItLater(self):
         town = self.town(cap=1, routers=4, idleMs=200, pauseMs=100)
         keeper = town.keeper()
-        frozen, door, other = [town.addresses[name]["http"] for name in town.routerNames() if name != keeper]
+        frozen, door, other = [
+            town.addresses[name]["http"] for name in town.routerNames() if name != keeper
+        ]
         name = next(name for name in town.routerNames() if town.addresses[name]["http"] == frozen)
-        first = town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"], isLast=True, maxTokens=800, door=door))
+        first = town.spawn(
+            lambda: town.caller.call(
+                "saga", "check", ["b", "x"], isLast=True, maxTokens=800, door=door
+            )
+        )
         town.world.run(0.5)
         late = town.spawn(lambda: town.caller.call("oita", "check", ["b", "y"], door=frozen))
-        town.world.run(until=lambda: any(len(book.line) for book in town.books().values()), limitS=5)
+        town.world.run(
+            until=lambda: any(len(book.line) for book in town.books().values()), limitS=5
+        )
         town.world.freeze(name)
         town.world.run(until=lambda: first, limitS=60)
         town.world.run(5)
-        long = town.spawn(lambda: town.caller.call("saga", "check", ["b", "z"], maxTokens=8000, door=other))
+        long = town.spawn(
+            lambda: town.caller.call("saga", "check", ["b", "z"], maxTokens=8000, door=other)
+        )
         town.world.run(2)
         self.assertEqual(self.open(town), 1)
         before = len([item for item in town.records if item["kind"] == "run"])
@@ -282,17 +414,31 @@
             got = ask(claims, *what)
             if claims is town.up[name].claims and not held:
                 held.append(name)
-                (got.add_done_callback if isClaimed else town.world.loops[name].call_soon)(lambda *_: town.world.freeze(name))
+                (got.add_done_callback if isClaimed else town.world.loops[name].call_soon)(
+                    lambda *_: town.world.freeze(name)
+                )
             return got
 
         def runs():
             return len([item for item in town.records if item["kind"] == "run"])
+
         with mock.patch.object(Claims, "claim", freezes):
-            late = town.spawn(lambda: town.caller.call("oita", "check", ["b", "y"], idempotency="k", maxTokens=3200,
-                                                       door=town.addresses[name]["http"]))
+            late = town.spawn(
+                lambda: town.caller.call(
+                    "oita",
+                    "check",
+                    ["b", "y"],
+                    idempotency="k",
+                    maxTokens=3200,
+                    door=town.addresses[name]["http"],
+                )
+            )
             town.world.run(6)
-            long = town.spawn(lambda: town.caller.call("saga", "check", ["b", "z"], maxTokens=3200,
-                                                       door=town.addresses[other]["http"]))
+            long = town.spawn(
+                lambda: town.caller.call(
+                    "saga", "check", ["b", "z"], maxTokens=3200, door=town.addresses[other]["http"]
+                )
+            )
             town.world.run(1)
             self.assertEqual(runs(), 1)
             town.up[name].licence.untilS += 20
@@ -308,16 +454,26 @@
         for number in range(4):
             talks.append(town.call("saga", "check", ["b", f"case {number}"]))
         self.assertEqual(sorted(len(book.open) for book in town.books().values()), [2, 2])
-        stream = town.spawn(lambda: town.caller.call("saga", "check", [*talks[0]["parts"], "a", "b"], maxTokens=4000))
+        stream = town.spawn(
+            lambda: town.caller.call(
+                "saga", "check", [*talks[0]["parts"], "a", "b"], maxTokens=4000
+            )
+        )
         town.world.run(0.5)
         leaving = talks[0]["worker"]
 
         async def drain():
             town.up["platform"].drain(leaving)
+
         town.world.do("platform", drain)
         town.world.run(4)
         again = [town.call("saga", "check", [*talk["parts"], "said", "more"]) for talk in talks[1:]]
-        self.assertTrue(all(each["whole"] and each["worker"] != leaving and each["waitedMs"] == 0 for each in again))
+        self.assertTrue(
+            all(
+                each["whole"] and each["worker"] != leaving and each["waitedMs"] == 0
+                for each in again
+            )
+        )
         town.world.run(until=lambda: stream, limitS=60)
         self.assertTrue(stream[0]["whole"])
         late = town.call("oita", "check", ["b", "new"])
@@ -333,17 +489,21 @@
 
         async def drain():
             town.up["platform"].drain(first["worker"])
+
         town.world.do("platform", drain)
         town.world.run(2)
         moved = town.call("saga", "check", [*first["parts"], "said", "x"])
         self.assertEqual((moved["usage"]["hitParts"], moved["whole"]), (2, True))
         fetches = [item["parts"] for item in town.records if item["kind"] == "fetch"]
         self.assertEqual(fetches[-1], 2)
-        self.assertEqual(len([item for item in town.records if item["kind"] == "run"]), len(fetches))
+        self.assertEqual(
+            len([item for item in town.records if item["kind"] == "run"]), len(fetches)
+        )
 
         async def swap():
             town.up["platform"].drain(first["worker"], False)
             town.up["platform"].drain(moved["worker"])
+
         town.world.do("platform", swap)
         town.world.run(2)
         town.up[moved["worker"]].linkS = 30.0
@@ -352,7 +512,11 @@
         self.assertTrue(back["whole"])
         self.assertLess(town.world.now - atS, 1.5 + 4.0)
         counters = town.up[town.keeper()].counters()
-        self.assertGreaterEqual(sum(town.up[name].counters().get("fetches", 0) for name in town.routerNames()), 3, counters)
+        self.assertGreaterEqual(
+            sum(town.up[name].counters().get("fetches", 0) for name in town.routerNames()),
+            3,
+            counters,
+        )
         self.sound(town)
 
     def testCacheReportsLostDoubledAndLateOnlyCostWarmth(self):
@@ -360,7 +524,10 @@
             town = self.town(cap=4, workers=2)
             for worker in town.site.workers:
                 town.up[worker["name"]].quirk = quirk
-            box = [town.spawn(lambda tenant=tenant: town.caller.agent(tenant, turns=4, gap=0.1)) for tenant in town.site.keys]
+            box = [
+                town.spawn(lambda tenant=tenant: town.caller.agent(tenant, turns=4, gap=0.1))
+                for tenant in town.site.keys
+            ]
             town.world.run(until=lambda: all(box), limitS=120)
             self.assertEqual([each[0] for each in box], [4] * 8, quirk)
             self.sound(town)
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -1,10 +1,20 @@
 """Cases of calls: legs, final answers, claims, pieces and the retry budget."""
+
 import asyncio
 import unittest
 from unittest import mock
 
 from swiftdeck.bench.checker import check
-from swiftdeck.fault import (CLAIM_LEFT, CLAIMED, STALE_LIST, TIMED_OUT, UNKNOWN_KEY, WORKER_BAD, WORKER_HANGS, WORKER_LOST)
+from swiftdeck.fault import (
+    CLAIM_LEFT,
+    CLAIMED,
+    STALE_LIST,
+    TIMED_OUT,
+    UNKNOWN_KEY,
+    WORKER_BAD,
+    WORKER_HANGS,
+    WORKER_LOST,
+)
 from swiftdeck.http.client import connect
 from swiftdeck.sim.town import Town
 from swiftdeck.traffic.call import Call
@@ -32,8 +42,14 @@
 
     def testAOnceOnlyCallIsClaimedAcrossRouters(self):
         town = self.town(routers=3)
-        box = [town.spawn(lambda door=node["http"]: town.caller.call(
-            "saga", "check", ["book", "same"], idempotency="bill-7", door=door)) for node in town.site.routers]
+        box = [
+            town.spawn(
+                lambda door=node["http"]: town.caller.call(
+                    "saga", "check", ["book", "same"], idempotency="bill-7", door=door
+                )
+            )
+            for node in town.site.routers
+        ]
         town.world.run(until=lambda: all(box), limitS=30)
         self.assertEqual(sorted(each[0]["status"] for each in box), [200, 409, 409])
         self.assertEqual({each[0]["code"] for each in box}, {0, CLAIMED.code})
@@ -46,19 +62,40 @@
             keeper = town.keeper()
             name = next(each for each in town.routerNames() if each != keeper)
             first, other = town.addresses[name]["http"], town.addresses[keeper]["http"]
-            self.assertEqual(town.change("PATCH", {"models": {"screener": {"cap": 1}}, "routes": {"check": {"waitMs": 900}}})[0], 200)
-            busy = town.spawn(lambda: town.caller.call("oita", "check", ["b", "long"], isLast=True, door=other,
-                                                       maxTokens=1 if isGranted else 300))
+            self.assertEqual(
+                town.change(
+                    "PATCH",
+                    {"models": {"screener": {"cap": 1}}, "routes": {"check": {"waitMs": 900}}},
+                )[0],
+                200,
+            )
+            busy = town.spawn(
+                lambda: town.caller.call(
+                    "oita",
+                    "check",
+                    ["b", "long"],
+                    isLast=True,
+                    door=other,
+                    maxTokens=1 if isGranted else 300,
+                )
+            )
             town.world.run(0.8 if isGranted else 0.3)
 
             def fails(call, leg):
                 return STALE_LIST if call.router is town.up[name] else look(call, leg)
+
             with mock.patch.object(Call, "_mayBeSent", fails):
-                box = town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"], idempotency="bill", door=first))
+                box = town.spawn(
+                    lambda: town.caller.call(
+                        "saga", "check", ["b", "x"], idempotency="bill", door=first
+                    )
+                )
                 town.world.run(0.5)
                 if isCut:
                     ip = town.addresses[name]["inner"].rpartition(":")[0]
-                    town.world.net.cut([ip], [node["inner"].rpartition(":")[0] for node in town.site.cores])
+                    town.world.net.cut(
+                        [ip], [node["inner"].rpartition(":")[0] for node in town.site.cores]
+                    )
                 town.world.run(until=lambda: box, limitS=5)
             got = box[0]
             if isCut:
@@ -81,7 +118,10 @@
         town = self.town()
         self.quirk(town, "die midway")
         got = town.call("saga", "check", ["book", "x"], idempotency="k")
-        self.assertEqual((got["status"], got["code"], got["whole"], got["pieces"]), (200, WORKER_LOST.code, False, 2))
+        self.assertEqual(
+            (got["status"], got["code"], got["whole"], got["pieces"]),
+            (200, WORKER_LOST.code, False, 2),
+        )
         self.assertEqual(len(self.runs(town)), 1)
         self.sound(town)
 
@@ -90,7 +130,10 @@
         town.world.run(11)
         warm = town.call("saga", "tag", ["book", "0"])["worker"]
         town.up[warm].quirk = "die midway"
-        got = [town.call("saga", "tag", ["book", str(number)], stream=False, maxTokens=64) for number in range(3)]
+        got = [
+            town.call("saga", "tag", ["book", str(number)], stream=False, maxTokens=64)
+            for number in range(3)
+        ]
         self.assertEqual({each["status"] for each in got}, {200})
         self.assertGreater(sum(not item["run"].endswith("-1") for item in self.runs(town)), 0)
         self.assertEqual([each["wrong"] for each in got if each["wrong"]], [])
@@ -109,11 +152,16 @@
         async def talk(body):
             ip, _, port = town.site.routers[0]["http"].rpartition(":")
             transport, _ = await asyncio.get_running_loop().create_connection(Sink, ip, int(port))
-            transport.write(b"POST /v1/calls HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-saga\r\n"
-                            b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
+            transport.write(
+                b"POST /v1/calls HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-saga\r\n"
+                b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            )
             transport.write_eof()
             await asyncio.sleep(5)
-        town.world.do("callers", lambda: talk(b'{"model": "check", "parts": ["book", "x"], "stream": false}'))
+
+        town.world.do(
+            "callers", lambda: talk(b'{"model": "check", "parts": ["book", "x"], "stream": false}')
+        )
         self.assertIn(b'"end":true', got)
         self.assertTrue(got.endswith(b"<end>"))
         self.assertTrue(all(not town.up[name].http.open for name in town.routerNames()))
@@ -127,7 +175,9 @@
             town = self.town()
             self.quirk(town, quirk)
             got = town.call("saga", "check", ["book", "x"])
-            self.assertEqual((got["code"], got["whole"], got["wrong"]), (WORKER_BAD.code, False, ""), quirk)
+            self.assertEqual(
+                (got["code"], got["whole"], got["wrong"]), (WORKER_BAD.code, False, ""), quirk
+            )
             self.assertLessEqual(got["pieces"], 3)
             self.sound(town)
 
@@ -172,8 +222,14 @@
         self.quirk(town, "die midway")
         town.change("PATCH", {"models": {"screener": {"cap": 50}}})
         town.world.run(11)
-        box = [town.spawn(lambda number=number: town.caller.call("oita", "tag", ["book", str(number)], stream=False))
-               for number in range(40)]
+        box = [
+            town.spawn(
+                lambda number=number: town.caller.call(
+                    "oita", "tag", ["book", str(number)], stream=False
+                )
+            )
+            for number in range(40)
+        ]
         town.world.run(until=lambda: all(box), limitS=90)
         tries = [item["run"] for item in self.runs(town)]
         extra = sum(not run.endswith("-1") for run in tries)
@@ -191,7 +247,12 @@
         town.world.run(2)
         for node in town.site.cores:
             town.startCore(node["name"])
-        self.assertTrue(town.world.run(until=lambda: any(town.up[name].licence.isHeld() for name in town.routerNames()), limitS=8))
+        self.assertTrue(
+            town.world.run(
+                until=lambda: any(town.up[name].licence.isHeld() for name in town.routerNames()),
+                limitS=8,
+            )
+        )
         town.world.run(until=lambda: box, limitS=30)
         self.assertTrue(box[0]["notRun"] and box[0]["retryAfter"], box)
         self.assertLess(town.world.now - startS, 10.5)
@@ -206,15 +267,32 @@
         late = []
 
         def slow(claims, *what):
-            done, first, waitS = claims.loop.create_future(), claim(claims, *what), 0.0 if late else 1.0
-            first.add_done_callback(lambda _: claims.loop.call_later(waitS, done.set_result, first.result()))
+            done, first, waitS = (
+                claims.loop.create_future(),
+                claim(claims, *what),
+                0.0 if late else 1.0,
+            )
+            first.add_done_callback(
+                lambda _: claims.loop.call_later(waitS, done.set_result, first.result())
+            )
             late.append(what)
             return done
+
         with mock.patch.object(Claims, "claim", slow):
             again = town.call("saga", "check", [*got["parts"], "said", "y"], idempotency="2")
         self.assertTrue(again["whole"])
-        ends = [item for name in town.routerNames() for item in town.up[name].decisions.items if item["kind"] == "end"]
-        starts = [item for name in town.routerNames() for item in town.up[name].decisions.items if item["kind"] == "start"]
+        ends = [
+            item
+            for name in town.routerNames()
+            for item in town.up[name].decisions.items
+            if item["kind"] == "end"
+        ]
+        starts = [
+            item
+            for name in town.routerNames()
+            for item in town.up[name].decisions.items
+            if item["kind"] == "start"
+        ]
         self.assertEqual((ends, starts), ([], []))
 
     def testACallCountsOnceHoweverOftenItsFirstLegIsGranted(self):
@@ -222,6 +300,7 @@
 
         def fails(call, leg):
             return failures.pop() if failures else look(call, leg)
+
         town.world.run(11)
         budget = town.up[town.keeper()].keepers["screener"].budget
         budget.calls.clear()
@@ -234,6 +313,7 @@
 
         def loses(router, call, leg, grant, askedS):
             return TIMED_OUT if lost and lost.pop() else take(router, call, leg, grant, askedS)
+
         with mock.patch.object(Router, "takeGrant", loses):
             self.assertTrue(town.call("saga", "check", ["book", "x"], maxTokens=16)["whole"])
         self.assertEqual((lost, sum(len(book.open) for book in town.books().values())), ([], 1))
@@ -242,12 +322,26 @@
         town = self.town(workers=4)
         for name in ("worker2", "worker4"):
             town.up["platform"].workers[name].update(model="other")
-        self.assertEqual(town.change("PATCH", {"models": {"other": {"weights": "w1", "cap": 50}, "screener": {"cap": 50}}, "routes": {
-            "ad": {"model": "other", "repeatable": True, "single": True}}})[0], 200)
+        self.assertEqual(
+            town.change(
+                "PATCH",
+                {
+                    "models": {"other": {"weights": "w1", "cap": 50}, "screener": {"cap": 50}},
+                    "routes": {"ad": {"model": "other", "repeatable": True, "single": True}},
+                },
+            )[0],
+            200,
+        )
         town.world.run(13)
         self.quirk(town, "die midway")
-        box = [town.spawn(lambda route=route: town.caller.call("saga", route, ["book", "x"], stream=False, maxTokens=16))
-               for route in ("tag", "ad") * 4]
+        box = [
+            town.spawn(
+                lambda route=route: town.caller.call(
+                    "saga", route, ["book", "x"], stream=False, maxTokens=16
+                )
+            )
+            for route in ("tag", "ad") * 4
+        ]
         town.world.run(until=lambda: all(box), limitS=60)
         extra = sum(not item["run"].endswith("-1") for item in self.runs(town))
         self.assertTrue(0 < extra <= 8 // 5 + 3, extra)
@@ -259,12 +353,18 @@
         async def leave():
             ip, _, port = town.site.routers[0]["http"].rpartition(":")
             link = await connect(ip, int(port))
-            work = asyncio.ensure_future(link.exchange(
-                "POST", "/v1/calls", [("authorization", "Bearer key-saga")],
-                b'{"model": "check", "parts": ["book", "x"], "maxTokens": 6400}'))
+            work = asyncio.ensure_future(
+                link.exchange(
+                    "POST",
+                    "/v1/calls",
+                    [("authorization", "Bearer key-saga")],
+                    b'{"model": "check", "parts": ["book", "x"], "maxTokens": 6400}',
+                )
+            )
             await asyncio.sleep(1.0)
             link.close()
             work.cancel()
+
         town.world.do("callers", leave)
         town.world.run(2)
         self.assertEqual(sum(len(book.open) for book in town.books().values()), 0)
@@ -280,30 +380,52 @@
             ip, _, port = town.site.routers[0]["http"].rpartition(":")
             link = await connect(ip, int(port))
             link.transport.pause_reading()
-            got = asyncio.ensure_future(link.exchange("POST", "/v1/calls", [("authorization", "Bearer key-saga")], (
-                b'{"model": "check", "parts": ["book", "[[' + b"z" * 3000 + b']]"], "maxTokens": 16000}')))
+            got = asyncio.ensure_future(
+                link.exchange(
+                    "POST",
+                    "/v1/calls",
+                    [("authorization", "Bearer key-saga")],
+                    (
+                        b'{"model": "check", "parts": ["book", "[['
+                        + b"z" * 3000
+                        + b']]"], "maxTokens": 16000}'
+                    ),
+                )
+            )
             held.append((link, got))
             await asyncio.sleep(0.01)
             link.transport.pause_reading()
+
         town.world.do("callers", slow)
         for _ in range(60):
             held[0][0].transport.pause_reading()
             town.world.run(1)
-        self.assertEqual(sum(town.up[name].http.count["slowCallers"] for name in town.routerNames()), 1)
+        self.assertEqual(
+            sum(town.up[name].http.count["slowCallers"] for name in town.routerNames()), 1
+        )
         self.assertTrue(all(not town.up[name].open for name in town.routerNames()))
 
     def testBadInputGetsItsCode(self):
         town = self.town(bodyBytes=4096, partsMost=10)
-        for body, headers, code in [(b"{", [], 100), (b"[]", [], 100), (b'{"model":"tag","parts":[]}', [], 100),
-                                    (b'{"model":"tag","parts":[1]}', [], 100), (b'{"model":"none","parts":["a"]}', [], 102),
-                                    (b'{"model":"tag","parts":["' + b"a" * 5000 + b'"]}', [], 103),
-                                    (b'{"model":"tag","parts":[' + b",".join([b'"a"'] * 11) + b"]}", [], 103),
-                                    (b"\xff\xfe", [], 100)]:
+        for body, headers, code in [
+            (b"{", [], 100),
+            (b"[]", [], 100),
+            (b'{"model":"tag","parts":[]}', [], 100),
+            (b'{"model":"tag","parts":[1]}', [], 100),
+            (b'{"model":"none","parts":["a"]}', [], 102),
+            (b'{"model":"tag","parts":["' + b"a" * 5000 + b'"]}', [], 103),
+            (b'{"model":"tag","parts":[' + b",".join([b'"a"'] * 11) + b"]}", [], 103),
+            (b"\xff\xfe", [], 100),
+        ]:
+
             async def send():
                 ip, _, port = town.site.routers[0]["http"].rpartition(":")
                 link = await connect(ip, int(port))
-                got = await link.exchange("POST", "/v1/calls", [("authorization", "Bearer key-saga"), *headers], body)
+                got = await link.exchange(
+                    "POST", "/v1/calls", [("authorization", "Bearer key-saga"), *headers], body
+                )
                 return got.status, await got.whole()
+
             status, answer = town.world.do("callers", send)
             self.assertIn(b'"code":%d' % code, answer)
             self.assertGreaterEqual(status, 400)
@@ -316,7 +438,11 @@
         platform = town.site.platform.rpartition(":")[0]
         alone = town.site.routers[0]
         ip = alone["inner"].rpartition(":")[0]
-        rest = [town.addresses[name]["inner"].rpartition(":")[0] for name in town.routerNames() if name != alone["name"]]
+        rest = [
+            town.addresses[name]["inner"].rpartition(":")[0]
+            for name in town.routerNames()
+            if name != alone["name"]
+        ]
         town.world.net.cut([ip], [platform])
         town.world.run(5)
         self.assertEqual(town.call("saga", "tag", ["a", "b"], door=alone["http"])["status"], 200)
@@ -332,7 +458,10 @@
         self.assertLess(town.world.now - startS, 10.5)
         town.world.start("platform", platform, town.up["platform"].start)
         town.world.run(2)
-        self.assertEqual(town.call("saga", "check", ["a", "c"], idempotency="k", door=alone["http"])["status"], 200)
+        self.assertEqual(
+            town.call("saga", "check", ["a", "c"], idempotency="k", door=alone["http"])["status"],
+            200,
+        )
         self.sound(town)
 
     def testAMajorityBehindACutDoesNotObeyItsOldListWhileTheOthersAreShownADrain(self):
@@ -340,7 +469,9 @@
         platform = town.site.platform.rpartition(":")[0]
         keeper = town.keeper()
         seeing = next(name for name in town.routerNames() if name != keeper)
-        ips = {name: town.addresses[name]["inner"].rpartition(":")[0] for name in town.routerNames()}
+        ips = {
+            name: town.addresses[name]["inner"].rpartition(":")[0] for name in town.routerNames()
+        }
         blind = [ips[name] for name in ips if name != seeing]
         town.world.net.cut(blind, [platform, ips[seeing]])
         town.world.run(4)
@@ -348,10 +479,13 @@
         async def drain():
             for worker in town.site.workers:
                 town.up["platform"].drain(worker["name"])
+
         town.world.do("platform", drain)
         town.world.run(5)
         got = town.call("saga", "tag", ["a", "b"], door=town.addresses[keeper]["http"])
-        self.assertEqual((got["code"], got["notRun"], len(self.runs(town))), (STALE_LIST.code, True, 0))
+        self.assertEqual(
+            (got["code"], got["notRun"], len(self.runs(town))), (STALE_LIST.code, True, 0)
+        )
         self.sound(town)
 
     def testWhatAProcessFrozenBetweenItsLookAndItsWriteSendsLaterIsNoRun(self):
@@ -364,12 +498,18 @@
                 frozen.append(leg.grant.worker)
                 town.world.freeze(name)
             return got
+
         with mock.patch.object(Call, "_mayBeSent", freezes):
-            late = town.spawn(lambda: town.caller.call("saga", "tag", ["a", "b"], door=town.addresses[name]["http"]))
+            late = town.spawn(
+                lambda: town.caller.call(
+                    "saga", "tag", ["a", "b"], door=town.addresses[name]["http"]
+                )
+            )
             town.world.run(1)
 
             async def drain():
                 town.up["platform"].drain(frozen[0])
+
             town.world.do("platform", drain)
             town.world.run(8)
             town.world.thaw(name)
@@ -383,8 +523,11 @@
         keeper = town.keeper()
         other = next(name for name in town.routerNames() if name != keeper)
         door = town.addresses[other]["http"]
-        first = town.spawn(lambda: town.caller.call("saga", "check", ["book", "a"], maxTokens=2000,
-                                                    door=town.addresses[keeper]["http"]))
+        first = town.spawn(
+            lambda: town.caller.call(
+                "saga", "check", ["book", "a"], maxTokens=2000, door=town.addresses[keeper]["http"]
+            )
+        )
         town.world.run(0.5)
         second = town.spawn(lambda: town.caller.call("oita", "check", ["book", "b"], door=door))
         town.world.run(0.5)
--- a/tests/cases/config.py
+++ b/tests/cases/config.py
@@ -1,4 +1,5 @@
 """Cases of the configuration and the chain."""
+
 import asyncio
 import unittest
 
@@ -26,9 +27,14 @@
 
         def isMended():
             cores = [town.up[name] for name in town.coreNames()]
-            return all(len(core.agreement.decided.members) == members and core.chain.isWhole() and
-                       core.agreement.mayServe() for core in cores if core.agreement.position() >= 0) and any(
-                           core.agreement.position() >= 0 for core in cores)
+            return all(
+                len(core.agreement.decided.members) == members
+                and core.chain.isWhole()
+                and core.agreement.mayServe()
+                for core in cores
+                if core.agreement.position() >= 0
+            ) and any(core.agreement.position() >= 0 for core in cores)
+
         self.assertTrue(town.world.run(until=isMended, limitS=40), "chain was not mended")
 
     def cap(self, number):
@@ -46,7 +52,9 @@
 
     def member(self, town, position):
         """The name of the core at a place of the chain."""
-        return next(name for name in town.coreNames() if town.up[name].agreement.position() == position)
+        return next(
+            name for name in town.coreNames() if town.up[name].agreement.position() == position
+        )
 
     def testRefusalsHaveCodesAndChangeNothing(self):
         town = self.town()
@@ -56,20 +64,29 @@
         self.assertIn("$.routes.check.model", invalid[1]["reason"])
         self.assertEqual(town.change("PATCH", self.cap(7), changeId="one")[1]["version"], 2)
         self.assertEqual(town.change("PATCH", self.cap(7), base=1, changeId="one")[1]["version"], 2)
-        self.assertEqual(town.change("PATCH", self.cap(8), base=1, changeId="one")[1]["code"], REUSED_CHANGE.code)
-        version, document = (town.ask("GET", "/v1/config")[1][name] for name in ("version", "document"))
+        self.assertEqual(
+            town.change("PATCH", self.cap(8), base=1, changeId="one")[1]["code"], REUSED_CHANGE.code
+        )
+        version, document = (
+            town.ask("GET", "/v1/config")[1][name] for name in ("version", "document")
+        )
         self.assertEqual((version, document["models"]["screener"]["cap"]), (2, 7))
 
     def testAStreamOfChangesHasAnAnswerEach(self):
         town = self.town()
-        lines = [{"id": "a", "op": "patch", "base": 1, "document": self.cap(5)}, {"id": "b", "op": "nonsense"},
-                 {"id": "c", "op": "patch", "base": 1, "document": self.cap(6)}]
+        lines = [
+            {"id": "a", "op": "patch", "base": 1, "document": self.cap(5)},
+            {"id": "b", "op": "nonsense"},
+            {"id": "c", "op": "patch", "base": 1, "document": self.cap(6)},
+        ]
+
         async def send():
             ip, _, port = town.site.cores[0]["http"].rpartition(":")
             link = await connect(ip, int(port))
             body = b"\n".join(map(msgspec.json.encode, lines)) + b"\nnot json\n"
             got = await link.exchange("POST", "/v1/changes", body=body)
             return [msgspec.json.decode(line)["code"] async for line in got.lines()]
+
         self.assertEqual(town.world.do("operator", send), [0, 100, 200, 100])
 
     def testChangesGoInAndAnswersComeOutOfOneOpenStream(self):
@@ -82,14 +99,22 @@
         async def talk():
             ip, _, port = town.site.cores[0]["http"].rpartition(":")
             transport, _ = await asyncio.get_running_loop().create_connection(Sink, ip, int(port))
-            transport.write(b"POST /v1/changes HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n")
+            transport.write(
+                b"POST /v1/changes HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+            )
             for number in range(3):
-                line = msgspec.json.encode({"op": "patch", "base": 1 + number, "document": self.cap(5 + number)}) + b"\n"
+                line = (
+                    msgspec.json.encode(
+                        {"op": "patch", "base": 1 + number, "document": self.cap(5 + number)}
+                    )
+                    + b"\n"
+                )
                 transport.write(b"%x\r\n%s\r\n" % (len(line), line))
                 while got.count(b'"version"') <= number:
                     await asyncio.sleep(0.05)
             transport.write(b"0\r\n\r\nGET /v1/counters HTTP/1.1\r\nHost: x\r\n\r\n")
             await asyncio.sleep(1)
+
         town.world.do("operator", talk, limitS=30)
         self.assertEqual((got.count(b'"code":0'), got.count(b"HTTP/1.1 200")), (3, 2))
         self.assertEqual(town.ask("GET", "/v1/config")[1]["version"], 4)
@@ -131,7 +156,10 @@
             town.startCore(name)
             town.world.run(8)
             got = town.ask("GET", "/v1/config", name=name)[1]
-            self.assertEqual((got["version"], got["document"]["models"]["screener"]["cap"]), (town.version, 20 + position))
+            self.assertEqual(
+                (got["version"], got["document"]["models"]["screener"]["cap"]),
+                (town.version, 20 + position),
+            )
         self.settle(town)
 
     def testAnEmptiedCoreAtANewAddressTakesTheLostPlaceAndTheSeedsAreExchanged(self):
@@ -150,7 +178,10 @@
         self.assertIn(node["inner"], voters)
         town.world.kill("core2")
         self.insist(town, 3, "core3")
-        self.assertEqual(town.ask("GET", "/v1/config", name="core3")[1]["document"]["models"]["screener"]["cap"], 3)
+        self.assertEqual(
+            town.ask("GET", "/v1/config", name="core3")[1]["document"]["models"]["screener"]["cap"],
+            3,
+        )
 
     def testAnOldCoreAtANewAddressIsTheSameOne(self):
         town = self.town()
@@ -158,12 +189,17 @@
             name = self.member(town, position)
             town.world.kill(name)
             machine = f"moved-{name}"
-            town.addresses[name] |= {"inner": f"{town.ip(machine)}:7000", "http": f"{town.ip(machine)}:8000"}
+            town.addresses[name] |= {
+                "inner": f"{town.ip(machine)}:7000",
+                "http": f"{town.ip(machine)}:8000",
+            }
             town.seeds = [core["inner"] for core in town.site.cores]
             coreId = town.up[name].agreement.coreId
             town.startCore(name)
             town.world.run(1)
-            self.insist(town, 30 + position, next(other for other in town.coreNames() if other != name))
+            self.insist(
+                town, 30 + position, next(other for other in town.coreNames() if other != name)
+            )
             self.settle(town)
             members = {ref.coreId: ref.addr for ref in town.up[name].agreement.decided.members}
             self.assertEqual(members[coreId], town.addresses[name]["inner"])
@@ -172,9 +208,18 @@
         town = self.town()
         for round_ in range(5):
             base = town.version
-            box = [town.spawn(lambda name=name, number=number: fetchJson(
-                town.addresses[name]["http"], "PATCH", f"/v1/config?base={base}", self.cap(number), timeoutMs=12000))
-                for number, name in ((5, "core1"), (6, "core2"), (7, "core3"))]
+            box = [
+                town.spawn(
+                    lambda name=name, number=number: fetchJson(
+                        town.addresses[name]["http"],
+                        "PATCH",
+                        f"/v1/config?base={base}",
+                        self.cap(number),
+                        timeoutMs=12000,
+                    )
+                )
+                for number, name in ((5, "core1"), (6, "core2"), (7, "core3"))
+            ]
             town.world.run(until=lambda: all(box), limitS=20)
             self.assertEqual(sorted(each[0][0] for each in box), [200, 409, 409])
             town.version += 1
@@ -182,7 +227,11 @@
     def testACutCoreServesNothingOldAndComesBack(self):
         town = self.town()
         tail = self.member(town, 2)
-        others = [town.addresses[name]["inner"].rpartition(":")[0] for name in town.addresses if name != tail]
+        others = [
+            town.addresses[name]["inner"].rpartition(":")[0]
+            for name in town.addresses
+            if name != tail
+        ]
         alone = town.addresses[tail]["inner"].rpartition(":")[0]
         town.world.net.cut([alone], others)
         town.world.run(8)
@@ -229,9 +278,15 @@
             head, tail = self.member(town, 0), self.member(town, 2)
             town.folders[head].stallS = 0.9
             if kind == "claim":
-                town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"], idempotency="bill"))
+                town.spawn(
+                    lambda: town.caller.call("saga", "check", ["b", "x"], idempotency="bill")
+                )
             else:
-                town.spawn(lambda: fetchJson(town.addresses[tail]["http"], "PATCH", "/v1/config?base=1", self.cap(9)))
+                town.spawn(
+                    lambda: fetchJson(
+                        town.addresses[tail]["http"], "PATCH", "/v1/config?base=1", self.cap(9)
+                    )
+                )
             town.world.run(0.7)
             known = town.up[tail].chain
             seen = (known.state.stored.version, len(known.state.stored.claims), known.serial)
@@ -243,7 +298,9 @@
             self.settle(town)
             for name in town.coreNames():
                 stored, serial = town.up[name].chain.state.stored, town.up[name].chain.serial
-                self.assertGreaterEqual((stored.version, len(stored.claims), serial), seen, (kind, name))
+                self.assertGreaterEqual(
+                    (stored.version, len(stored.claims), serial), seen, (kind, name)
+                )
 
     def testADamagedLastRecordIsNotTakenForATornOne(self):
         for at in (-1, -20):
@@ -276,12 +333,18 @@
         town.startCore(head)
         town.world.run(3)
         self.settle(town)
-        self.assertEqual({town.up[name].chain.state.stored.version for name in town.coreNames()}, {2})
+        self.assertEqual(
+            {town.up[name].chain.state.stored.version for name in town.coreNames()}, {2}
+        )
 
     def testAColdStartServesWithinTwelveSecondsEmptyAndWithItsData(self):
         for site in ("hinokuni", "serraria"):
             town = Town(3, site, routers=9, workers=None).start()
-            self.assertTrue(town.call("saga" if site == "hinokuni" else "ipe", "check", ["b", "x"], idempotency="k")["whole"])
+            self.assertTrue(
+                town.call(
+                    "saga" if site == "hinokuni" else "ipe", "check", ["b", "x"], idempotency="k"
+                )["whole"]
+            )
             self.assertLess(town.world.now, 12, site)
             version = town.version
             names = list(town.world.loops)
@@ -293,7 +356,9 @@
             startS = town.world.now
             for node in town.site.cores:
                 town.startCore(node["name"])
-            town.world.start("platform", town.site.platform.rpartition(":")[0], town.up["platform"].start)
+            town.world.start(
+                "platform", town.site.platform.rpartition(":")[0], town.up["platform"].start
+            )
             town.startStore()
             for worker in town.site.workers:
                 town.startWorker(worker["name"])
@@ -301,7 +366,12 @@
                 town.startRouter(node["name"])
             got = {"whole": False}
             while not got["whole"] and town.world.now < startS + 30:
-                got = town.call("saga" if site == "hinokuni" else "ipe", "check", ["b", "y"], idempotency="again")
+                got = town.call(
+                    "saga" if site == "hinokuni" else "ipe",
+                    "check",
+                    ["b", "y"],
+                    idempotency="again",
+                )
             self.assertLess(town.world.now - startS, 12, site)
             self.assertEqual(town.ask("GET", "/v1/config")[1]["version"], version)
 
@@ -334,7 +404,9 @@
         town.startCore(name)
         town.world.run(3)
         self.settle(town)
-        self.assertEqual((town.up[name].agreement.coreId, town.up[name].board.count["copies"]), (coreId, 0))
+        self.assertEqual(
+            (town.up[name].agreement.coreId, town.up[name].board.count["copies"]), (coreId, 0)
+        )
 
     def testAckMeansInForceAtEveryRouterThatStillServes(self):
         town = self.town(routers=3)
@@ -368,9 +440,16 @@
 
     def testManyRoutesAreCarriedToAll(self):
         town = self.town()
-        routes = {f"route-{number}": {"model": "screener", "repeatable": True} for number in range(3000)}
+        routes = {
+            f"route-{number}": {"model": "screener", "repeatable": True} for number in range(3000)
+        }
         self.assertEqual(town.change("PATCH", {"routes": routes})[0], 200)
-        self.assertTrue(all(len(town.up[name].licence.held.document.routes) == 3002 for name in town.routerNames()))
+        self.assertTrue(
+            all(
+                len(town.up[name].licence.held.document.routes) == 3002
+                for name in town.routerNames()
+            )
+        )
         self.assertEqual(town.call("saga", "route-2999", ["a", "b"])["status"], 200)
 
     def testAChangeTravelsAsAChangeAndTheWholeOnlyOnAMismatch(self):
@@ -380,8 +459,16 @@
         town.world.run(1)
         wholes = town.counters()["wholesSent"]
         for number in range(5):
-            self.assertEqual(town.change("PATCH", {"routes": {f"route-{number}": None}, "tenants": {"saga": {"apart": True}}})[0], 200)
-        self.assertEqual((town.counters()["wholesSent"] - wholes, town.counters()["configsMismatched"]), (0, 0))
+            self.assertEqual(
+                town.change(
+                    "PATCH",
+                    {"routes": {f"route-{number}": None}, "tenants": {"saga": {"apart": True}}},
+                )[0],
+                200,
+            )
+        self.assertEqual(
+            (town.counters()["wholesSent"] - wholes, town.counters()["configsMismatched"]), (0, 0)
+        )
         licence = town.up["router2"].licence
         wrong = licence.held.config.apply({"routes": {"tag": None}})
         licence.held = attrs.evolve(licence.held, config=wrong)
@@ -389,15 +476,27 @@
         town.world.run(1)
         held = {town.up[name].licence.held.config.digest() for name in town.routerNames()}
         self.assertEqual((len(held), town.counters()["wholesSent"] - wholes), (1, 1))
-        self.assertEqual(town.call("saga", "tag", ["a", "b"], door=town.addresses["router2"]["http"])["status"], 200)
-        sizes = {len(entry) for name in town.coreNames() for entry in town.up[name].chain.entries.values()}
+        self.assertEqual(
+            town.call("saga", "tag", ["a", "b"], door=town.addresses["router2"]["http"])["status"],
+            200,
+        )
+        sizes = {
+            len(entry)
+            for name in town.coreNames()
+            for entry in town.up[name].chain.entries.values()
+        }
         self.assertLess(sorted(sizes)[-2], 2000)
 
     def testAConfigurationBeyondItsBoundIsRefusedWithItsCode(self):
         town = self.town(bodyBytes=8 << 20)
-        routes = {f"route-{number}": {"model": "screener", "tenants": ["saga"] * 200} for number in range(4000)}
+        routes = {
+            f"route-{number}": {"model": "screener", "tenants": ["saga"] * 200}
+            for number in range(4000)
+        }
         for at in range(5):
-            got = town.change("PATCH", {"routes": {f"{name}-{at}": route for name, route in routes.items()}})
+            got = town.change(
+                "PATCH", {"routes": {f"{name}-{at}": route for name, route in routes.items()}}
+            )
             if got[0] != 200:
                 break
         self.assertEqual((got[0], got[1]["code"]), (422, INVALID.code))
@@ -411,7 +510,9 @@
         town.world.net.cut([ip], cores)
         town.world.run(6)
         atS = town.world.now
-        self.assertEqual(town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200)
+        self.assertEqual(
+            town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200
+        )
         self.assertLess(town.world.now - atS, 2.0)
         door = town.addresses["router1"]["http"]
         self.assertEqual(town.call("saga", "tag", ["a", "b"], door=door)["status"], 401)
@@ -424,7 +525,9 @@
         town.world.run(1)
         box = town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"]))
         town.world.run(1)
-        self.assertEqual(town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200)
+        self.assertEqual(
+            town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200
+        )
         town.world.run(until=lambda: box, limitS=1.5)
         self.assertTrue(box and box[0]["status"] == 401 and box[0]["notRun"], box)
 
@@ -436,9 +539,14 @@
             town.world.run(0.37)
         for number in range(3):
             key = f"key-{number}"
-            self.assertEqual(town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest(key)]}}})[0], 200)
-            got = [town.call("saga", "tag", ["a", "b"], key=old, door=node["http"])["status"]
-                   for node in town.site.routers for old in (key, f"key-{number - 1}")]
+            self.assertEqual(
+                town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest(key)]}}})[0], 200
+            )
+            got = [
+                town.call("saga", "tag", ["a", "b"], key=old, door=node["http"])["status"]
+                for node in town.site.routers
+                for old in (key, f"key-{number - 1}")
+            ]
             self.assertEqual(got, [200, 401] * 9)
             town.world.run(0.37)
         self.assertEqual(check(town.records), {})
@@ -451,14 +559,19 @@
             ip, _, port = town.site.routers[0]["http"].rpartition(":")
             link, codes = await connect(ip, int(port)), []
             for number in range(2):
-                got = await link.exchange("POST", "/v1/calls", [("authorization", "Bearer key-saga")], bodies)
+                got = await link.exchange(
+                    "POST", "/v1/calls", [("authorization", "Bearer key-saga")], bodies
+                )
                 await got.whole()
                 codes.append(got.status)
                 while not number and town.version < 2:
                     await asyncio.sleep(0.1)
             return codes
+
         box = town.spawn(talk)
         town.world.run(1)
-        self.assertEqual(town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200)
+        self.assertEqual(
+            town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200
+        )
         town.world.run(until=lambda: box, limitS=10)
         self.assertEqual(box, [[200, 401]])
--- a/tests/cases/cores.py
+++ b/tests/cases/cores.py
@@ -1,4 +1,5 @@
 """Cases of founding, joining and losing cores, for sites of one, three and five."""
+
 import unittest
 
 from swiftdeck.bench.checker import check
@@ -12,7 +13,10 @@
 
     def town(self, cores=5, seed=1, **more):
         borne = {"lossesBorne": (cores - 1) // 2, "cores": cores}
-        return Town(seed, **({"routers": 2, "workers": 1, "cores": cores, "names_founders": True} | borne | more))
+        return Town(
+            seed,
+            **({"routers": 2, "workers": 1, "cores": cores, "names_founders": True} | borne | more),
+        )
 
     def started(self, cores=5, seed=1, **more):
         town = self.town(cores, seed, **more).start()
@@ -23,19 +27,37 @@
         """Whether these cores are the members and the voters, whole and serving."""
         cores = [town.up[name] for name in names or town.coreNames()]
         wanted = {core.agreement.coreId for core in cores}
-        return all(set(ids(core.agreement.decided.members)) == wanted and core.agreement.isVoter() and
-                   core.chain.isWhole() and core.agreement.mayServe() for core in cores)
+        return all(
+            set(ids(core.agreement.decided.members)) == wanted
+            and core.agreement.isVoter()
+            and core.chain.isWhole()
+            and core.agreement.mayServe()
+            for core in cores
+        )
 
     def settle(self, town, names=None, limit_s=30):
         """How long it takes until these cores are the chain."""
         start_s = town.world.now
         town.world.run(0.01)
-        self.assertTrue(town.world.run(until=lambda: self.is_settled(town, names), limitS=limit_s), self.told(town))
+        self.assertTrue(
+            town.world.run(until=lambda: self.is_settled(town, names), limitS=limit_s),
+            self.told(town),
+        )
         return town.world.now - start_s
 
     def told(self, town):
-        return [(name, core.agreement.decided.number, core.agreement.position(), core.agreement.isVoter(), core.chain.isWhole(),
-                 core.agreement.mayServe()) for name, core in town.up.items() if name in town.coreNames()]
+        return [
+            (
+                name,
+                core.agreement.decided.number,
+                core.agreement.position(),
+                core.agreement.isVoter(),
+                core.chain.isWhole(),
+                core.agreement.mayServe(),
+            )
+            for name, core in town.up.items()
+            if name in town.coreNames()
+        ]
 
     def cap(self, number):
         return {"models": {"screener": {"cap": number}}}
@@ -52,7 +74,10 @@
 
     def read(self, town, name=None):
         got = town.ask("GET", "/v1/config", name=name)
-        return got[0] == 200 and (got[1]["version"], got[1]["document"]["models"]["screener"]["cap"])
+        return got[0] == 200 and (
+            got[1]["version"],
+            got[1]["document"]["models"]["screener"]["cap"],
+        )
 
     def ips(self, town, names):
         return [town.addresses[name]["inner"].rpartition(":")[0] for name in names]
@@ -72,17 +97,24 @@
         for name in ("core1", "core2"):
             town.startCore(name)
         town.world.run(3)
-        self.assertEqual({town.up[name].agreement.decided.number for name in ("core1", "core2")}, {0})
+        self.assertEqual(
+            {town.up[name].agreement.decided.number for name in ("core1", "core2")}, {0}
+        )
         for name in ("core3", "core4", "core5"):
             town.startCore(name)
         town.world.run(0.01)
-        self.assertTrue(town.world.run(until=lambda: self.is_settled(town), limitS=8), self.told(town))
+        self.assertTrue(
+            town.world.run(until=lambda: self.is_settled(town), limitS=8), self.told(town)
+        )
         self.assertEqual(set(self.voters_known(town).values()), {5})
 
     def testTwoOfFiveAreLostAtOnceInAnyPlacesAndComeBackWithTheirDisks(self):
         for seed, places in enumerate([(0, 1), (0, 4), (3, 4), (1, 3)], 1):
             town = self.started(seed=seed)
-            order = [next(name for name in town.coreNames() if town.up[name].agreement.position() == at) for at in range(5)]
+            order = [
+                next(name for name in town.coreNames() if town.up[name].agreement.position() == at)
+                for at in range(5)
+            ]
             lost = [order[at] for at in places]
             self.assertEqual(town.change("PATCH", self.cap(7))[0], 200)
             self.lose(town, lost)
@@ -117,9 +149,15 @@
         start_s = town.world.now
 
         def is_in(core):
-            return core.agreement.position() >= 0 and core.agreement.isVoter() and core.chain.isWhole()
+            return (
+                core.agreement.position() >= 0 and core.agreement.isVoter() and core.chain.isWhole()
+            )
+
         town.world.run(0.01)
-        self.assertTrue(town.world.run(until=lambda: all(is_in(town.up[name]) for name in names), limitS=30), self.told(town))
+        self.assertTrue(
+            town.world.run(until=lambda: all(is_in(town.up[name]) for name in names), limitS=30),
+            self.told(town),
+        )
         return town.world.now - start_s
 
     def testAWipedCoreJoinsInTimeAlsoWhenAnotherIsJustLost(self):
@@ -132,7 +170,10 @@
                 if cores == 5:
                     self.lose(town, ["core2"])
                 self.assertLess(self.joined(town, ["core1"]), 4, (cores, seed, delay_s))
-                self.assertEqual(town.up["core1"].agreement.decided.number, town.up["core3"].agreement.decided.number)
+                self.assertEqual(
+                    town.up["core1"].agreement.decided.number,
+                    town.up["core3"].agreement.decided.number,
+                )
 
     def testACutOfTwoFromThreeLeavesTheThreeServing(self):
         town = self.started(routers=3)
@@ -147,8 +188,10 @@
         self.assertEqual(self.read(town, "core1"), (town.version, 9))
         town.world.net.cut(self.ips(town, near), self.ips(town, far))
         town.world.run(10)
-        self.assertEqual([name for name in town.coreNames() if town.up[name].chain.mayTell()],
-                         [name for name in near if town.up[name].chain.isLast()])
+        self.assertEqual(
+            [name for name in town.coreNames() if town.up[name].chain.mayTell()],
+            [name for name in near if town.up[name].chain.isLast()],
+        )
         town.world.net.heal()
         self.settle(town)
 
@@ -170,7 +213,9 @@
     def testFewerMembersThanLossesBorneAndOneAcknowledgeNothing(self):
         town = self.started()
         self.lose(town, ["core3", "core4", "core5"])
-        self.assertNotEqual(town.change("PATCH", self.cap(10), name="core1", changeId="insist-10")[0], 200)
+        self.assertNotEqual(
+            town.change("PATCH", self.cap(10), name="core1", changeId="insist-10")[0], 200
+        )
         for name in ("core3", "core4"):
             town.startCore(name)
         self.insist(town, 10, "core1")
@@ -190,7 +235,10 @@
             town = self.started(3)
             self.assertEqual(town.change("PATCH", self.cap(9))[0], 200)
             self.lose(town, [name], wiped=True)
-            town.addresses[name] |= {"inner": f"{town.ip('fresh')}:7000", "http": f"{town.ip('fresh')}:8000"}
+            town.addresses[name] |= {
+                "inner": f"{town.ip('fresh')}:7000",
+                "http": f"{town.ip('fresh')}:8000",
+            }
             town.seeds = [core["inner"] for core in town.site.cores]
             town.startCore(name)
             for other in ("core1", "core2", "core3", "router1", "router2"):
@@ -208,7 +256,9 @@
             for place in range(cores):
                 town = self.started(cores)
                 self.assertEqual(town.change("PATCH", self.cap(12))[0], 200)
-                names = sorted(town.coreNames(), key=lambda name: town.up[name].agreement.position())
+                names = sorted(
+                    town.coreNames(), key=lambda name: town.up[name].agreement.position()
+                )
                 for name in names:
                     town.world.kill(name)
                     town.folders[name].losePower(torn=3)
@@ -231,8 +281,15 @@
     def tells_while_tail_syncs(self, town, head, tail):
         """Change the configuration through a head while the tail's disk is slow; gives the newest version told meanwhile."""
         town.folders[tail].stallS = 0.9
-        town.spawn(lambda: fetchJson(town.addresses[head]["http"], "PATCH", f"/v1/config?base={town.version}", self.cap(14),
-                                     timeoutMs=800))
+        town.spawn(
+            lambda: fetchJson(
+                town.addresses[head]["http"],
+                "PATCH",
+                f"/v1/config?base={town.version}",
+                self.cap(14),
+                timeoutMs=800,
+            )
+        )
         told = []
         for _ in range(7):
             town.world.run(0.1)
@@ -241,7 +298,10 @@
 
     def serves_again(self, town):
         """Whether all routers hold a licence once more within the time that they need for one."""
-        return town.world.run(until=lambda: all(town.up[name].licence.isHeld() for name in town.routerNames()), limitS=10)
+        return town.world.run(
+            until=lambda: all(town.up[name].licence.isHeld() for name in town.routerNames()),
+            limitS=10,
+        )
 
     def testACoreAloneTellsNoVersionThatThePowerMayTakeBack(self):
         town = self.started(1)
@@ -256,7 +316,9 @@
 
     def testTheTailOfTwoTellsNoVersionThatItsPowerMayTakeBackWithTheOtherWiped(self):
         town = self.started(3)
-        head, other, tail = sorted(town.coreNames(), key=lambda name: town.up[name].agreement.position())
+        head, other, tail = sorted(
+            town.coreNames(), key=lambda name: town.up[name].agreement.position()
+        )
         self.lose(town, [other])
         self.settle(town, [head, tail])
         told = self.tells_while_tail_syncs(town, head, tail)
@@ -312,7 +374,9 @@
         agreements = [town.up[name].agreement for name in town.coreNames()]
         town.world.run(until=lambda: any(each.decided.number for each in agreements), limitS=10)
         knowing = next(name for name in town.coreNames() if town.up[name].agreement.decided.number)
-        unknowing = [name for name in town.coreNames() if not town.up[name].agreement.decided.number]
+        unknowing = [
+            name for name in town.coreNames() if not town.up[name].agreement.decided.number
+        ]
         town.is_first_start = False
         for name in town.coreNames():
             town.world.kill(name)
@@ -322,13 +386,21 @@
                 town.startCore(name)
             town.startCore(unknowing[0])
             town.world.run(15)
-            founded = {tuple(ids(town.up[name].agreement.decided.members)) for name in town.coreNames()}
+            founded = {
+                tuple(ids(town.up[name].agreement.decided.members)) for name in town.coreNames()
+            }
             self.assertLessEqual(len(founded - {()}), 1)
 
     def testASpareMemberTakesALostVotersPlace(self):
         town = self.town(4, lossesBorne=1).start()
-        self.assertTrue(town.world.run(until=lambda: all(
-            len(town.up[name].agreement.decided.members) == 4 for name in town.coreNames()), limitS=10))
+        self.assertTrue(
+            town.world.run(
+                until=lambda: all(
+                    len(town.up[name].agreement.decided.members) == 4 for name in town.coreNames()
+                ),
+                limitS=10,
+            )
+        )
         self.assertEqual(set(self.voters_known(town).values()), {3})
         voters = [ref.coreId for ref in town.up["core1"].agreement.decided.voters]
         name = next(name for name in town.coreNames() if town.up[name].agreement.coreId in voters)
@@ -339,7 +411,9 @@
     def testAFrozenCoreIsLeftOutAndComesBack(self):
         for place in (0, 1, 2):
             town = self.started(3)
-            name = next(name for name in town.coreNames() if town.up[name].agreement.position() == place)
+            name = next(
+                name for name in town.coreNames() if town.up[name].agreement.position() == place
+            )
             near = next(other for other in town.coreNames() if other != name)
             town.world.freeze(name)
             town.world.at(3.0, lambda: town.world.thaw(name))
--- a/tests/cases/doctor.py
+++ b/tests/cases/doctor.py
@@ -1,4 +1,5 @@
 """Cases of the doctor: each fault is brought about and found by its code."""
+
 import copy
 import unittest
 
@@ -15,7 +16,10 @@
 
     def codes(self, town, core="core1", seeds=(), folder=""):
         client = OperatorClient(town.addresses[core]["http"])
-        return {each["code"] for each in town.world.do("operator", lambda: examine(client, seeds, folder), limitS=60)}
+        return {
+            each["code"]
+            for each in town.world.do("operator", lambda: examine(client, seeds, folder), limitS=60)
+        }
 
     def testASoundSiteHasNoFindings(self):
         town = self.town()
@@ -44,7 +48,9 @@
     def testAnOldListASilentWorkerAndAWildClockAreFound(self):
         town = self.town()
         ip = town.addresses["router1"]["inner"].rpartition(":")[0]
-        others = [town.addresses[name]["inner"].rpartition(":")[0] for name in ("router2", "router3")]
+        others = [
+            town.addresses[name]["inner"].rpartition(":")[0] for name in ("router2", "router3")
+        ]
         town.world.net.cut([ip], [town.site.platform.rpartition(":")[0], *others])
         town.world.kill("worker2")
         loop = town.world.loops["router2"]
@@ -57,20 +63,24 @@
         statuses = {name: town.ask("GET", "/v1/status", name=name)[1] for name in town.addresses}
         self.assertEqual(diagnose(statuses), [])
         planted = {
-            701: lambda s: s.update(router1=None), 703: lambda s: s["core1"].update(diskFreeBytes=5),
-            705: lambda s: s["core1"].update(trouble="305 full"), 707: lambda s: s["core1"].update(mayServe=False),
-            708: lambda s: s["router1"].update(licence=False), 709: lambda s: s["router1"]["list"].update(fresh=False),
+            701: lambda s: s.update(router1=None),
+            703: lambda s: s["core1"].update(diskFreeBytes=5),
+            705: lambda s: s["core1"].update(trouble="305 full"),
+            707: lambda s: s["core1"].update(mayServe=False),
+            708: lambda s: s["router1"].update(licence=False),
+            709: lambda s: s["router1"]["list"].update(fresh=False),
             706: lambda s: [each["view"].update(members=["a"]) for each in s.values()],
-            710: lambda s: s["router1"].update(version=0), 714: lambda s: s["router1"]["view"].update(number=0),
+            710: lambda s: s["router1"].update(version=0),
+            714: lambda s: s["router1"]["view"].update(number=0),
             716: lambda s: [each.update(version=0) for each in s.values()],
             711: lambda s: [each.update(keeps=[]) for each in s.values()],
-            712: lambda s: self.book(s).update(up=False), 713: lambda s: self.book(s).update(weights="w0"),
+            712: lambda s: self.book(s).update(up=False),
+            713: lambda s: self.book(s).update(weights="w0"),
             717: lambda s: self.book(s).update(line=64),
             718: lambda s: s["core2"].update(claims=170000),
             719: lambda s: s["router2"]["shared"].update(grantMs=1),
         }
         for code, plant in planted.items():
-
             sick = copy.deepcopy(statuses)
             plant(sick)
             self.assertIn(code, {each["code"] for each in diagnose(sick)}, FINDINGS[code])
@@ -78,7 +88,12 @@
 
     @staticmethod
     def book(statuses):
-        return next(book for each in statuses.values() for keeps in each.get("keeps", []) for book in keeps["books"].values())
+        return next(
+            book
+            for each in statuses.values()
+            for keeps in each.get("keeps", [])
+            for book in keeps["books"].values()
+        )
 
     def testOperatorsWatchAndExplainDecisions(self):
         town, lines = self.town(), []
@@ -90,7 +105,9 @@
         kinds = [item["kind"] for item in told["decisions"]]
         self.assertEqual((status, told["silent"]), (200, []))
         self.assertLessEqual({"start"}, set(kinds))
-        self.assertEqual(town.world.do("operator", lambda: client.watch(lines.append, follow=False)), 0)
+        self.assertEqual(
+            town.world.do("operator", lambda: client.watch(lines.append, follow=False)), 0
+        )
         self.assertTrue(any('"kind":"start"' in line for line in lines))
         fleet = town.world.do("operator", lambda: client.fleet())
         self.assertEqual(fleet[1]["counters"]["callsServed"], 2)
