--- a/tests/platform/test_speech.py
+++ b/tests/platform/test_speech.py
@@ -1,17 +1,41 @@
 """Tests of what clients and workers say."""
+
 import unittest
 from types import SimpleNamespace
 
-from swiftdeck.fault import (BAD_REQUEST, BUDGET_SPENT, NO_ROOM, NO_ROUTE, OTHER_WEIGHTS, STREAM_BROKEN, TABLE, UNKNOWN_KEY,
-                             WORKER_HANGS, WORKER_LOST, isFault)
+from swiftdeck.fault import (
+    BAD_REQUEST,
+    BUDGET_SPENT,
+    NO_ROOM,
+    NO_ROUTE,
+    OTHER_WEIGHTS,
+    STREAM_BROKEN,
+    TABLE,
+    UNKNOWN_KEY,
+    WORKER_HANGS,
+    WORKER_LOST,
+    isFault,
+)
 from swiftdeck.gateway.seams import Errand, Part, Verdict
 from swiftdeck.platform.speech import FOREVER_MS, Callers, Workers, parts_of
 
-SENT = [(b"Host", b"ficu95.example"), (b"Swiftdeck-Request-Id", b"9c41d07be2a35f68"), (b"Swiftdeck-Model", b"daka510000"),
-        (b"Swiftdeck-Token-Count", b"1460,80"), (b"Swiftdeck-Prompt-Prefix", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
-        (b"Swiftdeck-Time-Left-Ms", b"6000"), (b"Authorization", b"Bearer 3d3zji9n73hh2b9wu3fe")]
-ERRAND = Errand("i-7f3a91c2", "nowu640", 5300, 1, "3", "3/nowu640", "10.2.64.3:8080", "172.20.0.2:8080", "17")
-SEALED = [(b"Swiftdeck-Request-Id", b"9c41d07be2a35f68"), (b"Swiftdeck-Server-Seal", b"3e1b.07"), (b"Content-Length", b"2")]
+SENT = [
+    (b"Host", b"ficu95.example"),
+    (b"Swiftdeck-Request-Id", b"9c41d07be2a35f68"),
+    (b"Swiftdeck-Model", b"daka510000"),
+    (b"Swiftdeck-Token-Count", b"1460,80"),
+    (b"Swiftdeck-Prompt-Prefix", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
+    (b"Swiftdeck-Time-Left-Ms", b"6000"),
+    (b"Authorization", b"Bearer 3d3zji9n73hh2b9wu3fe"),
+]
+ERRAND = Errand(
+    "i-7f3a91c2", "nowu640", 5300, 1, "3", "3/nowu640", "10.2.64.3:8080", "172.20.0.2:8080", "17"
+)
+SEALED = [
+    (b"Swiftdeck-Request-Id", b"9c41d07be2a35f68"),
+    (b"Swiftdeck-Server-Seal", b"3e1b.07"),
+    (b"Content-Length", b"2"),
+]
 
 
 def exchange(headers=SENT, method=b"POST", target=b"/lohu930/2f?q=%2F", body=b"{}"):
@@ -21,7 +45,11 @@
 
 def changed(headers, name, value):
     """Headers with one exchanged, or left out where the value is None."""
-    return [(each, value if each.lower() == name else old) for each, old in headers if value is not None or each.lower() != name]
+    return [
+        (each, value if each.lower() == name else old)
+        for each, old in headers
+        if value is not None or each.lower() != name
+    ]
 
 
 class CallersTest(unittest.TestCase):
@@ -30,11 +58,26 @@
 
     def test_a_request_as_the_page_shows_it(self):
         got = self.read()
-        self.assertEqual((got.name, got.method, got.target, got.host, got.path, got.key, got.model, got.body), (
-            "9c41d07be2a35f68", b"POST", b"/lohu930/2f?q=%2F", "ficu95.example", "/lohu930/2f", "3d3zji9n73hh2b9wu3fe", "daka510000",
-            b"{}"))
-        self.assertEqual(got.parts, [Part("5c1e07a2", 800), Part("91bd3f06", 410), Part("e4402b7d", 250)])
-        self.assertEqual((got.shared(), got.prompt_tokens, got.time_left_ms, got.last_event), (got.parts[:2], 1460, 6000.0, ""))
+        self.assertEqual(
+            (got.name, got.method, got.target, got.host, got.path, got.key, got.model, got.body),
+            (
+                "9c41d07be2a35f68",
+                b"POST",
+                b"/lohu930/2f?q=%2F",
+                "ficu95.example",
+                "/lohu930/2f",
+                "3d3zji9n73hh2b9wu3fe",
+                "daka510000",
+                b"{}",
+            ),
+        )
+        self.assertEqual(
+            got.parts, [Part("5c1e07a2", 800), Part("91bd3f06", 410), Part("e4402b7d", 250)]
+        )
+        self.assertEqual(
+            (got.shared(), got.prompt_tokens, got.time_left_ms, got.last_event),
+            (got.parts[:2], 1460, 6000.0, ""),
+        )
         self.assertEqual(self.read([*SENT, (b"last-event-id", b"12")]).last_event, "12")
 
     def test_a_request_without_an_id_is_refused(self):
@@ -44,13 +87,23 @@
 
     def test_what_cannot_be_read_is_left_out(self):
         for name, value, field, wanted in [
-                (b"swiftdeck-time-left-ms", None, "time_left_ms", FOREVER_MS), (b"swiftdeck-time-left-ms", b"soon", "time_left_ms", FOREVER_MS),
-                (b"swiftdeck-time-left-ms", b"-5", "time_left_ms", FOREVER_MS), (b"swiftdeck-time-left-ms", b"nan", "time_left_ms", FOREVER_MS),
-                (b"swiftdeck-token-count", b"x", "prompt_tokens", 1460), (b"swiftdeck-token-count", None, "prompt_tokens", 1460),
-                (b"swiftdeck-prompt-prefix", b",a:,:3,b:x,c:-1, d:7 ,", "parts", [Part("d", 7)]), (b"swiftdeck-prompt-prefix", None, "parts", []),
-                (b"authorization", b"Basic abc", "key", ""), (b"authorization", None, "key", ""), (b"authorization", b"bearer  k ", "key", "k"),
-                (b"swiftdeck-model", None, "model", ""), (b"host", None, "host", "")]:
-            self.assertEqual(getattr(self.read(changed(SENT, name, value)), field), wanted, (name, value))
+            (b"swiftdeck-time-left-ms", None, "time_left_ms", FOREVER_MS),
+            (b"swiftdeck-time-left-ms", b"soon", "time_left_ms", FOREVER_MS),
+            (b"swiftdeck-time-left-ms", b"-5", "time_left_ms", FOREVER_MS),
+            (b"swiftdeck-time-left-ms", b"nan", "time_left_ms", FOREVER_MS),
+            (b"swiftdeck-token-count", b"x", "prompt_tokens", 1460),
+            (b"swiftdeck-token-count", None, "prompt_tokens", 1460),
+            (b"swiftdeck-prompt-prefix", b",a:,:3,b:x,c:-1, d:7 ,", "parts", [Part("d", 7)]),
+            (b"swiftdeck-prompt-prefix", None, "parts", []),
+            (b"authorization", b"Basic abc", "key", ""),
+            (b"authorization", None, "key", ""),
+            (b"authorization", b"bearer  k ", "key", "k"),
+            (b"swiftdeck-model", None, "model", ""),
+            (b"host", None, "host", ""),
+        ]:
+            self.assertEqual(
+                getattr(self.read(changed(SENT, name, value)), field), wanted, (name, value)
+            )
         self.assertEqual(parts_of("a:b:3"), [Part("a:b", 3)])
 
     def test_a_refusal_promises_only_what_its_fault_does(self):
@@ -59,14 +112,27 @@
             status, headers, _ = Callers().refusal(fault, request)
             if not fault.notRun:
                 self.assertNotIn(status, (408, 421, 429), fault)
-        for fault, status in ((NO_ROOM, 503), (BUDGET_SPENT, 503), (UNKNOWN_KEY, 401), (NO_ROUTE, 404), (WORKER_LOST, 502),
-                              (WORKER_HANGS, 504), (STREAM_BROKEN, 502), (OTHER_WEIGHTS, 502)):
+        for fault, status in (
+            (NO_ROOM, 503),
+            (BUDGET_SPENT, 503),
+            (UNKNOWN_KEY, 401),
+            (NO_ROUTE, 404),
+            (WORKER_LOST, 502),
+            (WORKER_HANGS, 504),
+            (STREAM_BROKEN, 502),
+            (OTHER_WEIGHTS, 502),
+        ):
             got, headers, body = Callers().refusal(fault, request)
             named = dict(headers)
-            self.assertEqual((got, named["Swiftdeck-Request-Id"], "Retry-After" in named),
-                             (status, request.name, bool(fault.retryMs) and status in (429, 503)), fault)
+            self.assertEqual(
+                (got, named["Swiftdeck-Request-Id"], "Retry-After" in named),
+                (status, request.name, bool(fault.retryMs) and status in (429, 503)),
+                fault,
+            )
             self.assertIn(b'"code":%d' % fault.code, body)
-        self.assertEqual(dict(Callers().refusal(NO_ROOM.because("", 1250), None)[1])["Retry-After"], "1.250")
+        self.assertEqual(
+            dict(Callers().refusal(NO_ROOM.because("", 1250), None)[1])["Retry-After"], "1.250"
+        )
 
 
 class WorkersTest(unittest.TestCase):
@@ -78,40 +144,92 @@
         return {name.lower(): value for name, value in got}
 
     def test_an_attempt_as_the_page_shows_it(self):
-        self.assertEqual(self.head(), {
-            b"host": b"ficu95.example", b"swiftdeck-request-id": b"9c41d07be2a35f68", b"swiftdeck-model": b"daka510000",
-            b"swiftdeck-token-count": b"1460,80", b"swiftdeck-prompt-prefix": b"5c1e07a2:800,91bd3f06:410,e4402b7d:250",
-            b"swiftdeck-time-left-ms": b"5300", b"swiftdeck-expected-worker": b"i-7f3a91c2", b"swiftdeck-urgency": b"1",
-            b"swiftdeck-tenant": b"nowu640", b"swiftdeck-expected-version": b"3", b"swiftdeck-cache-salt": b"3/nowu640",
-            b"swiftdeck-cache-source": b"10.2.64.3:8080", b"swiftdeck-cache-target": b"172.20.0.2:8080", b"last-event-id": b"17",
-            b"content-length": b"2"})
+        self.assertEqual(
+            self.head(),
+            {
+                b"host": b"ficu95.example",
+                b"swiftdeck-request-id": b"9c41d07be2a35f68",
+                b"swiftdeck-model": b"daka510000",
+                b"swiftdeck-token-count": b"1460,80",
+                b"swiftdeck-prompt-prefix": b"5c1e07a2:800,91bd3f06:410,e4402b7d:250",
+                b"swiftdeck-time-left-ms": b"5300",
+                b"swiftdeck-expected-worker": b"i-7f3a91c2",
+                b"swiftdeck-urgency": b"1",
+                b"swiftdeck-tenant": b"nowu640",
+                b"swiftdeck-expected-version": b"3",
+                b"swiftdeck-cache-salt": b"3/nowu640",
+                b"swiftdeck-cache-source": b"10.2.64.3:8080",
+                b"swiftdeck-cache-target": b"172.20.0.2:8080",
+                b"last-event-id": b"17",
+                b"content-length": b"2",
+            },
+        )
 
     def test_the_key_is_never_passed_on(self):
         for name in (b"Authorization", b"authorization", b"AUTHORIZATION"):
-            got = Workers().head(Callers().read(exchange([*SENT[:-1], (name, b"Bearer 3d3zji9n73hh2b9wu3fe")])), ERRAND)
+            got = Workers().head(
+                Callers().read(exchange([*SENT[:-1], (name, b"Bearer 3d3zji9n73hh2b9wu3fe")])),
+                ERRAND,
+            )
             self.assertFalse([each for each in got if b"3d3zji9n73hh2b9wu3fe" in each[1]])
         self.assertNotIn(b"proxy-authorization", self.head([*SENT, (b"Proxy-Authorization", b"x")]))
 
     def test_what_the_system_sets_is_replaced_whatever_the_client_sent(self):
-        names = (b"Swiftdeck-Tenant", b"Swiftdeck-Urgency", b"Swiftdeck-Expected-Worker", b"Swiftdeck-Expected-Version",
-                 b"Swiftdeck-Cache-Salt", b"Swiftdeck-Cache-Source", b"Swiftdeck-Cache-Target")
+        names = (
+            b"Swiftdeck-Tenant",
+            b"Swiftdeck-Urgency",
+            b"Swiftdeck-Expected-Worker",
+            b"Swiftdeck-Expected-Version",
+            b"Swiftdeck-Cache-Salt",
+            b"Swiftdeck-Cache-Source",
+            b"Swiftdeck-Cache-Target",
+        )
         for change in (bytes, bytes.lower, bytes.upper):
-            sent = [*SENT, *((change(name), b"forged") for name in names), (change(names[0]), b"twice")]
+            sent = [
+                *SENT,
+                *((change(name), b"forged") for name in names),
+                (change(names[0]), b"twice"),
+            ]
             self.assertEqual(self.head(sent), self.head())
             bare = self.head(sent, Errand("i-1", "", 10, 5))
             self.assertFalse(b"forged" in bare.values() or b"twice" in bare.values())
-            self.assertEqual(set(bare) - {name.lower() for name, _ in SENT}, {b"swiftdeck-expected-worker", b"swiftdeck-urgency", b"content-length"})
+            self.assertEqual(
+                set(bare) - {name.lower() for name, _ in SENT},
+                {b"swiftdeck-expected-worker", b"swiftdeck-urgency", b"content-length"},
+            )
 
     def test_what_concerns_one_connection_is_dropped_and_the_rest_goes_through(self):
-        hops = [(b"Connection", b"keep-alive"), (b"Keep-Alive", b"timeout=5"), (b"TE", b"trailers"), (b"Trailer", b"x"),
-                (b"Transfer-Encoding", b"chunked"), (b"Upgrade", b"h2c"), (b"Proxy-Connection", b"close"), (b"Expect", b"100-continue"),
-                (b"Content-Length", b"999")]
-        more = [(b"X-Own", b"1"), (b"Accept", b"text/event-stream"), (b"Content-Type", b"application/json")]
-        self.assertEqual(self.head([*SENT, *hops, *more]), self.head() | {name.lower(): value for name, value in more})
+        hops = [
+            (b"Connection", b"keep-alive"),
+            (b"Keep-Alive", b"timeout=5"),
+            (b"TE", b"trailers"),
+            (b"Trailer", b"x"),
+            (b"Transfer-Encoding", b"chunked"),
+            (b"Upgrade", b"h2c"),
+            (b"Proxy-Connection", b"close"),
+            (b"Expect", b"100-continue"),
+            (b"Content-Length", b"999"),
+        ]
+        more = [
+            (b"X-Own", b"1"),
+            (b"Accept", b"text/event-stream"),
+            (b"Content-Type", b"application/json"),
+        ]
+        self.assertEqual(
+            self.head([*SENT, *hops, *more]),
+            self.head() | {name.lower(): value for name, value in more},
+        )
 
     def test_a_body_has_its_length_and_a_request_without_one_none(self):
-        for method, body, wanted in ((b"GET", b"", None), (b"POST", b"", b"0"), (b"GET", b"abc", b"3"), (b"PUT", b"", b"0")):
-            self.assertEqual(self.head(method=method, body=body).get(b"content-length"), wanted, method)
+        for method, body, wanted in (
+            (b"GET", b"", None),
+            (b"POST", b"", b"0"),
+            (b"GET", b"abc", b"3"),
+            (b"PUT", b"", b"0"),
+        ):
+            self.assertEqual(
+                self.head(method=method, body=body).get(b"content-length"), wanted, method
+            )
 
     def verdict(self, status, headers):
         return Workers().verdict(Callers().read(exchange()), status, headers)
@@ -120,25 +238,67 @@
         name, seal = SEALED[:2]
         foreign, not_run = (b"Swiftdeck-Request-Id", b"other"), (b"Swiftdeck-Not-Run", b"1")
         for status, headers, wanted in [
-                (200, SEALED, Verdict.ANSWER), (204, SEALED, Verdict.ANSWER), (200, [name], Verdict.BAD), (200, [seal], Verdict.BAD),
-                (200, [], Verdict.BAD), (200, [foreign, seal], Verdict.FOREIGN), (503, [foreign, not_run], Verdict.FOREIGN),
-                (421, [foreign], Verdict.FOREIGN), (503, [name, not_run], Verdict.NOT_RUN), (429, [name, not_run], Verdict.NOT_RUN),
-                (400, [not_run], Verdict.NOT_RUN), (421, [name, not_run], Verdict.ELSEWHERE), (421, [name], Verdict.ELSEWHERE),
-                (500, [name], Verdict.FAILURE), (504, [name], Verdict.FAILURE), (503, [name], Verdict.FAILURE), (502, [], Verdict.FAILURE),
-                (404, [name], Verdict.ANSWER), (400, [name], Verdict.ANSWER), (404, [], Verdict.BAD), (301, [], Verdict.BAD)]:
+            (200, SEALED, Verdict.ANSWER),
+            (204, SEALED, Verdict.ANSWER),
+            (200, [name], Verdict.BAD),
+            (200, [seal], Verdict.BAD),
+            (200, [], Verdict.BAD),
+            (200, [foreign, seal], Verdict.FOREIGN),
+            (503, [foreign, not_run], Verdict.FOREIGN),
+            (421, [foreign], Verdict.FOREIGN),
+            (503, [name, not_run], Verdict.NOT_RUN),
+            (429, [name, not_run], Verdict.NOT_RUN),
+            (400, [not_run], Verdict.NOT_RUN),
+            (421, [name, not_run], Verdict.ELSEWHERE),
+            (421, [name], Verdict.ELSEWHERE),
+            (500, [name], Verdict.FAILURE),
+            (504, [name], Verdict.FAILURE),
+            (503, [name], Verdict.FAILURE),
+            (502, [], Verdict.FAILURE),
+            (404, [name], Verdict.ANSWER),
+            (400, [name], Verdict.ANSWER),
+            (404, [], Verdict.BAD),
+            (301, [], Verdict.BAD),
+        ]:
             self.assertIs(self.verdict(status, headers), wanted, (status, headers))
-            self.assertIs(self.verdict(status, [(each.lower(), value) for each, value in headers]), wanted, (status, headers))
+            self.assertIs(
+                self.verdict(status, [(each.lower(), value) for each, value in headers]),
+                wanted,
+                (status, headers),
+            )
 
     def test_an_answer_goes_on_with_its_seal_and_a_way_to_tell_its_end(self):
-        got = Workers().passed_on([*SEALED, (b"Connection", b"close"), (b"Keep-Alive", b"timeout=3"), (b"X-Own", b"1")])
+        got = Workers().passed_on(
+            [*SEALED, (b"Connection", b"close"), (b"Keep-Alive", b"timeout=3"), (b"X-Own", b"1")]
+        )
         self.assertEqual(got, [*SEALED, (b"X-Own", b"1")])
         stream = [(b"Transfer-Encoding", b"chunked"), *SEALED[:2]]
-        self.assertEqual(Workers().passed_on(stream), [*SEALED[:2], (b"Transfer-Encoding", b"chunked")])
+        self.assertEqual(
+            Workers().passed_on(stream), [*SEALED[:2], (b"Transfer-Encoding", b"chunked")]
+        )
 
     def test_versions_and_lives_are_read_where_they_are_told(self):
         workers = Workers()
-        self.assertEqual([workers.version([(b"Swiftdeck-Weight-Versions", value)]) for value in (b"3", b" 12 ", b"", b"x", b"-1")],
-                         [3, 12, None, None, None])
-        self.assertEqual((workers.version([]), workers.worker([(b"Swiftdeck-Worker-Id", b"i-2")]), workers.worker([])), (None, "i-2", ""))
+        self.assertEqual(
+            [
+                workers.version([(b"Swiftdeck-Weight-Versions", value)])
+                for value in (b"3", b" 12 ", b"", b"x", b"-1")
+            ],
+            [3, 12, None, None, None],
+        )
+        self.assertEqual(
+            (
+                workers.version([]),
+                workers.worker([(b"Swiftdeck-Worker-Id", b"i-2")]),
+                workers.worker([]),
+            ),
+            (None, "i-2", ""),
+        )
         events = b"swiftdeck-weight-versions: 4\nid: 7\ndata: swiftdeck-weight-versions:9\n\nswiftdeck-weight-versions:5\r\nid: 8\n\n"
-        self.assertEqual([workers.versions_in(data) for data in (events, b"data: x\n\n", b"swiftdeck-weight-versions:\n\n")], [5, None, None])
+        self.assertEqual(
+            [
+                workers.versions_in(data)
+                for data in (events, b"data: x\n\n", b"swiftdeck-weight-versions:\n\n")
+            ],
+            [5, None, None],
+        )
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -1,4 +1,5 @@
 """Runs the tests found here and judges them, with an account of those that are known to fail."""
+
 import sys
 import unittest
 from pathlib import Path
@@ -65,7 +66,11 @@
 
 def idsOf(suite) -> set[str]:
     """The ids of all tests of a suite."""
-    return {name for each in suite for name in (idsOf(each) if isinstance(each, unittest.TestSuite) else [each.id()])}
+    return {
+        name
+        for each in suite
+        for name in (idsOf(each) if isinstance(each, unittest.TestSuite) else [each.id()])
+    }
 
 
 def judge(suite, text="", every=None, stream=sys.stdout) -> tuple[int, int]:
--- a/tests/sim/test_folder.py
+++ b/tests/sim/test_folder.py
@@ -1,4 +1,5 @@
 """Tests of `sim/folder.py`."""
+
 import unittest
 
 from swiftdeck.sim.folder import SimFolder
@@ -13,6 +14,7 @@
             folder.append("f", b"one")
             await folder.sync("f")
             folder.append("f", b"two")
+
         world.start("a", "10.0.0.1", main)
         world.run(1)
         folder.losePower(torn=1)
--- a/tests/sim/test_net.py
+++ b/tests/sim/test_net.py
@@ -1,4 +1,5 @@
 """Tests of `sim/net.py`."""
+
 import asyncio
 import unittest
 
@@ -17,10 +18,13 @@
             await asyncio.get_running_loop().create_server(Sink, "10.0.0.1", 80)
 
         async def call():
-            transport, _ = await asyncio.get_running_loop().create_connection(asyncio.Protocol, "10.0.0.1", 80)
+            transport, _ = await asyncio.get_running_loop().create_connection(
+                asyncio.Protocol, "10.0.0.1", 80
+            )
             for number in range(6):
                 transport.write(b"%d" % number)
                 await asyncio.sleep(1)
+
         world.start("s", "10.0.0.1", serve)
         world.start("c", "10.0.0.2", call)
         world.run(2.5)
--- a/tests/sim/test_storm.py
+++ b/tests/sim/test_storm.py
@@ -1,4 +1,5 @@
 """Tests of `sim/storm.py`."""
+
 import unittest
 
 from swiftdeck.sim.storm import BITES, SCENARIOS, Storm, idle
@@ -18,10 +19,17 @@
             def closing(self):
                 super().closing()
                 self.town.caller.stopping = True
+
         storm = Rest("mix", 5, 2.0, routers=3)
         self.assertEqual(storm.run()["breaches"], {})
         records = storm.town.records
         for end_ms in [item["atMs"] for item in records if item["kind"] == "closing"]:
-            tries = [(item["route"], item["atMs"] - end_ms) for item in records if item["kind"] == "try"]
+            tries = [
+                (item["route"], item["atMs"] - end_ms) for item in records if item["kind"] == "try"
+            ]
             for at_ms in range(0, 12000, 1000):
-                self.assertEqual({route for route, after_ms in tries if at_ms <= after_ms < at_ms + 1000}, {"check", "tag"}, at_ms)
+                self.assertEqual(
+                    {route for route, after_ms in tries if at_ms <= after_ms < at_ms + 1000},
+                    {"check", "tag"},
+                    at_ms,
+                )
--- a/tests/sim/test_world.py
+++ b/tests/sim/test_world.py
@@ -1,4 +1,5 @@
 """Tests of `sim/world.py`."""
+
 import asyncio
 import unittest
 
@@ -13,6 +14,7 @@
             while True:
                 await asyncio.sleep(1)
                 seen.append(round(world.now, 3))
+
         world.start("a", "10.0.0.1", beat)
         world.run(2.5)
         world.freeze("a")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,5 @@
 """Tests of what may import what."""
+
 import ast
 import unittest
 from pathlib import Path
@@ -16,10 +17,17 @@
         if isinstance(node, ast.Import):
             names = [each.name for each in node.names]
         elif isinstance(node, ast.ImportFrom):
-            above = package.split(".")[:len(package.split(".")) - node.level + 1] if node.level else []
+            above = (
+                package.split(".")[: len(package.split(".")) - node.level + 1] if node.level else []
+            )
             base = ".".join([*above, *([node.module] if node.module else [])])
             names = [base, *(f"{base}.{each.name}" for each in node.names)]
-        found |= {wrong for name in names for wrong in FORBIDDEN if name == wrong or name.startswith(f"{wrong}.")}
+        found |= {
+            wrong
+            for name in names
+            for wrong in FORBIDDEN
+            if name == wrong or name.startswith(f"{wrong}.")
+        }
     return found
 
 
@@ -31,17 +39,31 @@
             if name.startswith(FREE):
                 continue
             count += 1
-            wrong = forbidden(path.read_text(), ".".join(["swiftdeck", *path.relative_to(PACKAGE).parts[:-1]]))
+            wrong = forbidden(
+                path.read_text(), ".".join(["swiftdeck", *path.relative_to(PACKAGE).parts[:-1]])
+            )
             if wrong:
                 found[name] = sorted(wrong)
         self.assertEqual(found, {})
         self.assertGreater(count, 40)
 
     def testPlantedImportsAreFound(self):
-        for text, wrong in [("import unittest", "unittest"), ("from unittest import mock", "unittest"),
-                            ("import unittest.mock as m", "unittest"), ("from swiftdeck.sim.world import World", "swiftdeck.sim"),
-                            ("from swiftdeck import sim", "swiftdeck.sim"), ("from ..sim import world", "swiftdeck.sim"),
-                            ("from .. import bench", "swiftdeck.bench"), ("import swiftdeck.bench.checker", "swiftdeck.bench"),
-                            ("def f():\n    from swiftdeck.bench import cache", "swiftdeck.bench")]:
+        for text, wrong in [
+            ("import unittest", "unittest"),
+            ("from unittest import mock", "unittest"),
+            ("import unittest.mock as m", "unittest"),
+            ("from swiftdeck.sim.world import World", "swiftdeck.sim"),
+            ("from swiftdeck import sim", "swiftdeck.sim"),
+            ("from ..sim import world", "swiftdeck.sim"),
+            ("from .. import bench", "swiftdeck.bench"),
+            ("import swiftdeck.bench.checker", "swiftdeck.bench"),
+            ("def f():\n    from swiftdeck.bench import cache", "swiftdeck.bench"),
+        ]:
             self.assertEqual(forbidden(text, "swiftdeck.http"), {wrong}, text)
-        self.assertEqual(forbidden("import swiftdeck.simple, unittests\nfrom swiftdeck.wire import sim", "swiftdeck.http"), set())
+        self.assertEqual(
+            forbidden(
+                "import swiftdeck.simple, unittests\nfrom swiftdeck.wire import sim",
+                "swiftdeck.http",
+            ),
+            set(),
+        )
--- a/tests/traffic/test_book.py
+++ b/tests/traffic/test_book.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/book.py`."""
+
 import unittest
 
 from swiftdeck.traffic.book import Book, Conversation
@@ -18,6 +19,7 @@
 
     def testTheCapFollowsSurvival(self):
         from swiftdeck.config.document import Model
+
         model, book = Model(weights="w", adapts=True, cap=16), Book("w", 16)
         book.returns, book.hits = 10, 5
         book.adapt(model)
--- a/tests/traffic/test_books.py
+++ b/tests/traffic/test_books.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/books.py`."""
+
 import unittest
 
 from swiftdeck.traffic.book import Conversation
@@ -10,6 +11,7 @@
         from swiftdeck.board.board import Board
         from swiftdeck.sim.world import World
         from swiftdeck.traffic.decisions import Decisions
+
         world, seen = World(), []
 
         class Alone:
@@ -25,6 +27,7 @@
             seen.append(len(books.byLast))
             books.close(conversation, "idle")
             seen.append((books.byLast, books.conversations, books.of("w").open))
+
         world.start("a", "10.0.0.1", main)
         world.run(1)
         self.assertEqual(seen, [4, ({}, {}, {})])
--- a/tests/traffic/test_budget.py
+++ b/tests/traffic/test_budget.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/budget.py`."""
+
 import unittest
 
 from swiftdeck.traffic.budget import Budget
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/decisions.py`."""
+
 import unittest
 
 from swiftdeck.traffic.decisions import Decisions
@@ -20,4 +21,6 @@
         decisions.add("start", call="c1", conversation="t1")
         decisions.add("start", call="c2", conversation="t2")
         decisions.add("move", conversation="t1")
-        self.assertEqual([item["kind"] for item in decisions.about("c1")], ["wait", "start", "move"])
+        self.assertEqual(
+            [item["kind"] for item in decisions.about("c1")], ["wait", "start", "move"]
+        )
--- a/tests/traffic/test_index.py
+++ b/tests/traffic/test_index.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/index.py`."""
+
 import unittest
 
 from swiftdeck.traffic.index import Kept
--- a/tests/traffic/test_ledger.py
+++ b/tests/traffic/test_ledger.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/ledger.py`."""
+
 import unittest
 
 from swiftdeck.fault import BUDGET_SPENT, LINE_FULL, NOT_KEEPER, UNREACHED, WORKER_LOST
@@ -7,8 +8,13 @@
 
 class LedgerTest(unittest.TestCase):
     def build(self, *legs, **more):
-        return Ledger(**({"repeatable": False, "needsClaim": False, "waitUntilMs": 1000, "horizonMs": 5000} | more),
-                      legs=list(legs))
+        return Ledger(
+            **(
+                {"repeatable": False, "needsClaim": False, "waitUntilMs": 1000, "horizonMs": 5000}
+                | more
+            ),
+            legs=list(legs),
+        )
 
     def move(self, *legs, nowMs=0, **more):
         return nextMove(self.build(*legs, **more), nowMs)
@@ -34,7 +40,10 @@
     def testAnotherLegIsNotWaitedForUntilTheHorizon(self):
         lost = Leg(1, grant="g", fault=WORKER_LOST, wasSent=True)
         self.assertEqual(self.move(lost, nowMs=1500, repeatable=True)[0], Move.NOMINATE)
-        self.assertEqual(self.move(lost, Leg(2, fault=NOT_KEEPER), nowMs=1500, repeatable=True), (Move.GIVE_UP, WORKER_LOST))
+        self.assertEqual(
+            self.move(lost, Leg(2, fault=NOT_KEEPER), nowMs=1500, repeatable=True),
+            (Move.GIVE_UP, WORKER_LOST),
+        )
 
     def testClaimGoesBetweenTheGrantAndTheFirstByte(self):
         self.assertEqual(self.move(needsClaim=True)[0], Move.NOMINATE)
--- a/tests/traffic/test_line.py
+++ b/tests/traffic/test_line.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/line.py`."""
+
 import unittest
 
 from swiftdeck.traffic.line import Line, Waiting
--- a/tests/traffic/test_ring.py
+++ b/tests/traffic/test_ring.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/ring.py`."""
+
 import unittest
 
 from swiftdeck.traffic.ring import Ring
--- a/tests/traffic/test_workers.py
+++ b/tests/traffic/test_workers.py
@@ -1,4 +1,5 @@
 """Tests of `traffic/workers.py`."""
+
 import unittest
 
 from swiftdeck.traffic.workers import WorkerList
@@ -8,8 +9,11 @@
     def testListsThatDoNotReadAreRefused(self):
         from swiftdeck.board.board import Board
         from swiftdeck.wire.mesh import Mesh
+
         table = WorkerList("", Mesh("10.0.0.1:1"), None, Board())
         table._take(b'{"workers":[{"name":"a","addr":"10.0.0.9:80","model":"m"}]}', 1.0)
         table._take(b'{"workers":[{"name":"a"}]}', 2.0)
-        table._take(b'[]', 3.0)
-        self.assertEqual((list(table.workers), table.readS, table.board.count["listsMalformed"]), (["a"], 1.0, 2))
+        table._take(b"[]", 3.0)
+        self.assertEqual(
+            (list(table.workers), table.readS, table.board.count["listsMalformed"]), (["a"], 1.0, 2)
+        )
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -1,4 +1,5 @@
 """Tests of `wire/mesh.py`."""
+
 import asyncio
 import unittest
 
@@ -20,12 +21,15 @@
         async def ask():
             mesh = Mesh("10.0.0.2:7000")
             await mesh.start()
-            transport, _ = await asyncio.get_running_loop().create_connection(asyncio.Protocol, "10.0.0.1", 7000)
+            transport, _ = await asyncio.get_running_loop().create_connection(
+                asyncio.Protocol, "10.0.0.1", 7000
+            )
             transport.write(b"\x00\x00\x00\x05\xff\xff\xff\xff\xff")
             first = await mesh.ask("10.0.0.1:7000", ListAsk())
             second = await mesh.ask("10.0.0.1:7000", Done())
             third = await mesh.ask("10.0.0.9:7000", ListAsk())
             return first.ageMs, second.code, third.code
+
         world.start("a", "10.0.0.1", serve)
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
         self.assertEqual(world.do("b", ask), (5, UNKNOWN_KIND.code, UNREACHABLE.code))
--- a/tests/wire/test_messages.py
+++ b/tests/wire/test_messages.py
@@ -1,4 +1,5 @@
 """Tests of `wire/messages.py`."""
+
 import unittest
 
 from swiftdeck.wire.messages import Member, Probe
@@ -6,6 +7,13 @@
 
 class MessagesTest(unittest.TestCase):
     def testMessagesComeBackWhole(self):
-        sent = Probe(sender=Member(addr="a:1", incarnation=7), serial=3, about=[Member(name="x"), Member(name="y")])
+        sent = Probe(
+            sender=Member(addr="a:1", incarnation=7),
+            serial=3,
+            about=[Member(name="x"), Member(name="y")],
+        )
         got = Probe().parse(bytes(sent))
-        self.assertEqual((got.sender.incarnation, got.serial, [each.name for each in got.about]), (7, 3, ["x", "y"]))
+        self.assertEqual(
+            (got.sender.incarnation, got.serial, [each.name for each in got.about]),
+            (7, 3, ["x", "y"]),
+        )
