--- a/swiftdeck/bench/cache.py
+++ b/swiftdeck/bench/cache.py
@@ -33,7 +33,7 @@
 
     def keep(self, chain, entries):
         """Keep links that were made or fetched."""
-        for link, entry in zip(chain, entries):
+        for link, entry in zip(chain, entries, strict=False):
             if link not in self.entries:
                 self.entries[link] = entry
                 self.used += entry.tokens
--- a/swiftdeck/bench/fleet.py
+++ b/swiftdeck/bench/fleet.py
@@ -378,7 +378,11 @@
         for kill in [item for item in records if item["kind"] == "kill" and "asWhat" in item]:
             after = [atMs for atMs in served if atMs > kill["atMs"]]
             longest = max(
-                (b - a for a, b in zip([kill["atMs"], *after], after) if a < kill["atMs"] + 12000),
+                (
+                    b - a
+                    for a, b in zip([kill["atMs"], *after], after, strict=False)
+                    if a < kill["atMs"] + 12000
+                ),
                 default=-1,
             )
             gaps.append({"fault": kill["asWhat"], "longestGapMs": longest})
@@ -389,7 +393,7 @@
             whole = [item for item in mine if item["pid"] == mine[-1]["pid"]][2:]
             cpuMs += sum(
                 max(0, b["cpuMs"] - a["cpuMs"])
-                for a, b in zip(mine, mine[1:])
+                for a, b in zip(mine, mine[1:], strict=False)
                 if a["pid"] == b["pid"] and name.startswith("router")
             )
             if len(whole) > 1:
--- a/swiftdeck/bench/measure.py
+++ b/swiftdeck/bench/measure.py
@@ -41,7 +41,7 @@
             names = [f"worker{number}" for number in range(count)]
             full, less = Ring(names, places), Ring(names[1:], places)
             before = [next(full.walk(key)) for key in keys]
-            moved = sum(old != next(less.walk(key)) for old, key in zip(before, keys))
+            moved = sum(old != next(less.walk(key)) for old, key in zip(before, keys, strict=False))
             most = max(before.count(name) for name in names) / len(keys) * count
             yield {
                 "workers": count,
--- a/swiftdeck/bench/outer/checker.py
+++ b/swiftdeck/bench/outer/checker.py
@@ -248,7 +248,9 @@
             begin + len(numbers) != counts.get(item["id"]) or item.get("rest")
         ):
             yield f"{item['id']} is complete with {len(numbers)} pieces of {counts.get(item['id'])}"
-        joins = [(one, two) for one, two in zip(events, events[1:]) if one[2] != two[2]]
+        joins = [
+            (one, two) for one, two in zip(events, events[1:], strict=False) if one[2] != two[2]
+        ]
         if (
             any(after.get(two[2]) != one[0] for one, two in joins)
             or joins
@@ -288,7 +290,7 @@
     for item in records.of("order"):
         workers[item["worker"]].append(item)
     for worker, orders in workers.items():
-        for before, now in zip(orders, orders[1:]):
+        for before, now in zip(orders, orders[1:], strict=False):
             if now["fence"] < before["fence"] and (
                 not bounds.checks_fences or now["status"] in (200, 202)
             ):
--- a/swiftdeck/bench/outer/worker.py
+++ b/swiftdeck/bench/outer/worker.py
@@ -299,7 +299,7 @@
         }
         got = await fetchJson(source, "POST", PARTS, asked, timeoutMs=300)
         if not isFault(got) and got[0] == 200:
-            for name, kept in zip(names, got[1]):
+            for name, kept in zip(names, got[1], strict=False):
                 self.cache.keep(salt, name, KeptPart(*kept))
             self.record("pulled", source=source, parts=len(got[1]))
 
--- a/swiftdeck/bench/scale.py
+++ b/swiftdeck/bench/scale.py
@@ -24,8 +24,8 @@
 from swiftdeck.gateway.health import Judge
 from swiftdeck.gateway.kept import KeptTable
 from swiftdeck.gateway.listing import Listing
-from swiftdeck.gateway.placing import Placing
 from swiftdeck.gateway.places import Wish
+from swiftdeck.gateway.placing import Placing
 from swiftdeck.gateway.roster import Roster
 from swiftdeck.gateway.routes import RouteTable
 from swiftdeck.gateway.seams import Kept, Listed, Part, Reports, Request
--- a/swiftdeck/bench/store.py
+++ b/swiftdeck/bench/store.py
@@ -26,7 +26,9 @@
         if isFault(body) or not isinstance(body, dict):
             return BAD_REQUEST
         if exchange.path == "/v1/save":
-            self.entries |= {link: entry for link, entry in zip(body["chain"], body["entries"])}
+            self.entries |= {
+                link: entry for link, entry in zip(body["chain"], body["entries"], strict=False)
+            }
             while len(self.entries) > self.most:
                 del self.entries[next(iter(self.entries))]
             return await exchange.give(200, {})
--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -6,7 +6,7 @@
 import attrs
 
 from swiftdeck.disk.journal import Journal
-from swiftdeck.fault import DISK_FAILED, DISK_FULL, DISK_SLOW, NOT_VOTER, NO_VIEW, OLD_VIEW, isFault
+from swiftdeck.fault import DISK_FAILED, DISK_FULL, DISK_SLOW, NO_VIEW, NOT_VOTER, OLD_VIEW, isFault
 from swiftdeck.wire.messages import (
     Accept,
     CoreRef,
@@ -79,7 +79,7 @@
             for record in records:
                 self._restore(record)
             if not self.coreId:
-                self.coreId = "%016x" % self.random.getrandbits(64)
+                self.coreId = f"{self.random.getrandbits(64):016x}"
                 await self._keep(self._me())
         except OSError as error:
             return DISK_FAILED.because(error)
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -1,6 +1,7 @@
 """The chain: writes enter at the head, are synced at each member, and are answered from the tail."""
 
 import asyncio
+import contextlib
 
 import attrs
 import msgspec
@@ -322,10 +323,8 @@
 
     async def _passing(self):
         while True:
-            try:
+            with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.kick.wait(), 0.25)
-            except TimeoutError:
-                pass
             self.kick.clear()
             while await self._passOn():
                 pass
--- a/swiftdeck/chain/mender.py
+++ b/swiftdeck/chain/mender.py
@@ -6,7 +6,6 @@
 from swiftdeck.fault import OLD_VIEW, isFault
 from swiftdeck.wire.messages import CoreRef, Done, JoinAsk, View, ViewAsk
 
-
 SWEEP_S = 30.0
 ASK_MS, SILENT_S, FAULTY_S, RANK_S = 500, 0.9, 0.5, 0.5
 FOUNDERS_WAIT_S = 5.0
@@ -89,7 +88,9 @@
             self.silent_since_s = {}
             return False
         self.said = {
-            each.coreId: (addr, each) for addr, each in zip(addrs, got) if not isFault(each)
+            each.coreId: (addr, each)
+            for addr, each in zip(addrs, got, strict=False)
+            if not isFault(each)
         }
         self.agreement.hears = list(self.said)
         self.silent_since_s = {
--- a/swiftdeck/control/client.py
+++ b/swiftdeck/control/client.py
@@ -68,7 +68,7 @@
         )
         return 200, {
             each["name"]: None if isFault(one) or one[0] != 200 else one[1]
-            for each, one in zip(others, got)
+            for each, one in zip(others, got, strict=False)
         }
 
     async def fleet(self, full=False):
@@ -153,7 +153,9 @@
             if not isFault(each) and each[0] == 200
             for item in each[1]["decisions"]
         ]
-        silent = [door for door, each in zip(doors, got) if isFault(each) or each[0] != 200]
+        silent = [
+            door for door, each in zip(doors, got, strict=False) if isFault(each) or each[0] != 200
+        ]
         return 200, {"decisions": sorted(told, key=lambda item: item["atMs"]), "silent": silent}
 
     async def watch(self, say, follow=True) -> int:
--- a/swiftdeck/control/doctor.py
+++ b/swiftdeck/control/doctor.py
@@ -127,7 +127,7 @@
     second = await asyncio.gather(*(clock(name) for name in names))
     return [
         finding(715, name)
-        for name, a, b in zip(names, first, second)
+        for name, a, b in zip(names, first, second, strict=False)
         if a and b and a[0] is not None and _isOff((b[0] - a[0]) / 1000, b[1] - a[2], b[2] - a[1])
     ]
 
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -63,7 +63,7 @@
         return await exchange.give(status, told, headers)
 
     def _newId(self):
-        return "%020x" % self.core.random.getrandbits(80)
+        return f"{self.core.random.getrandbits(80):020x}"
 
     async def change(self, asked):
         """Put one change through the chain: (status, told, headers)."""
--- a/swiftdeck/disk/journal.py
+++ b/swiftdeck/disk/journal.py
@@ -1,6 +1,7 @@
 """An append-only file of checksummed records."""
 
 import asyncio
+import contextlib
 import struct
 import zlib
 
@@ -118,10 +119,8 @@
         self.size += len(data)
 
     def _cutBack(self):
-        try:
+        with contextlib.suppress(OSError, KeyError):
             self.folder.truncate(self.name, self.size)
-        except (OSError, KeyError):
-            pass
 
     async def sync(self):
         """Make what was appended last."""
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -29,7 +29,7 @@
             del self.shared[next(iter(self.shared))]
         if is_cold and any(
             self.kept.parts.get((salt, part), {}).get(worker, 0) < size
-            for part, size in zip(parts, sizes)
+            for part, size in zip(parts, sizes, strict=False)
         ):
             self._tell_all(
                 KeptNews(
@@ -120,7 +120,7 @@
     def on_news(self, news, sender):
         if news.is_expected:
             until_s = asyncio.get_running_loop().time() + EXPECTED_S
-            for salt, part in zip(news.salts, news.parts):
+            for salt, part in zip(news.salts, news.parts, strict=False):
                 self.kept.expect(news.holder, salt, part, until_s)
             return
         if news.forget:
@@ -129,7 +129,7 @@
             self.kept.down[news.holder] = asyncio.get_running_loop().time() + DOWN_S
         else:
             self.kept.down.pop(news.holder, None)
-        for salt, part, tokens in zip(news.salts, news.parts, news.tokens):
+        for salt, part, tokens in zip(news.salts, news.parts, news.tokens, strict=False):
             if tokens:
                 self.kept.keep(news.holder, salt, part, tokens)
             else:
--- a/swiftdeck/http/client.py
+++ b/swiftdeck/http/client.py
@@ -1,6 +1,7 @@
 """HTTP/1.1 towards workers, store and platform, as an asyncio protocol over h11."""
 
 import asyncio
+import contextlib
 
 import h11
 import msgspec
@@ -44,10 +45,8 @@
     def _end(self):
         if not self.gone:
             self.gone = True
-            try:
+            with contextlib.suppress(h11.RemoteProtocolError):
                 self.conn.receive_data(b"")
-            except h11.RemoteProtocolError:
-                pass
             self._wake()
 
     def _wake(self):
--- a/swiftdeck/member/news.py
+++ b/swiftdeck/member/news.py
@@ -31,7 +31,7 @@
         self._take(news.items, sender)
 
     def onDigest(self, digest, sender):
-        theirs = dict(zip(digest.keys, digest.stamps))
+        theirs = dict(zip(digest.keys, digest.stamps, strict=False))
         return News(
             items=[item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)]
         )
--- a/swiftdeck/platform/settings.py
+++ b/swiftdeck/platform/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from swiftdeck.config.settings import Settings
-from swiftdeck.fault import BAD_SETTING, isFault
+from swiftdeck.fault import BAD_SETTING
 
 PATH_VARIABLE = "SWIFTDECK_CONFIG"
 SEED_PORT_OF = "control"
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -13,17 +13,17 @@
 
 import typer
 
+from swiftdeck.bench import scale as scales
 from swiftdeck.bench.caller import Caller
 from swiftdeck.bench.fleet import Fleet
 from swiftdeck.bench.growth import growth
 from swiftdeck.bench.measure import MEASURES
 from swiftdeck.bench.platform import Platform
-from swiftdeck.bench import scale as scales
 from swiftdeck.bench.record import FileRecord
 from swiftdeck.bench.store import Store
 from swiftdeck.bench.worker import Worker
-from swiftdeck.sim.storm import BITES, SCENARIOS, Storm, idle
 from swiftdeck.programs.loop import BootLoop, runUntilSignal
+from swiftdeck.sim.storm import BITES, SCENARIOS, Storm, idle
 
 app = typer.Typer(
     no_args_is_help=True,
@@ -176,7 +176,7 @@
     work = [(name, number, seconds) for name in names for number in range(seed, seed + seeds)]
     broken, sums, acts = 0, Counter(), {name: Counter() for name in names}
     with ProcessPoolExecutor(jobs) as pool:
-        for (name, number, _), (got, faults) in zip(work, pool.map(runStorm, work)):
+        for (name, number, _), (got, faults) in zip(work, pool.map(runStorm, work), strict=False):
             broken += bool(got["breaches"])
             acts[name].update(got.pop("acts", {}))
             sums.update({key: got.get(key, 0) for key in ("faults", "returns", "served", "runs")})
@@ -236,6 +236,7 @@
         for number, rows in zip(
             range(seed, seed + seeds),
             pool.map(runMeasure, [(name, each) for each in range(seed, seed + seeds)]),
+            strict=False,
         ):
             for row in rows:
                 typer.echo(json.dumps({"seed": number} | row))
--- a/swiftdeck/programs/deck.py
+++ b/swiftdeck/programs/deck.py
@@ -5,16 +5,16 @@
 import random
 import sys
 from pathlib import Path
-from typing import Annotated, Optional
+from typing import Annotated
 
 import msgspec
 import typer
 
 from swiftdeck.config.document import keyDigest
 from swiftdeck.config.settings import readSettings
+from swiftdeck.control.client import OperatorClient
 from swiftdeck.control.core import Core
 from swiftdeck.control.doctor import examine
-from swiftdeck.control.client import OperatorClient
 from swiftdeck.disk.folder import DataFolder
 from swiftdeck.fault import isFault
 from swiftdeck.programs.loop import makeLog, runUntilSignal
@@ -34,14 +34,14 @@
 SettingsFile = Annotated[
     str, typer.Option("--settings", help="Settings file (TOML); flags go before it.")
 ]
-Name = Annotated[Optional[str], typer.Option(help="Name of the process.")]
-Inner = Annotated[Optional[str], typer.Option(help="IP:PORT towards other processes, TCP and UDP.")]
-Http = Annotated[Optional[str], typer.Option(help="IP:PORT of HTTP.")]
+Name = Annotated[str | None, typer.Option(help="Name of the process.")]
+Inner = Annotated[str | None, typer.Option(help="IP:PORT towards other processes, TCP and UDP.")]
+Http = Annotated[str | None, typer.Option(help="IP:PORT of HTTP.")]
 Seeds = Annotated[
-    Optional[list[str]],
+    list[str] | None,
     typer.Option("--seed", help="Inner IP:PORT of another process; give three."),
 ]
-Zone = Annotated[Optional[str], typer.Option(help="Zone of the machine.")]
+Zone = Annotated[str | None, typer.Option(help="Zone of the machine.")]
 Level = Annotated[str, typer.Option(help="debug, info, warning or error.")]
 Door = Annotated[
     str, typer.Option("--core", envvar="SWIFTDECK_CORE", help="HTTP IP:PORT of a core.")
@@ -79,10 +79,8 @@
     http: Http = None,
     seed: Seeds = None,
     zone: Zone = None,
-    data: Annotated[Optional[str], typer.Option(help="Data folder.")] = None,
-    operatorKey: Annotated[
-        Optional[str], typer.Option(help="Key that operators must show.")
-    ] = None,
+    data: Annotated[str | None, typer.Option(help="Data folder.")] = None,
+    operatorKey: Annotated[str | None, typer.Option(help="Key that operators must show.")] = None,
     level: Level = "info",
 ):
     """Run a core: a member of the chain, with a data folder. SIGHUP reads the seeds anew, SIGTERM ends it."""
@@ -126,11 +124,9 @@
     http: Http = None,
     seed: Seeds = None,
     zone: Zone = None,
-    platform: Annotated[Optional[str], typer.Option(help="IP:PORT of the platform's list.")] = None,
-    store: Annotated[Optional[str], typer.Option(help="IP:PORT of the store of prefixes.")] = None,
-    operatorKey: Annotated[
-        Optional[str], typer.Option(help="Key that operators must show.")
-    ] = None,
+    platform: Annotated[str | None, typer.Option(help="IP:PORT of the platform's list.")] = None,
+    store: Annotated[str | None, typer.Option(help="IP:PORT of the store of prefixes.")] = None,
+    operatorKey: Annotated[str | None, typer.Option(help="Key that operators must show.")] = None,
     level: Level = "info",
 ):
     """Run a router: callers' HTTP and legs towards workers. SIGHUP reads the seeds anew, SIGTERM drains."""
@@ -192,7 +188,7 @@
 
 File = Annotated[str, typer.Argument(help="JSON file, - for standard input.")]
 Base = Annotated[
-    Optional[int], typer.Option(help="Version that the change builds on; default: the newest.")
+    int | None, typer.Option(help="Version that the change builds on; default: the newest.")
 ]
 ChangeId = Annotated[
     str, typer.Option(help="Id of the change; say it again to repeat a change safely.")
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -12,12 +12,12 @@
     HORIZON,
     NO_CLAIM,
     NO_KEEPER,
+    NO_LICENCE,
     NO_ROUTE,
     NO_WORKER,
     OTHER_WEIGHTS,
-    UNKNOWN_KEY,
-    NO_LICENCE,
     STALE_LIST,
+    UNKNOWN_KEY,
     UNREACHED,
     WAITED_OUT,
     WORKER_BAD,
@@ -27,11 +27,10 @@
     isFault,
 )
 from swiftdeck.http.client import connect, fetchJson
-from swiftdeck.traffic.ledger import Leg, Ledger, Move, nextMove
+from swiftdeck.traffic.ledger import Ledger, Leg, Move, nextMove
 from swiftdeck.traffic.prefix import chainOf, groupOf
 from swiftdeck.wire.messages import GrantAsk, GrantDrop
 
-
 SLICE_MS = 700
 AGAIN_MS = 2000
 CLAIM_MS, RELEASE_MS = 700, 500
@@ -53,7 +52,7 @@
         self.router, self.exchange, self.held = router, exchange, held
         self.tenant, self.route, self.body = tenant, route, body
         self.loop = asyncio.get_running_loop()
-        self.name = "%020x" % router.random.getrandbits(80)
+        self.name = f"{router.random.getrandbits(80):020x}"
         self.startS = startS
         key = exchange.headers.get("idempotency-key", "")
         self.claimKey = f"{tenant}:{key}" if key and not route.repeatable else ""
--- a/swiftdeck/traffic/claims.py
+++ b/swiftdeck/traffic/claims.py
@@ -61,7 +61,7 @@
             if isFault(got):
                 self.board.count["claimBatchesAgain"] += 1
                 await asyncio.sleep(AGAIN_S)
-        for (op, done), result in zip(batch, got.results):
+        for (op, done), result in zip(batch, got.results, strict=False):
             if not done.done():
                 done.set_result(self._told(result) if op[3] == CLAIM else True)
 
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/keeper.py
@@ -5,9 +5,9 @@
 from swiftdeck.duty.duty import Duty
 from swiftdeck.fault import (
     BUDGET_SPENT,
-    NOT_KEEPER,
     NO_LICENCE,
     NO_WORKER,
+    NOT_KEEPER,
     OLD_VIEW,
     RECOVERING,
     isFault,
--- a/swiftdeck/traffic/licence.py
+++ b/swiftdeck/traffic/licence.py
@@ -1,6 +1,7 @@
 """The licence of a router to serve by the configuration that it holds."""
 
 import asyncio
+import contextlib
 
 import attrs
 import msgspec
@@ -61,12 +62,10 @@
             wasNew = await self._renew()
             self.board.put("configLicence", "held" if self.isHeld() else "lapsed")
             if not wasNew:
-                try:
+                with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(
                         self.kick.wait(), self.renewMs / 1000 if self.isHeld() else 0.15
                     )
-                except TimeoutError:
-                    pass
             self.kick.clear()
 
     def _ask(self, handBack=False):
--- a/swiftdeck/traffic/lines.py
+++ b/swiftdeck/traffic/lines.py
@@ -157,7 +157,7 @@
 
     def _begin(self, book, waiting):
         ask = waiting.ask
-        name = "%016x" % self.router.random.getrandbits(64)
+        name = f"{self.router.random.getrandbits(64):016x}"
         conversation = Conversation(name, ask.tenant, ask.group, book.worker, ask.weights)
         self.books.open(conversation)
         self.board.count["starts"] += 1
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -15,10 +15,10 @@
     BAD_OPERATOR,
     BAD_REQUEST,
     BUSY,
-    NOT_FOUND,
-    NOT_KEEPER,
     NO_LICENCE,
     NO_ROUTE,
+    NOT_FOUND,
+    NOT_KEEPER,
     OLD_TERM,
     STOPPING,
     TOO_LARGE,
@@ -44,7 +44,6 @@
     OpenReturn,
 )
 
-
 OUTAGE_S = 15.0
 
 
--- a/swiftdeck/traffic/takeover.py
+++ b/swiftdeck/traffic/takeover.py
@@ -30,7 +30,7 @@
                 each.addr for each in [self.router.me, *self.router.membership.alive("router")]
             } - heard
             got = await asyncio.gather(*(self.gather(addr, term) for addr in sorted(wanted)))
-            heard |= {addr for addr, ok in zip(sorted(wanted), got) if ok}
+            heard |= {addr for addr, ok in zip(sorted(wanted), got, strict=False) if ok}
             if all(got) or self.loop.time() > endS:
                 self.graceS = -1e9
                 return True
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -16,16 +16,16 @@
 from swiftdeck.fault import NO_LICENCE, OLD_VIEW, WAITED_OUT
 from swiftdeck.http.server import HttpConversation
 from swiftdeck.traffic.book import Book
+from swiftdeck.traffic.books import Books
 from swiftdeck.traffic.budget import Budget
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
-from swiftdeck.traffic.books import Books
 from swiftdeck.traffic.keeper import Keeper
-from swiftdeck.traffic.moves import Moves
-from swiftdeck.traffic.takeover import Takeover
 from swiftdeck.traffic.ledger import Ledger, Move, nextMove
 from swiftdeck.traffic.licence import ConfigLicence
 from swiftdeck.traffic.line import Line
+from swiftdeck.traffic.moves import Moves
+from swiftdeck.traffic.takeover import Takeover
 from swiftdeck.traffic.workers import WorkerList
 from swiftdeck.wire.messages import GrantAsk
 from tests.cases import admission, calls, config, weights
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -23,9 +23,12 @@
 
         model = '"models":{"m":{"weights":"w"}}'
         for text, path in [
-            ('{%s,"routes":{"r":{"model":"x"}}}' % model, "$.routes.r.model"),
-            ('{%s,"routes":{"r":{"model":"m","foo":1}}}' % model, "$.routes.r"),
-            ('{%s,"routes":{"r":{"model":"m","tenants":["t"]}}}' % model, "$.routes.r.tenants[0]"),
+            (f'{{{model},"routes":{{"r":{{"model":"x"}}}}}}', "$.routes.r.model"),
+            (f'{{{model},"routes":{{"r":{{"model":"m","foo":1}}}}}}', "$.routes.r"),
+            (
+                f'{{{model},"routes":{{"r":{{"model":"m","tenants":["t"]}}}}}}',
+                "$.routes.r.tenants[0]",
+            ),
             ('{"models":{"m":{"weights":"w","cap":0}}}', "$.models.m.cap"),
             ("[]", ""),
             ("{", ""),
@@ -35,4 +38,4 @@
             self.assertEqual(
                 (fault.code, fault.reason.startswith(path)), (INVALID.code, True), fault.reason
             )
-        self.assertEqual(Configuration.read(("{%s}" % model).encode()).document.models["m"].cap, 16)
+        self.assertEqual(Configuration.read((f"{{{model}}}").encode()).document.models["m"].cap, 16)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -35,7 +35,9 @@
             if line.startswith("| `") and len(cells) == 3:
                 told |= dict(
                     zip(
-                        cells[0].replace("`", "").split(", "), cells[1].replace("`", "").split(", ")
+                        cells[0].replace("`", "").split(", "),
+                        cells[1].replace("`", "").split(", "),
+                        strict=False,
                     )
                 )
         defaults = {field.name: field.default for field in msgspec.structs.fields(Settings)}
--- a/tests/gateway/test_places.py
+++ b/tests/gateway/test_places.py
@@ -1,7 +1,5 @@
 """Tests of the admission books."""
 
-import asyncio
-
 from swiftdeck.gateway.places import FILL, GRACE_S, TOKENS_PER_MS, Owners, PlaceBooks, Wish
 from tests.gateway.parts import SimCase
 
--- a/tests/platform/test_lists.py
+++ b/tests/platform/test_lists.py
@@ -46,7 +46,7 @@
         tokens = ["", *(f"p-{at}" for at in range(1, len(pages)))]
         self.pages = {
             token: (200, {"app-servers": entries, "next-token": after})
-            for token, entries, after in zip(tokens, pages, [*tokens[1:], None])
+            for token, entries, after in zip(tokens, pages, [*tokens[1:], None], strict=False)
         }
         return self.reading()
 
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -75,7 +75,8 @@
 
 def judge(suite, text="", every=None, stream=sys.stdout) -> tuple[int, int]:
     """Run a suite under a list of tests known to fail; gives how many passed and failed. `every` are the ids of all tests there
-    are, if the suite is a part of them."""
+    are, if the suite is a part of them.
+    """
     known, wrong = readKnown(text)
     every = idsOf(suite) if every is None else every
     got = unittest.TextTestRunner(stream=stream, verbosity=1, resultclass=Result).run(suite)
