--- a/swiftdeck/bench/cache.py
+++ b/swiftdeck/bench/cache.py
@@ -17,8 +17,8 @@
 class PrefixCache:
     """Links by digest; an earlier link of a chain is always used later than what follows it."""
 
-    def __init__(self, room: int, onChange=lambda kind, link: None):
-        self.room, self.used, self.onChange = room, 0, onChange
+    def __init__(self, room: int, on_change=lambda kind, link: None):
+        self.room, self.used, self.on_change = room, 0, on_change
         self.entries: OrderedDict[bytes, Entry] = OrderedDict()
 
     def depth(self, chain) -> int:
@@ -37,12 +37,12 @@
             if link not in self.entries:
                 self.entries[link] = entry
                 self.used += entry.tokens
-                self.onChange("kept", link)
+                self.on_change("kept", link)
         self.touch(chain)
         while self.used > self.room:
             link, entry = self.entries.popitem(last=False)
             self.used -= entry.tokens
-            self.onChange("dropped", link)
+            self.on_change("dropped", link)
 
     def clear(self):
         """Drop everything."""
--- a/swiftdeck/bench/caller.py
+++ b/swiftdeck/bench/caller.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from swiftdeck.config.document import keyDigest
-from swiftdeck.fault import isFault
+from swiftdeck.config.document import key_digest
+from swiftdeck.fault import is_fault
 from swiftdeck.http.client import connect
 
 
@@ -57,7 +57,7 @@
             talk=talk,
             turn=turn,
             router=self.routers.get(door, ""),
-            key=keyDigest(key),
+            key=key_digest(key),
         )
         result = {
             "status": 0,
@@ -109,7 +109,7 @@
     ):
         ip, _, port = door.rpartition(":")
         link = kept or await connect(ip, int(port), 2000)
-        if isFault(link):
+        if is_fault(link):
             result["status"] = -1
             return
         try:
@@ -120,14 +120,14 @@
                 {"model": route, "parts": parts, "maxTokens": maxTokens, "stream": stream}
             )
             got = await link.exchange("POST", "/v1/calls", headers, body, door)
-            if isFault(got):
+            if is_fault(got):
                 result["status"] = -2
                 return
             result["status"] = got.status
             result["retryAfter"] = got.headers.get("retry-after", "")
             if got.headers.get("content-type") != "text/event-stream":
                 whole = await got.whole()
-                answer = {} if isFault(whole) else msgspec.json.decode(whole)
+                answer = {} if is_fault(whole) else msgspec.json.decode(whole)
                 result |= {
                     name: answer[name]
                     for name in ("code", "notRun", "call", "run", "reason")
@@ -193,7 +193,7 @@
                 f"said {turn}",
                 "y" * int(grow * 4 * self.random.uniform(0.3, 2)),
             ]
-            await asyncio.sleep(self._gapS() if gap is None else gap)
+            await asyncio.sleep(self._gap_s() if gap is None else gap)
         return turns
 
     async def insist(self, tenant, route, parts, **more):
@@ -201,8 +201,8 @@
 
         Some have little patience: they leave after three seconds, and come back like the others.
         """
-        isHasty = self.returns and self.random.random() < 0.15
-        got = await self.call(tenant, route, parts, **more | ({"timeoutS": 3} if isHasty else {}))
+        is_hasty = self.returns and self.random.random() < 0.15
+        got = await self.call(tenant, route, parts, **more | ({"timeoutS": 3} if is_hasty else {}))
         for _ in range(self.returns):
             if got["whole"] or got.get("left") or self.stopping:
                 break
@@ -212,25 +212,25 @@
 
     returns = 0
 
-    def _gapS(self):
+    def _gap_s(self):
         """The paper's gaps: two in five are zero, the median a second, the longest seven and a half."""
         draw = self.random.random()
         return 0.0 if draw < 0.386 else min(7.5, self.random.expovariate(1 / 1.6)) * self.scale
 
-    async def agents(self, tenant, route="check", turns=(2, 8), restS=1.0):
+    async def agents(self, tenant, route="check", turns=(2, 8), rest_s=1.0):
         """Conversations one after another until told to stop."""
         while not self.stopping:
             served = await self.agent(tenant, route, self.random.randint(*turns))
             self.record("agent", tenant=tenant, turns=served)
-            await asyncio.sleep(restS * self.random.uniform(0.5, 1.5))
+            await asyncio.sleep(rest_s * self.random.uniform(0.5, 1.5))
 
-    async def shorts(self, tenant, route="tag", everyS=0.5):
+    async def shorts(self, tenant, route="tag", every_s=0.5):
         """Short calls until told to stop, each on its own."""
         while not self.stopping:
             asyncio.ensure_future(
                 self.call(tenant, route, [self.book[route], "ad"], maxTokens=16, **self._manner())
             )
-            await asyncio.sleep(self.random.expovariate(1 / everyS))
+            await asyncio.sleep(self.random.expovariate(1 / every_s))
 
     def _manner(self):
         """How a caller behaves: most read a stream to its end, some take it whole, go away midway, or read slowly."""
@@ -245,14 +245,14 @@
             else {}
         )
 
-    async def kept(self, tenant, route="tag", everyS=1.0):
+    async def kept(self, tenant, route="tag", every_s=1.0):
         """Short calls over one connection that is kept alive for as long as its router lives, with the key of its first day."""
         key, link, door = self.keys[tenant], None, ""
         while not self.stopping:
             if link is None or link.gone:
                 door = self.random.choice(self.doors)
                 link = await connect(door.rpartition(":")[0], int(door.rpartition(":")[2]), 2000)
-                link = None if isFault(link) else link
+                link = None if is_fault(link) else link
             if link is not None:
                 got = await self.call(
                     tenant,
@@ -268,9 +268,9 @@
                 if got["status"] < 1 or got.get("gaveUp"):
                     link.close()
                     link = None
-            await asyncio.sleep(self.random.expovariate(1 / everyS))
+            await asyncio.sleep(self.random.expovariate(1 / every_s))
 
-    async def run(self, seconds, agents, shortEveryS):
+    async def run(self, seconds, agents, short_every_s):
         """The traffic of a site: long checks as agents, short calls ten times as often."""
         tasks = [
             asyncio.ensure_future(self.agents(tenant))
@@ -278,10 +278,10 @@
             for _ in range(count)
         ]
         tasks += [
-            asyncio.ensure_future(self.shorts(tenant, everyS=shortEveryS)) for tenant in agents
+            asyncio.ensure_future(self.shorts(tenant, every_s=short_every_s)) for tenant in agents
         ]
         tasks += [
-            asyncio.ensure_future(self.kept(tenant, everyS=shortEveryS))
+            asyncio.ensure_future(self.kept(tenant, every_s=short_every_s))
             for tenant in list(agents)[:3]
             if self.returns
         ]
--- a/swiftdeck/bench/checker.py
+++ b/swiftdeck/bench/checker.py
@@ -41,24 +41,24 @@
                 for span in self.spans[item["who"]]:
                     span[1] = min(span[1], atMs + BACK_MS)
 
-    def fell(self, name, fromMs, toMs) -> bool:
+    def fell(self, name, from_ms, to_ms) -> bool:
         """Whether a process was not well at some time between two."""
-        return any(a <= toMs and b >= fromMs for a, b in self.spans.get(name, ()))
+        return any(a <= to_ms and b >= from_ms for a, b in self.spans.get(name, ()))
 
-    def chainFell(self, fromMs, toMs) -> bool:
+    def chain_fell(self, from_ms, to_ms) -> bool:
         """Whether two cores were not well between two times, so that no claim could be made for a while."""
         return (
             sum(
-                self.fell(name, fromMs, toMs)
+                self.fell(name, from_ms, to_ms)
                 for name in list(self.spans)
                 if name.startswith("core")
             )
             > 1
         )
 
-    def keeperFell(self, fromMs, toMs) -> bool:
+    def keeper_fell(self, from_ms, to_ms) -> bool:
         """Whether a keeper was not well at some time between two."""
-        return any(a <= toMs and b >= fromMs for a, b in self.keepers)
+        return any(a <= to_ms and b >= from_ms for a, b in self.keepers)
 
 
 BACK_MS = 3000
@@ -66,7 +66,7 @@
 REFUSALS = range(110, 121)
 
 
-def runsOnce(records, apart, extra):
+def runs_once(records, apart, extra):
     """A once-only call, known by its Idempotency-Key, or else by its try, never runs twice."""
     tries = {item["marker"]: item for item in _of(records, "try")}
     runs = defaultdict(list)
@@ -79,7 +79,7 @@
     )
 
 
-def notRunStays(records, apart, extra):
+def not_run_stays(records, apart, extra):
     """What was promised not to run did not run, before or after."""
     ran = {item["call"]: item["atMs"] for item in _of(records, "run")}
     tries = Counter(item["marker"] for item in _of(records, "try"))
@@ -92,18 +92,18 @@
             yield f"{item['marker']} was refused at {item['atMs']} and ran at {atMs}"
 
 
-def piecesBelong(records, apart, extra):
+def pieces_belong(records, apart, extra):
     """A caller gets pieces of its own call and of one run, in order, and a whole return only from a whole run."""
     whole = {item["run"] for item in _of(records, "ran") if item["whole"]}
-    sawWorkers = any(_of(records, "run"))
+    saw_workers = any(_of(records, "run"))
     for item in _of(records, "return"):
         if item["wrong"]:
             yield f"{item['marker']}: {item['wrong']}"
-        if item["whole"] and sawWorkers and item["run"] not in whole:
+        if item["whole"] and saw_workers and item["run"] not in whole:
             yield f"{item['marker']}: whole return of run {item['run']}, which no worker finished"
 
 
-def apartStaysApart(records, apart, extra):
+def apart_stays_apart(records, apart, extra):
     """A tenant kept apart reads no other's prefixes, nor others its own."""
     runs = {item["run"]: item["tenant"] for item in _of(records, "run")}
     for item in _of(records, "prefill"):
@@ -115,7 +115,7 @@
         )
 
 
-def weightsMatch(records, apart, extra):
+def weights_match(records, apart, extra):
     """No call runs on a prefix made under other weights, nor on a worker that has others loaded."""
     runs = {item["run"]: item for item in _of(records, "run")}
     for item in _of(records, "prefill"):
@@ -147,7 +147,7 @@
     ]
 
 
-def _weightsIn(item):
+def _weights_in(item):
     """Weights that a change names, by model."""
     return {
         name: model["weights"]
@@ -156,7 +156,7 @@
     }
 
 
-def oldWeightsEnd(records, apart, extra):
+def old_weights_end(records, apart, extra):
     """Fifteen seconds after new weights are acknowledged no call starts on others; none runs that only a refusal named."""
     models = {
         worker["name"]: worker["model"]
@@ -166,9 +166,9 @@
     named = [
         (item["atMs"], item["answer"]["version"], *pair)
         for item in _acknowledged(records)
-        for pair in _weightsIn(item).items()
+        for pair in _weights_in(item).items()
     ]
-    maybe = {pair for item in _undecided(records) for pair in _weightsIn(item).items()}
+    maybe = {pair for item in _undecided(records) for pair in _weights_in(item).items()}
     for item in _of(records, "run"):
         model = models.get(item["who"], next(iter(models.values()), ""))
         mine = [(version, weights, atMs) for atMs, version, name, weights in named if name == model]
@@ -178,7 +178,7 @@
             yield f"{item['run']} started on {item['weights']} at {item['atMs']}, when version {late} had long been in force"
 
 
-def versionsStand(records, apart, extra):
+def versions_stand(records, apart, extra):
     """Acknowledged versions are read back and never go back; two changes never share one."""
     versions, newest = {}, (0, 0)
     for item in sorted(_of(records, "change", "read"), key=lambda item: item["atMs"]):
@@ -192,7 +192,7 @@
                 yield f"read version {item['version']} at {item['atMs']} after {newest[0]} was acknowledged"
 
 
-def readBackWhole(records, apart, extra):
+def read_back_whole(records, apart, extra):
     """What is read is byte for byte what the acknowledged changes made, and the day ends with a reading."""
     changes = {item["answer"]["version"]: item for item in _acknowledged(records)}
     made, document = {}, {}
@@ -217,7 +217,7 @@
         yield "the configuration was not read back at the end of the day"
 
 
-def ackIsQuick(records, apart, extra):
+def ack_is_quick(records, apart, extra):
     """While nothing fails a change is acknowledged within about two seconds."""
     quiet = [(item["atMs"], item["untilMs"]) for item in _of(records, "quiet")]
     for item in _of(records, "change"):
@@ -226,7 +226,7 @@
                 yield f"change asked at {item['askedMs']} ended at {item['atMs']} with status {item['status']}"
 
 
-def _keysAt(records):
+def _keys_at(records):
     """(ack time, tenant, digests) of each acknowledged change of keys, in the order of versions."""
     return [
         (item["atMs"], name, set((tenant or {}).get("keys", [])), tenant is None)
@@ -236,7 +236,7 @@
     ]
 
 
-def refusedIsNotObeyed(records, apart, extra):
+def refused_is_not_obeyed(records, apart, extra):
     """Nothing runs for tenants, routes or keys that no configuration in force names when the call is made."""
     sure, maybe = _acknowledged(records), _undecided(records)
     for table in ("tenants", "routes"):
@@ -253,7 +253,7 @@
             if item.get(table[:-1]) in refused
         )
     keys, gone = (
-        _keysAt(records),
+        _keys_at(records),
         [
             (item["atMs"], name)
             for item in sure
@@ -284,7 +284,7 @@
         )
 
 
-def drainingIsLeft(records, apart, extra):
+def draining_is_left(records, apart, extra):
     """No call reaches a worker more than three seconds after the list shows it draining, or no longer shows it."""
     since = {}
     for item in records:
@@ -303,7 +303,7 @@
             yield f"{item['run']} reached {item['who']} at {item['atMs']}, draining since {since[item['who']]}"
 
 
-def notCutOff(records, apart, extra):
+def not_cut_off(records, apart, extra):
     """A call is not lost while its own router and its own worker serve and its caller stays."""
     falls, tries = Falls(records), {}
     where = {item["run"]: item["who"] for item in _of(records, "run")}
@@ -317,14 +317,14 @@
         asked = tries.get(item["marker"], {"atMs": item["atMs"], "door": ""})
         if item["whole"] or item.get("gaveUp") or item.get("left"):
             continue
-        isLost = item["status"] in (-1, -2) or 140 <= item["code"] < 145 or item["status"] == 200
+        is_lost = item["status"] in (-1, -2) or 140 <= item["code"] < 145 or item["status"] == 200
         workers = {
             where.get(item["run"]),
             item.get("sentTo"),
             *(run["who"] for run in runs[item["marker"]] if run["atMs"] >= asked["atMs"]),
         } - {None, ""}
         if (
-            isLost
+            is_lost
             and not falls.fell(asked.get("router", ""), asked["atMs"], item["atMs"])
             and not any(falls.fell(name, asked["atMs"], item["atMs"]) for name in workers)
         ):
@@ -334,7 +334,7 @@
             )
 
 
-def laterCallsPass(records, apart, extra):
+def later_calls_pass(records, apart, extra):
     """A later call of an admitted conversation neither waits nor is refused for want of room while its worker serves."""
     falls, last, tries = Falls(records), {}, {}
     shown = [
@@ -342,11 +342,11 @@
         for item in _of(records, "list")
     ]
 
-    def serves(name, fromMs, toMs):
-        seen = [workers for atMs, workers in shown if atMs <= fromMs][-1:] + [
-            workers for atMs, workers in shown if fromMs < atMs <= toMs
+    def serves(name, from_ms, to_ms):
+        seen = [workers for atMs, workers in shown if atMs <= from_ms][-1:] + [
+            workers for atMs, workers in shown if from_ms < atMs <= to_ms
         ]
-        return not falls.fell(name, fromMs - BACK_MS, toMs) and all(
+        return not falls.fell(name, from_ms - BACK_MS, to_ms) and all(
             not workers.get(name, True) for workers in seen
         )
 
@@ -367,14 +367,16 @@
         ):
             continue
         if (
-            falls.chainFell(before["atMs"], back["atMs"])
-            or falls.keeperFell(before["atMs"] - 10000, back["atMs"])
+            falls.chain_fell(before["atMs"], back["atMs"])
+            or falls.keeper_fell(before["atMs"] - 10000, back["atMs"])
             or falls.fell(asked["router"], asked["atMs"], back["atMs"])
             or (falls.fell("platform", before["atMs"], back["atMs"]))
         ):
             continue
-        isHeldUp = back["code"] in (110, 111, 112) or back["whole"] and back.get("waitedMs", 0) > 0
-        if isHeldUp and serves(before.get("worker"), before["atMs"], back["atMs"]):
+        is_held_up = (
+            back["code"] in (110, 111, 112) or back["whole"] and back.get("waitedMs", 0) > 0
+        )
+        if is_held_up and serves(before.get("worker"), before["atMs"], back["atMs"]):
             yield (
                 f"{asked['marker']}, turn {asked['turn']}, code {back['code']}, waited {back.get('waitedMs')} ms at "
                 f"{back['atMs']} while {before.get('worker')} served"
@@ -384,7 +386,7 @@
 PAUSE_MS = 2500
 
 
-def _capsAt(records):
+def _caps_at(records):
     """For each model the caps that may be in force at a time."""
     spans = defaultdict(list)
     for item in _of(records, "change"):
@@ -398,22 +400,22 @@
                     )
                 )
 
-    def capOf(name, atMs):
+    def cap_of(name, atMs):
         mine = spans[name]
         newest = max((ack for _, ack, _ in mine if ack <= atMs - LATE_MS), default=0)
         return max(
             (cap for asked, ack, cap in mine if asked <= atMs and ack >= newest), default=1 << 30
         )
 
-    return capOf
+    return cap_of
 
 
 LATE_MS = 3000
 
 
-def startsWithinCap(records, apart, extra):
+def starts_within_cap(records, apart, extra):
     """No conversation starts on a worker that runs calls of K others, but for those that moved or whose router is cut off."""
-    falls, capOf, running = Falls(records), _capsAt(records), defaultdict(dict)
+    falls, cap_of, running = Falls(records), _caps_at(records), defaultdict(dict)
     models = {
         worker["name"]: worker["model"]
         for item in _of(records, "list")
@@ -431,29 +433,29 @@
             continue
         talk, atMs, worker = asked.get("talk") or item["marker"], item["atMs"], item["who"]
         here = running[worker]
-        for run in [run for run, (_, _, endMs) in here.items() if endMs <= atMs + 100]:
+        for run in [run for run, (_, _, end_ms) in here.items() if end_ms <= atMs + 100]:
             del here[run]
-        hasMoved = homes.get(talk, worker) != worker or not item["run"].endswith("-1")
-        isStart = talk not in homes
+        has_moved = homes.get(talk, worker) != worker or not item["run"].endswith("-1")
+        is_start = talk not in homes
         homes[talk] = worker
         others = {
             other
             for other, router, _ in here.values()
             if other != talk and not falls.fell(router, atMs - 20000, atMs)
         }
-        cap = capOf(models.get(worker), atMs)
+        cap = cap_of(models.get(worker), atMs)
         if (
-            isStart
-            and not hasMoved
+            is_start
+            and not has_moved
             and len(others) >= cap
-            and not falls.keeperFell(atMs - 10000, atMs)
+            and not falls.keeper_fell(atMs - 10000, atMs)
         ):
             yield f"{item['run']} started on {worker} at {atMs} beside {len(others)} others, cap {cap}"
-        if not hasMoved:
+        if not has_moved:
             here[item["run"]] = (talk, asked.get("router", ""), ends.get(item["run"], 1 << 60))
 
 
-def returnedAtOnce(records, apart, extra):
+def returned_at_once(records, apart, extra):
     """A call that is given up has its return at once, with a time to come back, not near its horizon."""
     falls, tries = Falls(records), {}
     ended = defaultdict(int)
@@ -466,21 +468,21 @@
             asked = tries.get(item["marker"])
             if asked is None or falls.fell(asked.get("router", ""), asked["atMs"], item["atMs"]):
                 continue
-            tookMs, boundMs = (
+            took_ms, bound_ms = (
                 item["atMs"] - asked["atMs"],
                 WAIT_MS.get(asked["route"], 10000) + 1500,
             )
             if item["code"] in (*REFUSALS, 145):
                 if not item.get("retryAfter"):
                     yield f"{item['marker']} was refused with {item['code']} and no time to come back"
-                if tookMs > boundMs:
-                    yield f"{item['marker']} was refused with {item['code']} after {tookMs} ms"
-            sinceMs = item["atMs"] - ended[item["call"]]
-            if item["code"] in (140, 142, 143) and ended[item["call"]] and sinceMs > 4000:
-                yield f"{item['marker']} was given up {sinceMs} ms after its worker had ended it"
+                if took_ms > bound_ms:
+                    yield f"{item['marker']} was refused with {item['code']} after {took_ms} ms"
+            since_ms = item["atMs"] - ended[item["call"]]
+            if item["code"] in (140, 142, 143) and ended[item["call"]] and since_ms > 4000:
+                yield f"{item['marker']} was given up {since_ms} ms after its worker had ended it"
 
 
-def triesAreFew(records, apart, extra):
+def tries_are_few(records, apart, extra):
     """Extra tries stay within one in five of the calls made or begun in ten seconds, plus the allowance, over all models."""
     runs = [
         (item["atMs"], item["marker"], int(item["run"].rsplit("-", 1)[1]))
@@ -508,17 +510,17 @@
                 yield f"{spent} extra tries in the ten seconds before {atMs}, of {calls} calls"
 
 
-def serviceReturns(records, apart, extra):
+def service_returns(records, apart, extra):
     """Twelve seconds after a closing fault, calls are served again on each route that was served before."""
     ends = [item["atMs"] for item in _of(records, "closing")]
     served = [(item["atMs"], item["route"]) for item in _of(records, "return") if item["whole"]]
     last = max((item["atMs"] for item in records), default=0)
-    for endMs in ends:
-        before = {route for atMs, route in served if endMs - 30000 < atMs <= endMs}
-        after = {route for atMs, route in served if endMs < atMs <= endMs + 12000}
-        if last > endMs + 12000:
+    for end_ms in ends:
+        before = {route for atMs, route in served if end_ms - 30000 < atMs <= end_ms}
+        after = {route for atMs, route in served if end_ms < atMs <= end_ms + 12000}
+        if last > end_ms + 12000:
             yield from (
-                f"no call of route {route} served from {endMs} to {endMs + 12000}"
+                f"no call of route {route} served from {end_ms} to {end_ms + 12000}"
                 for route in sorted(before - after)
             )
 
@@ -526,22 +528,22 @@
 RULES = {
     rule.__name__: rule
     for rule in (
-        runsOnce,
-        notRunStays,
-        piecesBelong,
-        apartStaysApart,
-        weightsMatch,
-        oldWeightsEnd,
-        versionsStand,
-        readBackWhole,
-        ackIsQuick,
-        refusedIsNotObeyed,
-        drainingIsLeft,
-        notCutOff,
-        laterCallsPass,
-        startsWithinCap,
-        returnedAtOnce,
-        triesAreFew,
-        serviceReturns,
+        runs_once,
+        not_run_stays,
+        pieces_belong,
+        apart_stays_apart,
+        weights_match,
+        old_weights_end,
+        versions_stand,
+        read_back_whole,
+        ack_is_quick,
+        refused_is_not_obeyed,
+        draining_is_left,
+        not_cut_off,
+        later_calls_pass,
+        starts_within_cap,
+        returned_at_once,
+        tries_are_few,
+        service_returns,
     )
 }
--- a/swiftdeck/bench/fleet.py
+++ b/swiftdeck/bench/fleet.py
@@ -14,10 +14,10 @@
 
 from swiftdeck.bench.caller import Caller
 from swiftdeck.bench.checker import check
-from swiftdeck.bench.record import FileRecord, bootMs, readRecords
-from swiftdeck.bench.site import planSite
-from swiftdeck.fault import isFault
-from swiftdeck.http.client import fetchJson
+from swiftdeck.bench.record import FileRecord, boot_ms, read_records
+from swiftdeck.bench.site import plan_site
+from swiftdeck.fault import is_fault
+from swiftdeck.http.client import fetch_json
 
 
 class Fleet:
@@ -27,7 +27,7 @@
         self,
         folder,
         site="hinokuni",
-        basePort=21000,
+        base_port=21000,
         routers=9,
         workers=None,
         speed=0.05,
@@ -35,7 +35,7 @@
     ):
         self.folder = Path(folder)
         (self.folder / "records").mkdir(parents=True, exist_ok=True)
-        self.site = planSite(site, basePort=basePort, routers=routers, workers=workers)
+        self.site = plan_site(site, base_port=base_port, routers=routers, workers=workers)
         self.speed, self.room = speed, room
         self.processes, self.log = {}, open(self.folder / "fleet.log", "ab")
         self.record = FileRecord(self.folder / "records" / "operator.jsonl", "operator")
@@ -50,7 +50,7 @@
             env=os.environ | {"PYTHONHASHSEED": "0"},
         )
 
-    def startNode(self, node):
+    def start_node(self, node):
         """Start a core or a router from a settings file."""
         role = "core" if node["name"].startswith("core") else "router"
         lines = {
@@ -69,7 +69,7 @@
         path.write_text("".join(f"{name} = {json.dumps(value)}\n" for name, value in lines.items()))
         self.start(node["name"], "swiftdeck.programs.deck", role, "--settings", str(path))
 
-    def startWorker(self, worker, weights="w1"):
+    def start_worker(self, worker, weights="w1"):
         """Start a worker stand-in."""
         self.start(
             worker["name"],
@@ -91,7 +91,7 @@
             str(self.folder / "records" / f"{worker['name']}.jsonl"),
         )
 
-    def startAll(self):
+    def start_all(self):
         """Start the whole site."""
         plan = self.folder / "workers.json"
         plan.write_text(json.dumps(self.site.workers))
@@ -116,9 +116,9 @@
             str(self.folder / "records" / "store.jsonl"),
         )
         for worker in self.site.workers:
-            self.startWorker(worker)
+            self.start_worker(worker)
         for node in [*self.site.cores, *self.site.routers]:
-            self.startNode(node)
+            self.start_node(node)
 
     def signal(self, name, number):
         """Send a signal to a process of the fleet."""
@@ -127,16 +127,16 @@
         if number == signal.SIGKILL:
             self.processes[name].wait()
 
-    def stopAll(self):
+    def stop_all(self):
         """End all processes, politely at first."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.send_signal(signal.SIGTERM)
-        endS = time.monotonic() + 8
+        end_s = time.monotonic() + 8
         for process in self.processes.values():
             try:
-                process.wait(max(0.05, endS - time.monotonic()))
+                process.wait(max(0.05, end_s - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
@@ -146,14 +146,14 @@
         got = None
         for node in self.site.cores:
             if self.processes[node["name"]].poll() is None:
-                got = await fetchJson(node["http"], method, path, body, headers, timeoutMs)
-                if not isFault(got):
+                got = await fetch_json(node["http"], method, path, body, headers, timeoutMs)
+                if not is_fault(got):
                     return got
         return got
 
     async def change(self, method, document, base):
         """One change, recorded."""
-        askedMs = bootMs()
+        askedMs = boot_ms()
         got = await self.ask(method, f"/v1/config?base={base}", document)
         self.record(
             "change",
@@ -166,10 +166,10 @@
         )
         return got
 
-    async def configure(self, limitS=60, **model):
+    async def configure(self, limit_s=60, **model):
         """Put the site's first configuration as soon as the cores take it."""
-        endS = time.monotonic() + limitS
-        while time.monotonic() < endS:
+        end_s = time.monotonic() + limit_s
+        while time.monotonic() < end_s:
             got = await self.change("PUT", self.site.document(**model), 0)
             if got and got[0] in (200, 409):
                 return got
@@ -180,12 +180,12 @@
         """The name of the router that keeps the books."""
         for node in self.site.routers:
             if self.processes[node["name"]].poll() is None:
-                got = await fetchJson(node["http"], "GET", "/v1/status", timeoutMs=1000)
+                got = await fetch_json(node["http"], "GET", "/v1/status", timeoutMs=1000)
                 if got and got[0] == 200 and any(book["ready"] for book in got[1]["keeps"]):
                     return node["name"]
         return None
 
-    async def drive(self, seconds, faults, shortEveryS=0.8, seed=1):
+    async def drive(self, seconds, faults, short_every_s=0.8, seed=1):
         """Traffic for some time while faults happen; gives what the checker says."""
         doors = [node["http"] for node in self.site.routers]
         caller = Caller(
@@ -198,20 +198,20 @@
             routers={node["http"]: node["name"] for node in self.site.routers},
         )
         caller.returns = 3
-        traffic = asyncio.ensure_future(caller.run(seconds, self.site.agents, shortEveryS))
+        traffic = asyncio.ensure_future(caller.run(seconds, self.site.agents, short_every_s))
         sampling = asyncio.ensure_future(self._sampling())
         if faults:
-            await self.breakThings(seconds)
+            await self.break_things(seconds)
         await traffic
         sampling.cancel()
         self.record("dayEnds")
-        askedMs, got = bootMs(), await self.ask("GET", "/v1/config")
+        askedMs, got = boot_ms(), await self.ask("GET", "/v1/config")
         if got and got[0] == 200:
             self.record("read", status=200, askedMs=askedMs, **got[1])
         self.record(
             "versions",
             seen=[
-                (await fetchJson(node["http"], "GET", "/v1/status", timeoutMs=2000) or (0, {}))[
+                (await fetch_json(node["http"], "GET", "/v1/status", timeoutMs=2000) or (0, {}))[
                     1
                 ].get("version")
                 for node in [*self.site.cores, *self.site.routers]
@@ -231,7 +231,7 @@
                     )
                 except OSError:
                     continue
-                status = await fetchJson(node["http"], "GET", "/v1/status", timeoutMs=2000)
+                status = await fetch_json(node["http"], "GET", "/v1/status", timeoutMs=2000)
                 self.record(
                     "sample",
                     name=node["name"],
@@ -244,7 +244,7 @@
                 )
             await asyncio.sleep(10.0)
 
-    async def breakThings(self, seconds):
+    async def break_things(self, seconds):
         """Each fault in turn, with time to recover between them; the last one is the closing fault."""
         steps = (
             self.killed("worker2"),
@@ -257,24 +257,24 @@
             self.released("worker3"),
             self.weighed("w2"),
             self.rolled(),
-            self.powerLost(),
+            self.power_lost(),
             self.killed("keeper"),
         )
-        pauseS = seconds / (len(steps) + 2)
-        await asyncio.sleep(pauseS)
+        pause_s = seconds / (len(steps) + 2)
+        await asyncio.sleep(pause_s)
         for step in steps:
-            startS = time.monotonic()
+            start_s = time.monotonic()
             await step
-            await asyncio.sleep(max(0.0, pauseS - (time.monotonic() - startS)))
+            await asyncio.sleep(max(0.0, pause_s - (time.monotonic() - start_s)))
         self.record("closing")
 
     def _start(self, name):
         nodes = {node["name"]: node for node in [*self.site.cores, *self.site.routers]}
         workers = {worker["name"]: worker for worker in self.site.workers}
         if name in workers:
-            self.startWorker(workers[name], self.weights)
+            self.start_worker(workers[name], self.weights)
         else:
-            self.startNode(nodes[name])
+            self.start_node(nodes[name])
         self.record("restart", target=name)
 
     weights = "w1"
@@ -283,14 +283,14 @@
         """Note a fall; gives what is to be called when the process is well again."""
         self.falls += 1
         number = self.falls
-        self.record("kill", target=name, asWhat=asWhat, id=number, keeper=name == self.lastKeeper)
+        self.record("kill", target=name, asWhat=asWhat, id=number, keeper=name == self.last_keeper)
         return lambda: self.record("back", id=number, target=name)
 
-    falls, lastKeeper = 0, ""
+    falls, last_keeper = 0, ""
 
     async def _named(self, name):
-        self.lastKeeper = await self.keeper() or "router1"
-        return name if name != "keeper" else self.lastKeeper
+        self.last_keeper = await self.keeper() or "router1"
+        return name if name != "keeper" else self.last_keeper
 
     async def killed(self, what):
         """SIGKILL, and a new start three seconds later."""
@@ -326,7 +326,7 @@
 
     async def released(self, name):
         """A worker drains, is replaced and comes back."""
-        await fetchJson(self.site.platform, "POST", "/v1/drain", {"name": name})
+        await fetch_json(self.site.platform, "POST", "/v1/drain", {"name": name})
         await asyncio.sleep(4.0)
         back = self._fell(name, f"released {name}")
         self.signal(name, signal.SIGTERM)
@@ -334,7 +334,7 @@
         self._start(name)
         await asyncio.sleep(2.0)
         back()
-        await fetchJson(self.site.platform, "POST", "/v1/drain", {"name": name, "draining": False})
+        await fetch_json(self.site.platform, "POST", "/v1/drain", {"name": name, "draining": False})
 
     async def weighed(self, weights):
         """New weights are named."""
@@ -356,7 +356,7 @@
             await asyncio.sleep(2.0)
             back()
 
-    async def powerLost(self):
+    async def power_lost(self):
         """All cores are killed at once."""
         names = [node["name"] for node in self.site.cores]
         backs = [self._fell(name, "killed all cores") for name in names]
@@ -371,7 +371,7 @@
 
     def verdict(self):
         """What the checker finds in the records, and sums of what was served."""
-        records = readRecords(sorted((self.folder / "records").glob("*.jsonl")))
+        records = read_records(sorted((self.folder / "records").glob("*.jsonl")))
         back = [item for item in records if item["kind"] == "return"]
         served = [item["atMs"] for item in back if item["whole"]]
         gaps = []
--- a/swiftdeck/bench/measure.py
+++ b/swiftdeck/bench/measure.py
@@ -64,15 +64,15 @@
             if victim == "keeper"
             else "worker1"
             if victim == "worker"
-            else next(each for each in town.routerNames() if each != town.keeper())
+            else next(each for each in town.router_names() if each != town.keeper())
             if victim == "router"
             else next(
-                each for each in town.coreNames() if town.up[each].agreement.position() == position
+                each for each in town.core_names() if town.up[each].agreement.position() == position
             )
         )
         town.world.kill(name)
-        town.caller.doors = [town.addresses[each]["http"] for each in town.routerNames()]
-        startS = town.world.now
+        town.caller.doors = [town.addresses[each]["http"] for each in town.router_names()]
+        start_s = town.world.now
         while not town.call(
             "saga",
             "check",
@@ -81,15 +81,15 @@
             isLast=True,
         )["whole"]:
             town.world.run(0.1)
-        servedS, base = town.world.now - startS, town.version
+        served_s, base = town.world.now - start_s, town.version
         for _ in range(8):
             got = town.change("PATCH", {"models": {"screener": {"cap": 9}}}, base, changeId="after")
             if got and got[0] == 200:
                 break
         yield {
             "killed": victim,
-            "onceOnlyCallS": round(servedS, 2),
-            "changeS": round(town.world.now - startS, 2),
+            "onceOnlyCallS": round(served_s, 2),
+            "changeS": round(town.world.now - start_s, 2),
         }
 
 
@@ -105,9 +105,9 @@
                 )
             took = []
             for number in range(5):
-                startS = town.world.now
+                start_s = town.world.now
                 town.change("PATCH", {"models": {"screener": {"cap": number + 1}}})
-                took.append((town.world.now - startS) * 1000)
+                took.append((town.world.now - start_s) * 1000)
             yield {"routers": routers, "routes": routes, "ackMs": spread(took)}
 
 
@@ -131,11 +131,11 @@
 
         town.world.do("platform", leave)
         town.world.run(2)
-        startS = town.world.now
+        start_s = town.world.now
         moved = town.call("saga", "check", [*first["parts"], "said", "next"], maxTokens=16)
         yield {
             "from": how,
-            "turnMs": int((town.world.now - startS) * 1000),
+            "turnMs": int((town.world.now - start_s) * 1000),
             "hitParts": moved.get("usage", {}).get("hitParts"),
             "whole": moved["whole"],
         }
@@ -157,7 +157,7 @@
             )
         )
         town.world.run(0.1)
-    town.world.run(until=lambda: all(box), limitS=60)
+    town.world.run(until=lambda: all(box), limit_s=60)
     runs = sum(item["kind"] == "run" for item in town.records)
     yield {"calls": 200, "runs": runs, "amplification": round(runs / 200, 3)}
 
@@ -175,18 +175,18 @@
                         )
                     )
                     stack.enter_context(
-                        mock.patch("swiftdeck.traffic.ring.Ring.walk", _anyOrder(seed))
+                        mock.patch("swiftdeck.traffic.ring.Ring.walk", _any_order(seed))
                     )
                 yield {"site": site, "placed": how} | _warmth(seed, site)
 
 
 def day(seed):
     """A day of once-only calls, one a second, in a core: memory, the whole state, what is written, and the longest rewrite."""
-    for perS in (0.1, 1.0, 2.0):
+    for per_s in (0.1, 1.0, 2.0):
         tracemalloc.start()
-        state, log, written, rewrites, longestMs, limit = ChainState(), 0, 0, 0, 0.0, 1 << 20
+        state, log, written, rewrites, longest_ms, limit = ChainState(), 0, 0, 0, 0.0, 1 << 20
         rng = random.Random(seed)
-        for number in range(int(86400 * perS * 1.1)):
+        for number in range(int(86400 * per_s * 1.1)):
             key, run = (
                 f"tenant{number % 8}:{rng.getrandbits(128):032x}",
                 f"{rng.getrandbits(80):020x}",
@@ -199,16 +199,16 @@
                         "ops": [[key, run, f"{rng.getrandbits(128):032x}", op]],
                     }
                 )
-                entry["elapsedMs"] = int(500 / perS)
+                entry["elapsedMs"] = int(500 / per_s)
                 size = len(
                     Journal.frame({"k": "e", "n": number, "b": msgspec.msgpack.encode(entry)})
                 )
                 state.apply(entry)
                 log, written = log + size, written + size
                 if log > limit:
-                    startS = time.perf_counter()
-                    data = state.toBytes()
-                    longestMs = max(longestMs, (time.perf_counter() - startS) * 1000)
+                    start_s = time.perf_counter()
+                    data = state.to_bytes()
+                    longest_ms = max(longest_ms, (time.perf_counter() - start_s) * 1000)
                     log, written, rewrites, limit = (
                         len(data),
                         written + len(data),
@@ -216,19 +216,19 @@
                         max(1 << 20, 4 * len(data)),
                     )
         yield {
-            "callsPerS": perS,
+            "callsPerS": per_s,
             "claims": len(state.stored.claims),
-            "stateMB": round(len(state.toBytes()) / 1e6, 1),
+            "stateMB": round(len(state.to_bytes()) / 1e6, 1),
             "memoryMB": round(tracemalloc.get_traced_memory()[0] / 1e6, 1),
             "logMostMB": round(limit / 1e6, 1),
             "writtenMB": round(written / 1e6),
             "rewrites": rewrites,
-            "longestEncodeMs": round(longestMs),
+            "longestEncodeMs": round(longest_ms),
         }
         tracemalloc.stop()
 
 
-def _anyOrder(seed):
+def _any_order(seed):
     order = random.Random(seed)
 
     def walk(self, key):
@@ -242,7 +242,7 @@
     for worker in town.site.workers:
         town.up[worker["name"]].cache.room = 13000
     tenants = list(town.site.keys)
-    startMs = town.world.now * 1000
+    start_ms = town.world.now * 1000
     town.spawn(
         lambda: town.caller.run(
             seconds, {name: int(at < 2) for at, name in enumerate(tenants)}, 0.8
@@ -252,7 +252,7 @@
     runs = {
         item["run"]: item
         for item in town.records
-        if item["kind"] == "run" and item["atMs"] > startMs
+        if item["kind"] == "run" and item["atMs"] > start_ms
     }
     turns = {
         item["marker"]: item["turn"]
--- a/swiftdeck/bench/outer/balancer.py
+++ b/swiftdeck/bench/outer/balancer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.http.client import fetchJson
+from swiftdeck.http.client import fetch_json
 
 
 class Balancer:
@@ -18,7 +18,7 @@
             await asyncio.sleep(1)
 
     async def _ask(self, name, addr):
-        got = await fetchJson(addr, "GET", "/swiftdeck/ready", timeoutMs=800)
+        got = await fetch_json(addr, "GET", "/swiftdeck/ready", timeoutMs=800)
         self.misses[name] = 0 if got and got[0] == 200 else self.misses.get(name, 2) + 1
 
     def doors(self):
--- a/swiftdeck/bench/outer/client.py
+++ b/swiftdeck/bench/outer/client.py
@@ -5,7 +5,7 @@
 import re
 
 from swiftdeck.bench.outer.worker import digest
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.http.client import connect
 
 EVENT = re.compile(rb"id: (\d+)\ndata: (\S+) (\d+) (\S+)\n\n")
@@ -85,7 +85,7 @@
                 router=chosen[0],
                 mode=kind,
                 resumable=resumable,
-                endMs=int(within_ms),
+                end_ms=int(within_ms),
                 after=events[-1][0] if events else 0,
             )
             got = {
@@ -133,7 +133,7 @@
                 self.record("surplus", data=repr(link.conn.trailing_data[0][:40]))
             ip, _, port = addr.rpartition(":")
             link = await connect(ip, int(port), 1000)
-            if isFault(link):
+            if is_fault(link):
                 got["end"] = "not reached"
                 return
         got["sent"] = True
@@ -153,7 +153,7 @@
     async def _read(self, link, host, path, method, body, headers, got, silence, silence_s):
         answer = await link.exchange(method, path, headers, body, host)
         got["keep"] = False
-        if isFault(answer):
+        if is_fault(answer):
             got["end"] = f"no answer: {answer.reason}"
             return
         head, data = answer.headers, bytearray()
--- a/swiftdeck/bench/outer/operator.py
+++ b/swiftdeck/bench/outer/operator.py
@@ -3,7 +3,7 @@
 import asyncio
 import copy
 
-from swiftdeck.http.client import fetchJson
+from swiftdeck.http.client import fetch_json
 
 CONFIG, WEIGHTS = "/swiftdeck/config", "/swiftdeck/version-put"
 
@@ -72,7 +72,7 @@
             doors = self.doors()
             self.turn += 1
             got = (
-                await fetchJson(doors[self.turn % len(doors)], method, path, body, headers, 1000)
+                await fetch_json(doors[self.turn % len(doors)], method, path, body, headers, 1000)
                 if doors
                 else None
             )
@@ -86,7 +86,7 @@
         """Read the configuration back, and record it."""
         for _ in range(30):
             for addr in self.doors():
-                got = await fetchJson(addr, "GET", CONFIG, timeoutMs=1000)
+                got = await fetch_json(addr, "GET", CONFIG, timeoutMs=1000)
                 if got and got[0] == 200:
                     self.record("readBack", document=got[1])
                     return got[1]
--- a/swiftdeck/bench/outer/worker.py
+++ b/swiftdeck/bench/outer/worker.py
@@ -6,8 +6,8 @@
 
 from swiftdeck.bench.outer.parts import KeptPart, PartCache
 from swiftdeck.bench.outer.store import PARTS, give_reports
-from swiftdeck.fault import isFault
-from swiftdeck.http.client import fetchJson
+from swiftdeck.fault import is_fault
+from swiftdeck.http.client import fetch_json
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.speech import parts_of
 
@@ -287,7 +287,7 @@
                 ],
             }
             asyncio.ensure_future(
-                fetchJson(head["swiftdeck-cache-target"], "PUT", PARTS, told, timeoutMs=500)
+                fetch_json(head["swiftdeck-cache-target"], "PUT", PARTS, told, timeoutMs=500)
             )
 
     async def _pull(self, source, salt, model, names):
@@ -297,8 +297,8 @@
             "names": names,
             "above": len(self.cache.first(salt, model, names)),
         }
-        got = await fetchJson(source, "POST", PARTS, asked, timeoutMs=300)
-        if not isFault(got) and got[0] == 200:
+        got = await fetch_json(source, "POST", PARTS, asked, timeoutMs=300)
+        if not is_fault(got) and got[0] == 200:
             for name, kept in zip(names, got[1], strict=False):
                 self.cache.keep(salt, name, KeptPart(*kept))
             self.record("pulled", source=source, parts=len(got[1]))
--- a/swiftdeck/bench/platform.py
+++ b/swiftdeck/bench/platform.py
@@ -1,6 +1,6 @@
 """A stand-in for the platform: the list of workers, and what it says of them."""
 
-from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, isFault
+from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, is_fault
 from swiftdeck.http.server import HttpServer
 
 
@@ -9,7 +9,7 @@
 
     def __init__(self, addr, record, workers):
         self.addr, self.record = addr, record
-        self.workers, self.isShown = {worker["name"]: worker for worker in workers}, False
+        self.workers, self.is_shown = {worker["name"]: worker for worker in workers}, False
         self.http = HttpServer(self.handle)
 
     async def start(self):
@@ -18,17 +18,17 @@
         await self.http.start(ip, int(port))
 
     def _note(self):
-        self.isShown = False
+        self.is_shown = False
 
     def _show(self):
         """A change counts from when the list first showed it to somebody."""
-        if not self.isShown:
-            self.isShown = True
+        if not self.is_shown:
+            self.is_shown = True
             self.record("list", workers=list(self.workers.values()))
 
-    def drain(self, name, isDraining=True):
+    def drain(self, name, is_draining=True):
         """Show a worker as draining, or not any more."""
-        self.workers[name] = self.workers[name] | {"draining": isDraining}
+        self.workers[name] = self.workers[name] | {"draining": is_draining}
         self._note()
 
     def remove(self, name):
@@ -47,7 +47,7 @@
             self._show()
             return await exchange.give(200, {"workers": list(self.workers.values())})
         body = exchange.json()
-        if isFault(body) or not isinstance(body, dict):
+        if is_fault(body) or not isinstance(body, dict):
             return BAD_REQUEST
         if exchange.path == "/v1/drain":
             self.drain(body["name"], body.get("draining", True))
--- a/swiftdeck/bench/record.py
+++ b/swiftdeck/bench/record.py
@@ -12,7 +12,7 @@
     def __call__(self, kind: str, **fields): ...
 
 
-def bootMs() -> int:
+def boot_ms() -> int:
     """The clock that all processes of one machine share."""
     return int(time.clock_gettime(time.CLOCK_BOOTTIME) * 1000)
 
@@ -25,7 +25,7 @@
 
     def __call__(self, kind: str, **fields):
         self.file.write(
-            msgspec.json.encode({"atMs": bootMs(), "who": self.who, "kind": kind} | fields) + b"\n"
+            msgspec.json.encode({"atMs": boot_ms(), "who": self.who, "kind": kind} | fields) + b"\n"
         )
 
 
@@ -41,7 +41,7 @@
         )
 
 
-def readRecords(paths):
+def read_records(paths):
     """All records of some files, in the order of their time; a torn last line is passed over."""
 
     def lines():
--- a/swiftdeck/bench/scale.py
+++ b/swiftdeck/bench/scale.py
@@ -15,7 +15,7 @@
 from swiftdeck.chain.chain import Chain, Durable, Holder
 from swiftdeck.chain.chart import Chart
 from swiftdeck.config.configuration import Configuration
-from swiftdeck.config.document import keyDigest
+from swiftdeck.config.document import key_digest
 from swiftdeck.config.settings import Settings
 from swiftdeck.control.core import Core
 from swiftdeck.control.node import Node
@@ -80,7 +80,7 @@
             }
         },
         "tenants": {
-            f"tenant{at}": {"keys": [keyDigest(f"key{at}")], "urgency": 1} for at in range(tenants)
+            f"tenant{at}": {"keys": [key_digest(f"key{at}")], "urgency": 1} for at in range(tenants)
         },
         "paths": {
             f"path{at}": {
@@ -257,7 +257,7 @@
 
     async def start(self, load_s):
         """Join, and place calls after a while."""
-        await self.startNode()
+        await self.start_node()
         for part in (self.chart, self.licence, self.admission, self.listing):
             part.start()
         await asyncio.sleep(load_s)
@@ -340,7 +340,7 @@
                 if name in self.up
                 and self.up[name].agreement.position() == 0
                 and self.up[name].agreement.mayServe()
-                and self.up[name].chain.isWhole()
+                and self.up[name].chain.is_whole()
             ),
             None,
         )
@@ -360,14 +360,14 @@
         )
         start_s = self.world.now
         self.world.do(
-            name, lambda: self.up[name].chain.onWrite(Write(changeId=f"c{number}", body=body), "")
+            name, lambda: self.up[name].chain.on_write(Write(changeId=f"c{number}", body=body), "")
         )
         routers = [self.up[each] for each in self.routers]
         self.world.run(
             until=lambda: all(
                 each.licence.held and each.licence.held.version > base for each in routers
             ),
-            limitS=20,
+            limit_s=20,
         )
         return (self.world.now - start_s) * 1000
 
@@ -375,7 +375,7 @@
         """Start all of it and put the first configuration."""
         for name, ip in [*self.cores.items(), *self.routers.items()]:
             self._start(name, ip)
-        assert self.world.run(until=self.head, limitS=30), "no chain"
+        assert self.world.run(until=self.head, limit_s=30), "no chain"
         self.change(0, "put", document(self.tenants))
         self.world.run(self.load_s + 3)
         return self
@@ -506,7 +506,7 @@
     async def main():
         return list(make())
 
-    return world.do("here", main, limitS=600)
+    return world.do("here", main, limit_s=600)
 
 
 def members(count):
@@ -517,7 +517,7 @@
             name=f"router{at}",
             role="router",
             zone=f"zone{at % 21}",
-            httpAddr=f"10.2.{at // 250}.{at % 250 + 1}:8080",
+            http_addr=f"10.2.{at // 250}.{at % 250 + 1}:8080",
             incarnation=(at + 1) << 32,
         )
         for at in range(count)
@@ -551,7 +551,7 @@
             "routers": count,
             "bytes": len(bytes(whole)),
             "us": timed(
-                lambda: bytes(node.membership.onRoster(Neighbours().parse(bytes(whole)), "")),
+                lambda: bytes(node.membership.on_roster(Neighbours().parse(bytes(whole)), "")),
                 max(1, 400 // count),
             ),
         }
@@ -592,7 +592,7 @@
 
 def _licences(count):
     chain = object.__new__(Chain)
-    chain.loop, chain.licenceMs, chain.board, chain.mayTell, chain.isLast = (
+    chain.loop, chain.licence_ms, chain.board, chain.may_tell, chain.isLast = (
         asyncio.get_running_loop(),
         4000,
         Board(),
@@ -610,7 +610,7 @@
             router="router1/1", addr="10.2.0.1:7000", held=7, digest=chain.durable.config.digest()
         )
     )
-    return lambda: bytes(chain.onLicenceAsk(LicenceAsk().parse(data), ""))
+    return lambda: bytes(chain.on_licence_ask(LicenceAsk().parse(data), ""))
 
 
 def parts_by_workers():
@@ -692,7 +692,7 @@
             lambda count=count: Configuration.read(msgspec.json.encode(document(count))), count
         )
         table_size, _ = held_bytes(lambda: RouteTable(config.document), count)
-        delta = {"tenants": {"tenant1": {"keys": [keyDigest("key1")], "urgency": 2}}}
+        delta = {"tenants": {"tenant1": {"keys": [key_digest("key1")], "urgency": 2}}}
         told = msgspec.msgpack.encode(delta)
         yield {
             "part": "a change applied",
@@ -727,7 +727,7 @@
         yield {
             "part": "route and tenant of a request",
             "tenants": count,
-            "us": timed(lambda: (routes.find("h.example", "/t1/1"), keyDigest("key1")), 500),
+            "us": timed(lambda: (routes.find("h.example", "/t1/1"), key_digest("key1")), 500),
         }
 
 
--- a/swiftdeck/bench/site.py
+++ b/swiftdeck/bench/site.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from swiftdeck.config.document import keyDigest
+from swiftdeck.config.document import key_digest
 
 TENANTS = {
     "hinokuni": [
@@ -33,22 +33,27 @@
     keys: dict
     apart: str
     agents: dict
-    tagModel: str
+    tag_model: str
 
     def document(self, weights="w1", cap=4, **model) -> dict:
         """The first configuration of the site."""
         return {
             "models": {
                 name: {"weights": weights, "cap": cap} | model
-                for name in sorted({self.model, self.tagModel})
+                for name in sorted({self.model, self.tag_model})
             },
             "tenants": {
-                tenant: {"keys": [keyDigest(key)], "apart": tenant == self.apart}
+                tenant: {"keys": [key_digest(key)], "apart": tenant == self.apart}
                 for tenant, key in self.keys.items()
             },
             "routes": {
                 "check": {"model": self.model, "waitMs": 10000},
-                "tag": {"model": self.tagModel, "repeatable": True, "single": True, "waitMs": 8000},
+                "tag": {
+                    "model": self.tag_model,
+                    "repeatable": True,
+                    "single": True,
+                    "waitMs": 8000,
+                },
             },
         }
 
@@ -57,22 +62,22 @@
         return [core["inner"] for core in self.cores[:3]]
 
 
-def planSite(
+def plan_site(
     name="hinokuni",
     ip=lambda machine: "127.0.0.1",
-    basePort=21000,
+    base_port=21000,
     routers=9,
     workers=None,
     models=1,
     cores=3,
 ):
     """Plan a site; with one IP for all machines each process gets ports of its own."""
-    isHinokuni = name == "hinokuni"
-    ports = iter(range(basePort, basePort + 1000))
-    perMachine = ip("a") != ip("b")
+    is_hinokuni = name == "hinokuni"
+    ports = iter(range(base_port, base_port + 1000))
+    per_machine = ip("a") != ip("b")
 
     def addr(machine, port):
-        return f"{ip(machine)}:{port if perMachine else next(ports)}"
+        return f"{ip(machine)}:{port if per_machine else next(ports)}"
 
     def node(role, number):
         machine = f"{role}{number}"
@@ -83,8 +88,8 @@
             "zone": f"z{(number - 1) % 3 + 1}",
         }
 
-    count = workers or (6 if isHinokuni else 9)
-    model = "screener" if isHinokuni else "classifier"
+    count = workers or (6 if is_hinokuni else 9)
+    model = "screener" if is_hinokuni else "classifier"
     served = [model, "tagger"] if models > 1 else [model]
     tenants = TENANTS[name]
     return Site(
@@ -107,5 +112,5 @@
         keys={tenant: f"key-{tenant}" for tenant in tenants},
         apart=tenants[2],
         agents={tenant: 4 if at < 2 else 1 for at, tenant in enumerate(tenants)},
-        tagModel=served[-1],
+        tag_model=served[-1],
     )
--- a/swiftdeck/bench/store.py
+++ b/swiftdeck/bench/store.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, isFault
+from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, is_fault
 from swiftdeck.http.server import HttpServer
 
 
@@ -12,7 +12,7 @@
     def __init__(self, addr, record, linkS=0.02, most=20000):
         self.addr, self.record, self.linkS, self.most = addr, record, linkS, most
         self.entries = {}
-        self.http = HttpServer(self.handle, bodyLimit=16 << 20)
+        self.http = HttpServer(self.handle, body_limit=16 << 20)
 
     async def start(self):
         """Listen."""
@@ -23,7 +23,7 @@
     async def handle(self, exchange):
         """One exchange of the store's protocol."""
         body = exchange.json()
-        if isFault(body) or not isinstance(body, dict):
+        if is_fault(body) or not isinstance(body, dict):
             return BAD_REQUEST
         if exchange.path == "/v1/save":
             self.entries |= {
--- a/swiftdeck/bench/thrash.py
+++ b/swiftdeck/bench/thrash.py
@@ -78,7 +78,7 @@
         """Figures of one run."""
         town = self.town
         town.start(cap=self.cap, idleMs=60000, pauseMs=60000, adapts=self.adapts)
-        town.up["worker1"].cache.room, town.up["worker1"].tokensPerChar = self.room, SCALE
+        town.up["worker1"].cache.room, town.up["worker1"].tokens_per_char = self.room, SCALE
         town.change(
             "PATCH",
             {
@@ -95,9 +95,9 @@
         tenants = list(town.site.keys)
         for number in range(self.agents):
             town.spawn(lambda number=number: self._agent(tenants[number % 8], number))
-        startS, computed = town.world.now, town.up["worker1"].computed
+        start_s, computed = town.world.now, town.up["worker1"].computed
         town.world.run(self.seconds)
-        turns = self._turns(startS)
+        turns = self._turns(start_s)
         back = [item for item in town.records if item["kind"] == "return" and item["whole"]]
         counts = [
             self.finished.get((tenants[number % 8], number), 0) for number in range(self.agents)
@@ -112,10 +112,10 @@
             "computedPerMin": int((town.up["worker1"].computed - computed) / self.seconds * 60),
         }
 
-    def _turns(self, startS):
+    def _turns(self, start_s):
         """For each call after a conversation's first, whether its whole earlier prompt was kept."""
         return [
             item["hitParts"] >= item["parts"] - 1
             for item in self.town.records
-            if item["kind"] == "prefill" and item["parts"] > 1 and item["atMs"] > startS * 1000
+            if item["kind"] == "prefill" and item["parts"] > 1 and item["atMs"] > start_s * 1000
         ]
--- a/swiftdeck/bench/worker.py
+++ b/swiftdeck/bench/worker.py
@@ -5,10 +5,10 @@
 import re
 
 from swiftdeck.bench.cache import Entry, PrefixCache
-from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, OTHER_WEIGHTS, isFault
-from swiftdeck.http.client import fetchJson
+from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, OTHER_WEIGHTS, is_fault
+from swiftdeck.http.client import fetch_json
 from swiftdeck.http.server import HttpServer
-from swiftdeck.traffic.prefix import chainOf
+from swiftdeck.traffic.prefix import chain_of
 
 LATE_MS = 500
 MARKER = re.compile(r"\[\[([^\]]*)\]\]")
@@ -27,16 +27,16 @@
         store="",
         room=1_000_000,
         speed=1.0,
-        loadS=1.0,
+        load_s=1.0,
     ):
         self.name, self.addr, self.record, self.random = name, addr, record, random
-        self.weights, self.store, self.speed, self.loadS = weights, store, speed, loadS
+        self.weights, self.store, self.speed, self.load_s = weights, store, speed, load_s
         self.cache = PrefixCache(room, self._report)
         self.events, self.number, self.watching = [], 0, []
-        self.computed = self.hitTokens = 0
-        self.quirk, self.linkS, self.tokensPerChar = "", 0.0, 0.25
+        self.computed = self.hit_tokens = 0
+        self.quirk, self.linkS, self.tokens_per_char = "", 0.0, 0.25
         self.engine = None
-        self.http = HttpServer(self.handle, bodyLimit=16 << 20, idleMs=LATE_MS, slowMs=LATE_MS)
+        self.http = HttpServer(self.handle, body_limit=16 << 20, idleMs=LATE_MS, slow_ms=LATE_MS)
 
     async def start(self):
         """Listen."""
@@ -71,7 +71,7 @@
         if path == "/v1/events":
             return await self._events(exchange, int(exchange.query.get("since", "0")))
         body = exchange.json()
-        if isFault(body) or not isinstance(body, dict):
+        if is_fault(body) or not isinstance(body, dict):
             return BAD_REQUEST
         if path == "/v1/run":
             return await self._run(exchange, body)
@@ -111,7 +111,7 @@
 
     async def _load(self, exchange, weights):
         if weights != self.weights:
-            await asyncio.sleep(self.loadS)
+            await asyncio.sleep(self.load_s)
             self.weights = weights
             self.cache.clear()
             self._report("weights", weights=weights)
@@ -120,7 +120,7 @@
 
     async def _fetch(self, exchange, body):
         chain = [bytes.fromhex(link) for link in body["chain"]]
-        got = await fetchJson(
+        got = await fetch_json(
             body["from"],
             "POST",
             "/v1/lookup",
@@ -129,7 +129,7 @@
         )
         entries = (
             [Entry(*each) for each in got[1]["entries"]]
-            if not isFault(got) and got[0] == 200
+            if not is_fault(got) and got[0] == 200
             else []
         )
         if entries and body["weights"] == self.weights:
@@ -147,7 +147,7 @@
             200, {"entries": [[each.tokens, each.tenant, each.weights] for each in entries]}
         )
 
-    def prefillS(self, total, new):
+    def prefill_s(self, total, new):
         """Seconds to compute the last `new` of `total` tokens: the paper's times fitted by a square law."""
         kept = (total - new) / 1000
         whole = total / 1000
@@ -175,8 +175,8 @@
         try:
             if self.quirk == "hang":
                 await asyncio.sleep(3600)
-            chain = chainOf(body["weights"], body["group"], parts)
-            tokens = [max(1, int(len(part) * self.tokensPerChar)) for part in parts]
+            chain = chain_of(body["weights"], body["group"], parts)
+            tokens = [max(1, int(len(part) * self.tokens_per_char)) for part in parts]
             async with self.engine:
                 depth = self.cache.depth(chain)
                 self.cache.touch(chain[:depth])
@@ -187,9 +187,9 @@
                     }
                 )
                 new = sum(tokens[depth:])
-                self.computed, self.hitTokens = (
+                self.computed, self.hit_tokens = (
                     self.computed + new,
-                    self.hitTokens + sum(tokens[:depth]),
+                    self.hit_tokens + sum(tokens[:depth]),
                 )
                 self.record(
                     "prefill",
@@ -199,7 +199,7 @@
                     newTokens=new,
                     origins=origins,
                 )
-                await asyncio.sleep(self.prefillS(sum(tokens), new))
+                await asyncio.sleep(self.prefill_s(sum(tokens), new))
                 if body["weights"] == self.weights:
                     self.cache.keep(
                         chain, [Entry(count, body["tenant"], body["weights"]) for count in tokens]
@@ -250,7 +250,7 @@
         return True
 
     async def _save(self, chain, tokens, body):
-        await fetchJson(
+        await fetch_json(
             self.store,
             "POST",
             "/v1/save",
--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -6,7 +6,15 @@
 import attrs
 
 from swiftdeck.disk.journal import Journal
-from swiftdeck.fault import DISK_FAILED, DISK_FULL, DISK_SLOW, NO_VIEW, NOT_VOTER, OLD_VIEW, isFault
+from swiftdeck.fault import (
+    DISK_FAILED,
+    DISK_FULL,
+    DISK_SLOW,
+    NO_VIEW,
+    NOT_VOTER,
+    OLD_VIEW,
+    is_fault,
+)
 from swiftdeck.wire.messages import (
     Accept,
     CoreRef,
@@ -33,7 +41,7 @@
     """What this voter promised and accepted for the next view."""
 
     promised: int = 0
-    acceptedBallot: int = 0
+    accepted_ballot: int = 0
     accepted: View | None = None
 
 
@@ -41,30 +49,30 @@
     """One core's part in agreeing on views; what it promised is on disk before it says so."""
 
     def __init__(
-        self, folder, mesh, addr, random, licenceMs=2000, board=None, founders=(), may_found=True
+        self, folder, mesh, addr, random, licence_ms=2000, board=None, founders=(), may_found=True
     ):
         self.journal = Journal(folder, "agreement.log")
-        self.mesh, self.addr, self.random, self.licenceMs, self.board = (
+        self.mesh, self.addr, self.random, self.licence_ms, self.board = (
             mesh,
             addr,
             random,
-            licenceMs,
+            licence_ms,
             board,
         )
         self.coreId, self.decided, self.slot = "", View(), Slot()
         self.founders, self.may_found = list(founders), may_found
-        self.waitUntilS = 0.0
-        self.licenceUntilS = -1.0
+        self.wait_until_s = 0.0
+        self.licence_until_s = -1.0
         self.granted_s, self.started_s, self.learned_s = {}, 0.0, 0.0
         self.hears, self.is_partial = [], lambda: False
         self.watchers, self.fault, self.troubles = [], None, []
         self.busy = asyncio.Lock()
         for kind, handler in (
-            (Prepare, self.onPrepare),
-            (Accept, self.onAccept),
-            (Decided, self.onDecided),
-            (ViewAsk, self.onViewAsk),
-            (ViewLicenceAsk, self.onLicenceAsk),
+            (Prepare, self.on_prepare),
+            (Accept, self.on_accept),
+            (Decided, self.on_decided),
+            (ViewAsk, self.on_view_ask),
+            (ViewLicenceAsk, self.on_licence_ask),
         ):
             mesh.on(kind, handler)
 
@@ -74,7 +82,7 @@
         self.started_s = self.learned_s = self.loop.time()
         try:
             records = self.journal.load()
-            if isFault(records):
+            if is_fault(records):
                 return records
             for record in records:
                 self._restore(record)
@@ -83,18 +91,18 @@
                 await self._keep(self._me())
         except OSError as error:
             return DISK_FAILED.because(error)
-        self._waitOut()
+        self._wait_out()
         return None
 
-    def _waitOut(self, wait_ms=None):
+    def _wait_out(self, wait_ms=None):
         """Let the licences of the views before this one run out first: those of the last by `wait_ms`, if it is known."""
-        licence_s, now_s = self.licenceMs / 1000 * 1.05, self.loop.time()
+        licence_s, now_s = self.licence_ms / 1000 * 1.05, self.loop.time()
         until_s = (
             now_s + licence_s
             if wait_ms is None
             else max(now_s + wait_ms / 1000, self.learned_s + licence_s)
         )
-        self.waitUntilS = max(self.waitUntilS, min(until_s, now_s + licence_s))
+        self.wait_until_s = max(self.wait_until_s, min(until_s, now_s + licence_s))
 
     def _restore(self, record):
         if record["k"] == "me":
@@ -117,7 +125,7 @@
         if self.slot.accepted:
             yield {
                 "k": "accept",
-                "ballot": self.slot.acceptedBallot,
+                "ballot": self.slot.accepted_ballot,
                 "view": bytes(self.slot.accepted),
             }
         if self.slot.promised:
@@ -148,16 +156,16 @@
         """Read the own file back, and mend it from memory where it no longer reads."""
         async with self.busy:
             try:
-                if not self.journal.isSound():
+                if not self.journal.is_sound():
                     await self.journal.rewrite(list(self._whole()))
             except OSError as error:
                 self.fault = DISK_FAILED.because(error)
 
-    def isFresh(self):
+    def is_fresh(self):
         """Whether this core has never known a view nor accepted one."""
         return not self.decided.number and self.slot.accepted is None
 
-    def isVoter(self):
+    def is_voter(self):
         """Whether this core votes on the next view."""
         return self.coreId in ids(self.decided.voters)
 
@@ -168,21 +176,21 @@
 
     def mayServe(self):
         """Whether the view licence holds now; a new view first waits out the licence of the old."""
-        nowS = self.loop.time()
-        return self.decided.number > 0 and self.waitUntilS <= nowS < self.licenceUntilS
+        now_s = self.loop.time()
+        return self.decided.number > 0 and self.wait_until_s <= now_s < self.licence_until_s
 
-    def _refusal(self, ask, leastBallot):
+    def _refusal(self, ask, least_ballot):
         if ask.slot <= self.decided.number:
             return Promise(granted=False, decided=self.decided, coreId=self.coreId)
         if ask.slot != self.decided.number + 1:
             return OLD_VIEW.because(f"slot {ask.slot}, view {self.decided.number}")
-        if not (self.isVoter() if self.decided.number else self.may_found):
+        if not (self.is_voter() if self.decided.number else self.may_found):
             return NOT_VOTER
-        if ask.ballot < leastBallot:
+        if ask.ballot < least_ballot:
             return Promise(granted=False, ballot=self.slot.promised, coreId=self.coreId)
         return None
 
-    async def onPrepare(self, ask, sender):
+    async def on_prepare(self, ask, sender):
         async with self.busy:
             refusal = self._refusal(ask, self.slot.promised + 1)
             if refusal is not None:
@@ -195,12 +203,12 @@
             return Promise(
                 granted=True,
                 ballot=ask.ballot,
-                acceptedBallot=self.slot.acceptedBallot,
+                accepted_ballot=self.slot.accepted_ballot,
                 accepted=self.slot.accepted or View(),
                 coreId=self.coreId,
             )
 
-    async def onAccept(self, ask, sender):
+    async def on_accept(self, ask, sender):
         async with self.busy:
             refusal = self._refusal(ask, self.slot.promised)
             if refusal is not None:
@@ -220,10 +228,10 @@
         last_s = max(
             (self.granted_s.get(coreId, self.started_s) for coreId in dropped), default=None
         )
-        left_s = 0 if last_s is None else last_s + self.licenceMs / 1000 * 1.05 - self.loop.time()
+        left_s = 0 if last_s is None else last_s + self.licence_ms / 1000 * 1.05 - self.loop.time()
         return max(0, math.ceil(left_s * 1000))
 
-    async def onDecided(self, news, sender):
+    async def on_decided(self, news, sender):
         await self.learn(news.view, news.wait_ms if news.is_timed else None)
 
     async def learn(self, view, wait_ms=None):
@@ -240,9 +248,9 @@
                 self.board and self.board.put("disk", self.fault.name)
             is_next = view.number == self.decided.number + 1
             if not is_next or set(ids(self.decided.members)) - set(ids(view.members)):
-                self._waitOut(wait_ms if is_next else None)
+                self._wait_out(wait_ms if is_next else None)
             self.decided, self.slot = view, Slot()
-            self.licenceUntilS, self.learned_s = -1.0, self.loop.time()
+            self.licence_until_s, self.learned_s = -1.0, self.loop.time()
         if self.board:
             self.board.count["views"] += 1
             self.board.put(
@@ -251,11 +259,11 @@
         for watch in self.watchers:
             watch(view)
 
-    def onViewAsk(self, ask, sender):
+    def on_view_ask(self, ask, sender):
         return ViewReturn(
             view=self.decided,
             coreId=self.coreId,
-            fresh=self.isFresh(),
+            fresh=self.is_fresh(),
             fault=self.trouble(),
             may_found=self.may_found,
             is_partial=self.is_partial(),
@@ -264,20 +272,20 @@
 
     def trouble(self) -> str:
         """What keeps this core from its part in the chain, empty when nothing does."""
-        faults = [each() for each in (self.ownTrouble, *self.troubles)]
+        faults = [each() for each in (self.own_trouble, *self.troubles)]
         return next((each for each in faults if each), "")
 
-    def ownTrouble(self):
+    def own_trouble(self):
         if self.journal.stallMs() > 1000:
             return f"{DISK_SLOW.code} {DISK_SLOW.name}"
         return f"{self.fault.code} {self.fault.reason}" if self.fault is not None else ""
 
-    def onLicenceAsk(self, ask, sender):
+    def on_licence_ask(self, ask, sender):
         if ask.number < self.decided.number:
             return ViewLicenceReturn(granted=False, decided=self.decided)
         granted = (
             ask.number == self.decided.number
-            and self.isVoter()
+            and self.is_voter()
             and self.slot.accepted is None
             and ask.coreId in ids(self.decided.members)
         )
@@ -292,17 +300,17 @@
             return
         ask = ViewLicenceAsk(number=view.number, coreId=self.coreId)
         least = len(view.voters) // 2 + 1
-        got = (await self._ask_all(view.voters, ask, self.licenceMs // 4, least)).values()
+        got = (await self._ask_all(view.voters, ask, self.licence_ms // 4, least)).values()
         newer = [each.decided for each in got if each and each.decided.number > self.decided.number]
         for each in newer:
             await self.learn(each)
         if sum(bool(each and each.granted) for each in got) >= least and view is self.decided:
-            self.licenceUntilS = max(self.licenceUntilS, sentS + self.licenceMs / 1000 * 0.95)
+            self.licence_until_s = max(self.licence_until_s, sentS + self.licence_ms / 1000 * 0.95)
 
     async def _ask_all(self, refs, ask, timeout_ms, least):
         """What each gives back by its place, without waiting for the rest once so many have granted."""
         tasks = {
-            asyncio.ensure_future(self._askOrSelf(ref, ask, timeout_ms)): at
+            asyncio.ensure_future(self._ask_or_self(ref, ask, timeout_ms)): at
             for at, ref in enumerate(refs)
         }
         got, open_tasks = {}, set(tasks)
@@ -311,12 +319,12 @@
             got |= {tasks[each]: each.result() for each in done}
         return got
 
-    async def _askOrSelf(self, ref, ask, timeoutMs):
+    async def _ask_or_self(self, ref, ask, timeoutMs):
         if self.coreId == ref.coreId or not ref.coreId and self.addr == ref.addr:
             handler = {
-                Prepare: self.onPrepare,
-                Accept: self.onAccept,
-                ViewLicenceAsk: self.onLicenceAsk,
+                Prepare: self.on_prepare,
+                Accept: self.on_accept,
+                ViewLicenceAsk: self.on_licence_ask,
             }[type(ask)]
             got = handler(ask, self.addr)
             return await self._bounded(got, timeoutMs) if asyncio.iscoroutine(got) else got
@@ -330,31 +338,33 @@
     async def propose(self, view: View):
         """One round for the next view; gives the decided view or a fault."""
         slot = self.decided.number + 1
-        founding, isFixed = slot == 1, slot == 1 and bool(self.founders)
+        founding, is_fixed = slot == 1, slot == 1 and bool(self.founders)
         voters = (
             [CoreRef(addr=addr) for addr in self.founders]
-            if isFixed
+            if is_fixed
             else list(self.decided.voters or view.voters)
         )
-        isMine = (
-            self.may_found and self.addr in self.founders if isFixed else self.coreId in ids(voters)
+        is_mine = (
+            self.may_found and self.addr in self.founders
+            if is_fixed
+            else self.coreId in ids(voters)
         )
-        if view.number != slot or not isMine:
+        if view.number != slot or not is_mine:
             return NOT_VOTER
         low = int(self.coreId, 16) & 0xFFFFFFFF
         ballot = (((self.slot.promised >> 32) + 1) << 32) | low
-        least = len(voters) if founding and not isFixed else len(voters) // 2 + 1
+        least = len(voters) if founding and not is_fixed else len(voters) // 2 + 1
         got = await self._round(
             voters, Prepare(slot=slot, ballot=ballot, coreId=self.coreId), least
         )
-        if isFault(got):
+        if is_fault(got):
             return got
-        best = max(got, key=lambda each: each.acceptedBallot)
-        chosen = best.accepted if best.acceptedBallot else view
+        best = max(got, key=lambda each: each.accepted_ballot)
+        chosen = best.accepted if best.accepted_ballot else view
         got = await self._round(
             voters, Accept(slot=slot, ballot=ballot, view=chosen), len(voters) // 2 + 1
         )
-        if isFault(got):
+        if is_fault(got):
             return got
         wait_ms = max(each.left_ms for each in got)
         await self.learn(chosen, wait_ms)
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -21,7 +21,7 @@
     NOT_TAIL,
     OLD_VIEW,
     UNKNOWN_CHANGE,
-    isFault,
+    is_fault,
 )
 from swiftdeck.wire.messages import (
     ChainEntry,
@@ -58,7 +58,7 @@
     """A router that may hold a licence for a configuration."""
 
     addr: str
-    untilS: float
+    until_s: float
     held: int
     nudged: int = 0
 
@@ -72,34 +72,34 @@
         mesh,
         agreement,
         board,
-        licenceMs=4000,
-        rewriteBytes=1 << 20,
+        licence_ms=4000,
+        rewrite_bytes=1 << 20,
         ackWaitMs=0,
         losses_borne=1,
         **bounds,
     ):
         self.journal = Journal(folder, "chain.log")
         self.mesh, self.agreement, self.board = mesh, agreement, board
-        self.licenceMs, self.rewriteBytes, self.ackWaitMs = licenceMs, rewriteBytes, ackWaitMs
+        self.licence_ms, self.rewrite_bytes, self.ackWaitMs = licence_ms, rewrite_bytes, ackWaitMs
         self.losses_borne = losses_borne
         self.state, self.serial, self.entries, self.synced = ChainState(**bounds), 0, {}, 0
         self.durable = Durable(0, self.state.config)
-        self.fault, self.needsCopy, self.mustCompare, self.is_partial = None, False, False, False
-        self.wholeIn, self.lastIn, self.wholeSinceS = 0, 0, 0.0
+        self.fault, self.needs_copy, self.must_compare, self.is_partial = None, False, False, False
+        self.whole_in, self.last_in, self.whole_since_s = 0, 0, 0.0
         self.incoming, self.committers, self.holders = [], [], {}
         self.known_s = {}
-        self.nextLast, self.passFailedS = None, None
-        self.lastWriteS = None
-        agreement.watchers.append(self.onView)
+        self.next_last, self.pass_failed_s = None, None
+        self.last_write_s = None
+        agreement.watchers.append(self.on_view)
         agreement.troubles.append(self.trouble)
         for kind, handler in (
-            (Write, self.onWrite),
-            (Pass, self.onPass),
-            (CopyAsk, self.onCopyAsk),
-            (OutcomeAsk, self.onOutcomeAsk),
-            (ConfigAsk, self.onConfigAsk),
+            (Write, self.on_write),
+            (Pass, self.on_pass),
+            (CopyAsk, self.on_copy_ask),
+            (OutcomeAsk, self.on_outcome_ask),
+            (ConfigAsk, self.on_config_ask),
             (PeekAsk, self.on_peek_ask),
-            (LicenceAsk, self.onLicenceAsk),
+            (LicenceAsk, self.on_licence_ask),
         ):
             mesh.on(kind, handler)
 
@@ -109,8 +109,8 @@
         self.owner, self.kick = Owner(), asyncio.Event()
         self._load()
         if self.fault is None and not await self._sync():
-            self.needsCopy = True
-        self.onView(self.agreement.decided)
+            self.needs_copy = True
+        self.on_view(self.agreement.decided)
         self.task = asyncio.ensure_future(self._passing())
 
     def _load(self):
@@ -118,19 +118,19 @@
             records = self.journal.load()
         except OSError as error:
             records = DISK_FAILED.because(error)
-        if isFault(records):
-            self.fault, self.needsCopy = records, True
+        if is_fault(records):
+            self.fault, self.needs_copy = records, True
             return
         for record in records:
             if record["k"] == "state":
-                self.state.fromBytes(record["state"])
+                self.state.from_bytes(record["state"])
                 self.serial, self.entries = record["n"], {}
             else:
                 self._apply(record["n"], record["b"])
         known = self.agreement.decided
-        self.mustCompare = known.number > 0
+        self.must_compare = known.number > 0
         if known.number > 1 and not records and self.agreement.position() >= 0:
-            self.fault, self.needsCopy = DAMAGED.because("chain.log is missing"), True
+            self.fault, self.needs_copy = DAMAGED.because("chain.log is missing"), True
 
     def trouble(self):
         """Why this member should leave the chain, empty when it need not."""
@@ -138,28 +138,28 @@
             return f"{DISK_SLOW.code} {DISK_SLOW.name}"
         return f"{self.fault.code} {self.fault.reason}" if self.fault is not None else ""
 
-    def onView(self, view):
+    def on_view(self, view):
         """Start over in a new view."""
-        self.nextLast, self.passFailedS = None, None
+        self.next_last, self.pass_failed_s = None, None
         if len(view.members) < 2:
-            self.mustCompare = False
-        if self.agreement.position() == 0 and not self.needsCopy and not self.mustCompare:
-            self._becomeWhole()
+            self.must_compare = False
+        if self.agreement.position() == 0 and not self.needs_copy and not self.must_compare:
+            self._become_whole()
         self.kick.set()
 
-    def _becomeWhole(self):
+    def _become_whole(self):
         view = self.agreement.decided.number
-        if self.wholeIn != view:
-            staysLast = self.isLast() and self.lastIn == self.wholeIn == view - 1 > 0
-            self.wholeIn, self.is_partial = view, False
-            if not staysLast:
-                self.wholeSinceS, self.holders = (
-                    max(self.loop.time(), self.agreement.waitUntilS),
+        if self.whole_in != view:
+            stays_last = self.isLast() and self.last_in == self.whole_in == view - 1 > 0
+            self.whole_in, self.is_partial = view, False
+            if not stays_last:
+                self.whole_since_s, self.holders = (
+                    max(self.loop.time(), self.agreement.wait_until_s),
                     {},
                 )
                 self.known_s = {}
             self._know()
-            self.lastIn = view if self.isLast() else 0
+            self.last_in = view if self.isLast() else 0
 
     def _know(self):
         """Remember when this tail first had the newest version on its disk."""
@@ -169,25 +169,25 @@
             if len(self.known_s) > KNOWN_KEPT:
                 del self.known_s[next(iter(self.known_s))]
 
-    def isFirst(self):
+    def is_first(self):
         return self.agreement.position() == 0
 
     def isLast(self):
         members = self.agreement.decided.members
         return bool(members) and self.agreement.position() == len(members) - 1
 
-    def isWhole(self):
+    def is_whole(self):
         """Whether this member has all that the chain before it had at the start of the view."""
-        return self.wholeIn == self.agreement.decided.number > 0 and not self.needsCopy
+        return self.whole_in == self.agreement.decided.number > 0 and not self.needs_copy
 
-    def mayTell(self):
+    def may_tell(self):
         """Whether this is the tail and may speak for the chain now."""
-        return self.isLast() and self.isWhole() and self.agreement.mayServe()
+        return self.isLast() and self.is_whole() and self.agreement.mayServe()
 
     def _apply(self, serial, body):
         self.state.apply(msgspec.msgpack.decode(body))
-        if not self.state.isTrue:
-            self.fault, self.needsCopy = (
+        if not self.state.is_true:
+            self.fault, self.needs_copy = (
                 DAMAGED.because("a change gave another configuration here"),
                 True,
             )
@@ -196,13 +196,13 @@
         while len(self.entries) > KEPT_ENTRIES:
             del self.entries[next(iter(self.entries))]
 
-    def _hasCopies(self):
+    def _has_copies(self):
         return len(self.agreement.decided.members) > self.losses_borne
 
-    async def onWrite(self, ask, sender):
-        if not self.isFirst() or not self.agreement.mayServe() or not self.isWhole():
+    async def on_write(self, ask, sender):
+        if not self.is_first() or not self.agreement.mayServe() or not self.is_whole():
             return NOT_HEAD
-        if not self._hasCopies():
+        if not self._has_copies():
             return NO_VIEW.because(
                 f"fewer than {self.losses_borne + 1} members acknowledge nothing"
             )
@@ -215,17 +215,17 @@
             return BAD_FRAME.because(error)
         done = self.loop.create_future()
         self.incoming.append((change, done))
-        self.owner.send(self._takeIncoming)
+        self.owner.send(self._take_incoming)
         return await done
 
-    async def _takeIncoming(self):
+    async def _take_incoming(self):
         taken, self.incoming = self.incoming, []
         if not taken:
             return
         view, waiting = self.agreement.decided.number, []
         for change, done in taken:
-            got = self._takeOne(change)
-            if isFault(got):
+            got = self._take_one(change)
+            if is_fault(got):
                 self._finish(done, got)
             else:
                 waiting.append((done, WriteReturn(serial=self.serial, view=view)))
@@ -235,7 +235,7 @@
             self.kick.set()
             if self.isLast():
                 self._know()
-                self._wakeCommitters()
+                self._wake_committers()
         else:
             for done, _ in waiting:
                 self._finish(done, OLD_VIEW.because("synced nowhere"))
@@ -245,17 +245,17 @@
         if not done.done():
             done.set_result(got)
 
-    def _takeOne(self, change):
+    def _take_one(self, change):
         try:
             entry = self.state.examine(change)
         except (KeyError, TypeError, ValueError) as error:
             return BAD_FRAME.because(repr(error))
-        if entry is None or isFault(entry):
+        if entry is None or is_fault(entry):
             return entry
         if entry["t"] == "claims":
-            nowS = self.loop.time()
-            entry["elapsedMs"] = int((nowS - (self.lastWriteS or nowS)) * 1000)
-            self.lastWriteS = nowS
+            now_s = self.loop.time()
+            entry["elapsedMs"] = int((now_s - (self.last_write_s or now_s)) * 1000)
+            self.last_write_s = now_s
         return self._append(self.serial + 1, msgspec.msgpack.encode(entry))
 
     def _append(self, serial, body):
@@ -276,7 +276,7 @@
             serial = self.serial
             await self.journal.sync()
             self._mark_synced(serial)
-            if self.journal.size > self.rewriteBytes:
+            if self.journal.size > self.rewrite_bytes:
                 await self._rewrite()
             return True
         except OSError as error:
@@ -289,15 +289,15 @@
             self.durable = Durable(self.state.stored.version, self.state.config)
 
     async def _rewrite(self):
-        data, serial = self.state.toBytes(), self.serial
+        data, serial = self.state.to_bytes(), self.serial
         await self.journal.rewrite([{"k": "state", "n": serial, "state": data}])
         self._mark_synced(serial)
-        self.rewriteBytes = max(1 << 20, 4 * len(data))
+        self.rewrite_bytes = max(1 << 20, 4 * len(data))
         self.board.count["rewrites"] += 1
 
     async def heal(self):
         """After a fault of the disk: try to write the whole state anew."""
-        if self.fault is not None and not self.needsCopy and self.fault.code != DAMAGED.code:
+        if self.fault is not None and not self.needs_copy and self.fault.code != DAMAGED.code:
             try:
                 await self.owner.send(self._rewrite)
                 self.fault = None
@@ -307,8 +307,8 @@
 
     async def _sweep(self):
         try:
-            isSound = self.fault is not None or self.journal.isSound()
-            if not isSound:
+            is_sound = self.fault is not None or self.journal.is_sound()
+            if not is_sound:
                 self.board.count["sweepsMended"] += 1
                 self.board.note(
                     "sweep found damage on disk, writes the file anew", file=self.journal.name
@@ -326,25 +326,25 @@
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.kick.wait(), 0.25)
             self.kick.clear()
-            while await self._passOn():
+            while await self._pass_on():
                 pass
 
-    def lastToPass(self):
+    def last_to_pass(self):
         """The last entry that the next member may have: what a loss of power here cannot take back."""
         return self.synced
 
-    async def _passOn(self):
+    async def _pass_on(self):
         view, at = self.agreement.decided, self.agreement.position()
-        isComparing = at == 0 and self.mustCompare and not self.needsCopy
+        is_comparing = at == 0 and self.must_compare and not self.needs_copy
         if (
             at < 0
             or at + 1 >= len(view.members)
-            or not (self.isWhole() or isComparing)
+            or not (self.is_whole() or is_comparing)
             or self.fault is not None
         ):
             return False
-        last = self.lastToPass()
-        start = last if self.nextLast is None else self.nextLast
+        last = self.last_to_pass()
+        start = last if self.next_last is None else self.next_last
         entries, size = [], 0
         for serial in range(start + 1, last + 1):
             if serial not in self.entries or len(entries) >= PASS_ENTRIES or size > PASS_BYTES:
@@ -353,40 +353,40 @@
             size += len(self.entries[serial])
         after = view.members[at + 1].addr
         ask = Pass(
-            view=view.number, entries=entries, last=last, mustCopy=start < last and not entries
+            view=view.number, entries=entries, last=last, must_copy=start < last and not entries
         )
         got = await self.mesh.ask(after, ask, 1500)
         if view is not self.agreement.decided:
             return True
-        if isFault(got):
-            self.passFailedS = self.passFailedS or self.loop.time()
+        if is_fault(got):
+            self.pass_failed_s = self.pass_failed_s or self.loop.time()
             return False
-        self.passFailedS, before, self.nextLast = None, self.nextLast, got.last
+        self.pass_failed_s, before, self.next_last = None, self.next_last, got.last
         if got.last > max(last, self.synced):
-            return not isFault(await self.owner.send(self._copyFrom, after, self.synced))
-        if isComparing and view is self.agreement.decided:
-            self.mustCompare = False
-            self._becomeWhole()
+            return not is_fault(await self.owner.send(self._copy_from, after, self.synced))
+        if is_comparing and view is self.agreement.decided:
+            self.must_compare = False
+            self._become_whole()
         return got.last < self.synced and got.last != before
 
-    async def onPass(self, ask, sender):
-        return await self.owner.send(self._takePass, ask, sender)
+    async def on_pass(self, ask, sender):
+        return await self.owner.send(self._take_pass, ask, sender)
 
-    async def _takePass(self, ask, sender):
+    async def _take_pass(self, ask, sender):
         view, at = self.agreement.decided, self.agreement.position()
         if ask.view != view.number or at < 1 or view.members[at - 1].addr != sender:
             return OLD_VIEW.because(f"pass in view {ask.view}, here {view.number}")
-        isBehind = ask.mustCopy or (ask.entries and ask.entries[0].serial > self.serial + 1)
-        hasCopied = self.needsCopy or isBehind and self.serial < ask.last
-        if hasCopied:
-            got = await self._copyFrom(sender)
-            if isFault(got):
+        is_behind = ask.must_copy or (ask.entries and ask.entries[0].serial > self.serial + 1)
+        has_copied = self.needs_copy or is_behind and self.serial < ask.last
+        if has_copied:
+            got = await self._copy_from(sender)
+            if is_fault(got):
                 return got
         fresh = [entry for entry in ask.entries if entry.serial > self.serial]
         for entry in fresh:
             if entry.serial != self.serial + 1:
                 return GAP.because(f"{entry.serial} after {self.serial}")
-            if isFault(self._append(entry.serial, entry.body)):
+            if is_fault(self._append(entry.serial, entry.body)):
                 return self.fault
         if fresh and not await self._sync():
             return self.fault
@@ -394,16 +394,16 @@
             return OLD_VIEW
         if self.fault is not None:
             return self.fault
-        if self.serial == ask.last or hasCopied and self.serial > ask.last:
-            self.mustCompare = False
-            self._becomeWhole()
-        if self.isWhole():
+        if self.serial == ask.last or has_copied and self.serial > ask.last:
+            self.must_compare = False
+            self._become_whole()
+        if self.is_whole():
             self._know()
         self.kick.set()
-        self._wakeCommitters()
+        self._wake_committers()
         return PassReturn(last=self.serial)
 
-    def _wakeCommitters(self):
+    def _wake_committers(self):
         waiting, self.committers = self.committers, []
         for done in waiting:
             if not done.done():
@@ -412,32 +412,32 @@
             for holder in self.holders.values():
                 if (
                     max(holder.held, holder.nudged) < self.durable.version
-                    and holder.untilS > self.loop.time()
+                    and holder.until_s > self.loop.time()
                 ):
                     holder.nudged = self.durable.version
                     self.mesh.tell(holder.addr, Nudge(version=self.durable.version))
 
-    async def onCopyAsk(self, ask, sender):
+    async def on_copy_ask(self, ask, sender):
         """The state as far as it is synced here, which it is between two commands of the owner."""
         return await self.owner.send(self._copied, sender)
 
     def _copied(self, sender):
         view, at = self.agreement.decided, self.agreement.position()
-        isBefore = at > 0 and view.members[at - 1].addr == sender and not self.needsCopy
+        is_before = at > 0 and view.members[at - 1].addr == sender and not self.needs_copy
         if (
-            not (self.isWhole() or isBefore)
+            not (self.is_whole() or is_before)
             or self.fault is not None
             or at < 0
             or self.serial > self.synced
         ):
             return NOT_TAIL
         return CopyReturn(
-            serial=self.serial, state=self.state.toBytes(), view=self.agreement.decided.number
+            serial=self.serial, state=self.state.to_bytes(), view=self.agreement.decided.number
         )
 
-    async def _copyFrom(self, addr, above=-1):
+    async def _copy_from(self, addr, above=-1):
         got = await self.mesh.ask(addr, CopyAsk(coreId=self.agreement.coreId), 5000)
-        if isFault(got):
+        if is_fault(got):
             return got
         if (
             got.serial <= above
@@ -448,8 +448,8 @@
         self.board.count["copiesFromBehind"] += above >= 0
         try:
             fresh = ChainState(self.state.keepMs, self.state.claimsMost)
-            fresh.onConfig = self.state.onConfig
-            fresh.fromBytes(got.state)
+            fresh.on_config = self.state.on_config
+            fresh.from_bytes(got.state)
             await self.journal.rewrite([{"k": "state", "n": got.serial, "state": got.state}])
         except OSError as error:
             self._fail(error)
@@ -458,44 +458,44 @@
             return DAMAGED.because(error)
         self.state, self.serial, self.entries, self.synced = fresh, got.serial, {}, got.serial
         self._mark_synced(got.serial)
-        self.fault, self.needsCopy = None, False
+        self.fault, self.needs_copy = None, False
         self.board.count["copies"] += 1
         self.board.put("disk", "good")
         return got
 
-    async def copyFrom(self, addr):
+    async def copy_from(self, addr):
         """Take the whole state of a member over; gives its return or a fault."""
-        return await self.owner.send(self._copyFrom, addr)
+        return await self.owner.send(self._copy_from, addr)
 
-    async def onOutcomeAsk(self, ask, sender):
-        endS, known, serial = self.loop.time() + min(ask.waitMs, 30000) / 1000, None, self.serial
+    async def on_outcome_ask(self, ask, sender):
+        end_s, known, serial = self.loop.time() + min(ask.waitMs, 30000) / 1000, None, self.serial
         while True:
-            if not self.mayTell() or not self._hasCopies():
+            if not self.may_tell() or not self._has_copies():
                 return NOT_TAIL
             found = self._outcome(ask.changeId) if known is None else known
             if found is not None and self.synced >= serial:
                 return found
             known, serial = found, self.serial if known is None else serial
-            if self.loop.time() >= endS:
+            if self.loop.time() >= end_s:
                 return UNKNOWN_CHANGE.because(ask.changeId)
-            await self._awaitCommit(min(endS, self._ackS(ask.changeId)))
+            await self._await_commit(min(end_s, self._ack_s(ask.changeId)))
 
     def _outcome(self, changeId):
         stored = self.state.stored
         if changeId in stored.batches:
             return OutcomeReturn(results=stored.batches[changeId])
         change = stored.changes.get(changeId)
-        if change and self.isInForce(change[0]):
+        if change and self.is_in_force(change[0]):
             return OutcomeReturn(version=change[0])
         self.board.count["acksHeld"] += bool(change)
         return None
 
-    async def _awaitCommit(self, endS):
+    async def _await_commit(self, end_s):
         done = self.loop.create_future()
         self.committers.append(done)
-        await asyncio.wait([done], timeout=min(0.1, max(0.001, endS - self.loop.time())))
+        await asyncio.wait([done], timeout=min(0.1, max(0.001, end_s - self.loop.time())))
 
-    def _ackS(self, changeId):
+    def _ack_s(self, changeId):
         """When a change is acknowledged at the latest, as far as is known."""
         change = self.state.stored.changes.get(changeId)
         known_s = self._known_since(change[0]) if change else None
@@ -508,24 +508,24 @@
     def _known_since(self, version):
         return min((at_s for known, at_s in self.known_s.items() if known >= version), default=None)
 
-    def isInForce(self, version):
+    def is_in_force(self, version):
         """Whether every router that may hold a licence has confirmed a version; without knowledge, all may.
 
         Where `ackWaitMs` is set, a version that this tail has had for so long counts as confirmed.
         """
-        nowS = self.loop.time()
+        now_s = self.loop.time()
         known_s = self._known_since(version) if self.ackWaitMs else None
-        if known_s is not None and nowS >= known_s + self.ackWaitMs / 1000:
+        if known_s is not None and now_s >= known_s + self.ackWaitMs / 1000:
             return True
-        if nowS < self.wholeSinceS + self.licenceMs / 1000:
+        if now_s < self.whole_since_s + self.licence_ms / 1000:
             return False
         return all(
-            holder.held >= version or holder.untilS <= nowS for holder in self.holders.values()
+            holder.held >= version or holder.until_s <= now_s for holder in self.holders.values()
         )
 
     def on_peek_ask(self, ask, sender):
         """What this tail has synced, without a word on whether it is the newest: whatever a tail has was committed."""
-        if not self.isLast() or self.needsCopy or self.fault is not None:
+        if not self.isLast() or self.needs_copy or self.fault is not None:
             return NOT_TAIL
         config = self.durable.config
         return PeekReturn(
@@ -535,31 +535,31 @@
             view=self.agreement.decided.number,
         )
 
-    def onConfigAsk(self, ask, sender):
-        if not self.mayTell():
+    def on_config_ask(self, ask, sender):
+        if not self.may_tell():
             return NOT_TAIL
         return ConfigReturn(version=self.durable.version, document=self.durable.config.bytes())
 
-    def onLicenceAsk(self, ask, sender):
-        if not self.mayTell():
+    def on_licence_ask(self, ask, sender):
+        if not self.may_tell():
             return NOT_TAIL
-        nowS, durable = self.loop.time(), self.durable
-        if ask.handBack:
+        now_s, durable = self.loop.time(), self.durable
+        if ask.hand_back:
             self.holders.pop(ask.router, None)
-            self._wakeCommitters()
+            self._wake_committers()
             return LicenceReturn(version=durable.version)
         if ask.held > durable.version:
             return OLD_VIEW.because("router knows a newer version")
         old = self.holders.get(ask.router)
         held = max(ask.held, old.held if old else 0)
         self.holders[ask.router] = Holder(
-            ask.addr, nowS + self.licenceMs / 1000, held, old.nudged if old else 0
+            ask.addr, now_s + self.licence_ms / 1000, held, old.nudged if old else 0
         )
-        self.holders = {name: each for name, each in self.holders.items() if each.untilS > nowS}
+        self.holders = {name: each for name, each in self.holders.items() if each.until_s > now_s}
         if held >= durable.version:
-            self._wakeCommitters()
+            self._wake_committers()
         told = LicenceReturn(
-            licenceMs=self.licenceMs,
+            licence_ms=self.licence_ms,
             routers=len(self.holders),
             version=durable.version,
             view=self.agreement.decided.number,
--- a/swiftdeck/chain/chart.py
+++ b/swiftdeck/chain/chart.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import View, ViewAsk
 
 
@@ -12,7 +12,7 @@
     def __init__(self, mesh, membership, news):
         self.mesh, self.membership = mesh, membership
         self.view, self.asking = View(), None
-        news.watch("view", self.onNews)
+        news.watch("view", self.on_news)
 
     def start(self):
         """Go on asking while no view is known."""
@@ -24,7 +24,7 @@
                 await self.ask()
             await asyncio.sleep(0.3 if not self.view.number else 3.0)
 
-    def onNews(self, key, stamp, body):
+    def on_news(self, key, stamp, body):
         self.learn(View().parse(body))
 
     def learn(self, view):
@@ -46,9 +46,9 @@
     def refresh(self):
         """Ask the cores soon; many calls make one."""
         if self.asking is None or self.asking.done():
-            self.asking = asyncio.ensure_future(self._askSoon())
+            self.asking = asyncio.ensure_future(self._ask_soon())
 
-    async def _askSoon(self):
+    async def _ask_soon(self):
         await self.ask()
         await asyncio.sleep(0.2)
 
@@ -59,5 +59,5 @@
         }
         got = await asyncio.gather(*(self.mesh.ask(addr, ViewAsk(), 500) for addr in sorted(addrs)))
         for each in got:
-            if not isFault(each):
+            if not is_fault(each):
                 self.learn(each.view)
--- a/swiftdeck/chain/mender.py
+++ b/swiftdeck/chain/mender.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from swiftdeck.chain.agreement import ids
-from swiftdeck.fault import OLD_VIEW, isFault
+from swiftdeck.fault import OLD_VIEW, is_fault
 from swiftdeck.wire.messages import CoreRef, Done, JoinAsk, View, ViewAsk
 
 SWEEP_S = 30.0
@@ -24,7 +24,7 @@
         board,
         random,
         cores=3,
-        roundMs=300,
+        round_ms=300,
         losses_borne=1,
     ):
         self.me, self.mesh, self.membership, self.agreement, self.chain = (
@@ -34,12 +34,12 @@
             agreement,
             chain,
         )
-        self.board, self.random, self.cores, self.roundMs = board, random, cores, roundMs
+        self.board, self.random, self.cores, self.round_ms = board, random, cores, round_ms
         self.losses_borne = losses_borne
-        self.said, self.bad_since_s, self.silent_since_s, self.acceptedSinceS = {}, {}, {}, None
+        self.said, self.bad_since_s, self.silent_since_s, self.accepted_since_s = {}, {}, {}, None
         self.founders_since_s = None
         agreement.is_partial = lambda: chain.is_partial
-        mesh.on(JoinAsk, self.onJoin)
+        mesh.on(JoinAsk, self.on_join)
 
     def start(self):
         """Go on mending."""
@@ -59,12 +59,12 @@
     async def _renewing(self):
         while True:
             await self.agreement.renew()
-            isHeld = self.loop.time() < self.agreement.licenceUntilS
-            await asyncio.sleep(self.agreement.licenceMs / 4000 if isHeld else 0.1)
+            is_held = self.loop.time() < self.agreement.licence_until_s
+            await asyncio.sleep(self.agreement.licence_ms / 4000 if is_held else 0.1)
 
     async def _mending(self):
         while True:
-            await asyncio.sleep(self.roundMs / 1000 * self.random.uniform(0.8, 1.2))
+            await asyncio.sleep(self.round_ms / 1000 * self.random.uniform(0.8, 1.2))
             if not await self._ask():
                 continue
             await self.agreement.heal()
@@ -73,7 +73,7 @@
                 await self._found()
             elif self.agreement.position() < 0:
                 await self._join()
-            elif self.agreement.isVoter():
+            elif self.agreement.is_voter():
                 await self._mend()
 
     async def _ask(self):
@@ -90,7 +90,7 @@
         self.said = {
             each.coreId: (addr, each)
             for addr, each in zip(addrs, got, strict=False)
-            if not isFault(each)
+            if not is_fault(each)
         }
         self.agreement.hears = list(self.said)
         self.silent_since_s = {
@@ -121,8 +121,8 @@
             ],
             key=lambda ref: ref.addr,
         )
-        isMyTurn = refs[0].coreId == self.agreement.coreId or self.random.random() < 0.05
-        if isMyTurn and (
+        is_my_turn = refs[0].coreId == self.agreement.coreId or self.random.random() < 0.05
+        if is_my_turn and (
             self.agreement.slot.accepted
             or all(each.fresh and each.may_found for _, each in self.said.values())
         ):
@@ -141,27 +141,27 @@
             self.founders_since_s = None
             return
         self.founders_since_s = self.founders_since_s or now_s
-        isComplete = len(there) == len(founders) or now_s - self.founders_since_s > FOUNDERS_WAIT_S
+        is_complete = len(there) == len(founders) or now_s - self.founders_since_s > FOUNDERS_WAIT_S
         first = min(addr for addr, (_, may_found) in there.items() if may_found)
-        if isComplete and (first == self.me.addr or self.random.random() < 0.05):
+        if is_complete and (first == self.me.addr or self.random.random() < 0.05):
             refs = [
                 CoreRef(coreId=coreId, addr=addr) for addr, (coreId, _) in sorted(there.items())
             ]
             await self.agreement.propose(View(number=1, members=refs, voters=refs))
 
     async def _mend(self):
-        view, nowS = self.agreement.decided, self.loop.time()
+        view, now_s = self.agreement.decided, self.loop.time()
         if self.agreement.slot.accepted is None:
-            self.acceptedSinceS = None
-        elif self.acceptedSinceS is None:
-            self.acceptedSinceS = nowS
-        elif nowS - self.acceptedSinceS > 0.7:
-            self.acceptedSinceS = None
+            self.accepted_since_s = None
+        elif self.accepted_since_s is None:
+            self.accepted_since_s = now_s
+        elif now_s - self.accepted_since_s > 0.7:
+            self.accepted_since_s = None
             await self.agreement.propose(self.agreement.slot.accepted)
             return
-        lost = self._lost(view, nowS)
-        failedS, at = self.chain.passFailedS, self.agreement.position()
-        if failedS is not None and nowS - failedS > 2.0 and at + 1 < len(view.members):
+        lost = self._lost(view, now_s)
+        failed_s, at = self.chain.pass_failed_s, self.agreement.position()
+        if failed_s is not None and now_s - failed_s > 2.0 and at + 1 < len(view.members):
             lost.add(view.members[at + 1].coreId)
         kept = [ref for ref in view.members if ref.coreId not in lost]
         if lost and len(kept) < len(view.members):
@@ -234,10 +234,10 @@
 
     def _is_unheard(self, coreId):
         """Whether no core that is heard here hears a silent one, or the probes suspect it too."""
-        isSuspected = not any(
+        is_suspected = not any(
             each.coreId == coreId and each.state == 0 for each in self.membership.alive("core")
         )
-        return isSuspected or not any(coreId in said.hears for _, said in self.said.values())
+        return is_suspected or not any(coreId in said.hears for _, said in self.said.values())
 
     def _is_replaced(self, ref):
         """Whether another core says that it is at a member's address, so that the member is gone for good."""
@@ -252,16 +252,16 @@
         tail = view.members[-1]
         if tail.coreId not in self.said:
             return
-        got = await self.chain.copyFrom(tail.addr)
-        if isFault(got) or got.view != self.agreement.decided.number:
+        got = await self.chain.copy_from(tail.addr)
+        if is_fault(got) or got.view != self.agreement.decided.number:
             return
         ask = JoinAsk(coreId=self.agreement.coreId, addr=self.me.addr, view=got.view)
-        self.chain.is_partial = self.chain.mustCompare = True
+        self.chain.is_partial = self.chain.must_compare = True
         for ref in view.members:
-            if ref.coreId in self.said and not isFault(await self.mesh.ask(ref.addr, ask, 3000)):
+            if ref.coreId in self.said and not is_fault(await self.mesh.ask(ref.addr, ask, 3000)):
                 return
 
-    async def onJoin(self, ask, sender):
+    async def on_join(self, ask, sender):
         view = self.agreement.decided
         if (
             ask.view != view.number
@@ -276,7 +276,7 @@
         got = await self.agreement.propose(
             View(number=view.number + 1, members=members, voters=voters)
         )
-        return got if isFault(got) else Done(count=got.number)
+        return got if is_fault(got) else Done(count=got.number)
 
     def _voters_with(self, view, ref):
         """The voters with a core among them: in its own place, its address's, a new one or a lost one's; None if no such."""
--- a/swiftdeck/chain/scribe.py
+++ b/swiftdeck/chain/scribe.py
@@ -17,7 +17,7 @@
     UNDECIDED,
     UNKNOWN_CHANGE,
     UNREACHABLE,
-    isFault,
+    is_fault,
 )
 from swiftdeck.wire.messages import OutcomeAsk, Write
 
@@ -34,55 +34,55 @@
     async def write(self, changeId: str, change: dict, horizonMs=11000):
         """The outcome of a change, a refusal, or undecided."""
         loop = asyncio.get_running_loop()
-        endS = loop.time() + horizonMs / 1000
+        end_s = loop.time() + horizonMs / 1000
         body = msgspec.msgpack.encode(change | {"id": changeId})
-        mayBeTaken, last = False, NO_VIEW
-        while loop.time() < endS:
-            leftMs = int((endS - loop.time()) * 1000) + 1
+        may_be_taken, last = False, NO_VIEW
+        while loop.time() < end_s:
+            left_ms = int((end_s - loop.time()) * 1000) + 1
             head = self.chart.head()
             got = (
                 NO_VIEW
                 if head is None
                 else await self.mesh.ask(
-                    head, Write(changeId=changeId, body=body), min(2000, leftMs)
+                    head, Write(changeId=changeId, body=body), min(2000, left_ms)
                 )
             )
-            if not isFault(got):
-                mayBeTaken = True
-                outcome = await self.outcome(changeId, max(1, int((endS - loop.time()) * 1000)))
-                if not isFault(outcome) or outcome.code != UNKNOWN_CHANGE.code:
-                    return outcome if not isFault(outcome) else UNDECIDED.because(changeId)
+            if not is_fault(got):
+                may_be_taken = True
+                outcome = await self.outcome(changeId, max(1, int((end_s - loop.time()) * 1000)))
+                if not is_fault(outcome) or outcome.code != UNKNOWN_CHANGE.code:
+                    return outcome if not is_fault(outcome) else UNDECIDED.because(changeId)
                 continue
             if got.code in REFUSALS:
                 return (
                     got
-                    if not mayBeTaken or got.code == REUSED_CHANGE.code
-                    else await self._settle(changeId, got, endS)
+                    if not may_be_taken or got.code == REUSED_CHANGE.code
+                    else await self._settle(changeId, got, end_s)
                 )
-            mayBeTaken = mayBeTaken or got.code not in NEVER_TAKEN
+            may_be_taken = may_be_taken or got.code not in NEVER_TAKEN
             last = got
             self.chart.refresh()
             await asyncio.sleep(0.1)
         return (
             UNDECIDED.because(f"{changeId}: {last.reason or last.name}")
-            if mayBeTaken
+            if may_be_taken
             else NO_VIEW.because(last.name)
         )
 
-    async def _settle(self, changeId, refusal, endS):
+    async def _settle(self, changeId, refusal, end_s):
         loop = asyncio.get_running_loop()
-        got = await self.outcome(changeId, max(1, min(2000, int((endS - loop.time()) * 1000))))
-        if isFault(got) and got.code == UNKNOWN_CHANGE.code:
+        got = await self.outcome(changeId, max(1, min(2000, int((end_s - loop.time()) * 1000))))
+        if is_fault(got) and got.code == UNKNOWN_CHANGE.code:
             return refusal
-        return got if not isFault(got) else UNDECIDED.because(changeId)
+        return got if not is_fault(got) else UNDECIDED.because(changeId)
 
     async def outcome(self, changeId: str, horizonMs=2000):
         """What the tail knows of a change: its outcome, an unknown change, or undecided."""
         loop = asyncio.get_running_loop()
-        endS, last = loop.time() + horizonMs / 1000, NOT_TAIL
-        while loop.time() < endS:
-            leftMs = max(1, int((endS - loop.time()) * 1000))
-            tail, waitMs = self.chart.tail(), min(1000, leftMs)
+        end_s, last = loop.time() + horizonMs / 1000, NOT_TAIL
+        while loop.time() < end_s:
+            left_ms = max(1, int((end_s - loop.time()) * 1000))
+            tail, waitMs = self.chart.tail(), min(1000, left_ms)
             got = (
                 NOT_TAIL
                 if tail is None
@@ -90,24 +90,24 @@
                     tail, OutcomeAsk(changeId=changeId, waitMs=max(1, waitMs - 100)), waitMs + 200
                 )
             )
-            if not isFault(got):
+            if not is_fault(got):
                 return got
             last = got
-            if got.code == UNKNOWN_CHANGE.code and leftMs <= 1100:
+            if got.code == UNKNOWN_CHANGE.code and left_ms <= 1100:
                 return got
             if got.code != UNKNOWN_CHANGE.code:
                 self.chart.refresh()
                 await asyncio.sleep(0.05)
         return last if last.code == UNKNOWN_CHANGE.code else UNDECIDED.because(changeId)
 
-    async def readTail(self, ask, horizonMs=3000):
+    async def read_tail(self, ask, horizonMs=3000):
         """Ask the tail, wherever it is now."""
         loop = asyncio.get_running_loop()
-        endS, got = loop.time() + horizonMs / 1000, NOT_TAIL
-        while loop.time() < endS:
+        end_s, got = loop.time() + horizonMs / 1000, NOT_TAIL
+        while loop.time() < end_s:
             tail = self.chart.tail()
             got = NOT_TAIL if tail is None else await self.mesh.ask(tail, ask, 1000)
-            if not isFault(got) or got.code not in (
+            if not is_fault(got) or got.code not in (
                 NOT_TAIL.code,
                 UNREACHABLE.code,
                 TIMED_OUT.code,
--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -6,7 +6,7 @@
 
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.config.document import EDITION, merge
-from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, isFault
+from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, is_fault
 
 CHANGES_KEPT, BATCHES_KEPT, DELTAS_KEPT = 5000, 4000, 64
 FREED_KEPT_MS = 600000
@@ -32,21 +32,21 @@
     def __init__(self, keepMs=86400000, claimsMost=200000):
         self.stored = Stored()
         self.keepMs, self.claimsMost = keepMs, claimsMost
-        self.onConfig = lambda entry: None
-        self.config, self.deltas, self.isTrue = Configuration.empty(), {}, True
+        self.on_config = lambda entry: None
+        self.config, self.deltas, self.is_true = Configuration.empty(), {}, True
 
-    def toBytes(self) -> bytes:
+    def to_bytes(self) -> bytes:
         """The whole state."""
         self.stored.document = self.config.bytes()
         return msgspec.msgpack.encode(self.stored)
 
-    def fromBytes(self, data: bytes):
+    def from_bytes(self, data: bytes):
         """Take a whole state over."""
         stored = msgspec.msgpack.decode(data, type=Stored)
         config = Configuration.read(stored.document)
-        if isFault(config):
+        if is_fault(config):
             raise msgspec.DecodeError(config.reason)
-        self.stored, self.config, self.deltas, self.isTrue = stored, config, {}, True
+        self.stored, self.config, self.deltas, self.is_true = stored, config, {}, True
 
     def since(self, version: int, digest: bytes, newest: int | None = None):
         """The changes that lead from a version with this digest to a newer one, or none if they are not kept."""
@@ -68,7 +68,7 @@
         if old:
             return None if old[1] == digest else REUSED_CHANGE.because(change["id"])
         delta = self._delta(change)
-        if isFault(delta):
+        if is_fault(delta):
             return delta
         made = {"id": change["id"], "digest": digest, "author": change.get("author", "")}
         if delta is None:
@@ -97,7 +97,7 @@
         if change["op"] == "raise":
             return self._raised(change["model"], change["weights"])
         fault = self._outpaced(change)
-        if isFault(fault):
+        if is_fault(fault):
             return fault
         op, document = change["op"], change["document"]
         if op in ("put", "patch"):
@@ -130,7 +130,7 @@
             change["document"].get("edition", {}).get(EDITION),
             self.config.raws.get("edition", {}).get(EDITION, {}),
         )
-        isWhole = told is not None and change["op"] == "replace"
+        is_whole = told is not None and change["op"] == "replace"
         tenants = self.config.document.tenants
         is_walled = any(
             entry and entry.get("apart") and name in tenants and not tenants[name].apart
@@ -138,7 +138,7 @@
         )
         walls = held.get("walls", 0) + is_walled
         return {
-            EDITION: (told if isWhole else merge(held, told or {}))
+            EDITION: (told if is_whole else merge(held, told or {}))
             | {"number": change["edition"]}
             | ({"walls": walls} if walls else {})
         }
@@ -159,7 +159,7 @@
         if entry["t"] == "config":
             self._change(entry)
             self._note(entry)
-            self.onConfig(entry | {"document": self.config})
+            self.on_config(entry | {"document": self.config})
         elif entry["t"] == "noted":
             self._note(entry)
         elif entry["t"] == "claims":
@@ -181,7 +181,7 @@
         before = self.config.digest()
         if "delta" in entry:
             self.config = self.config.apply(entry["delta"])
-            self.isTrue = self.isTrue and self.config.digest() == entry["mark"]
+            self.is_true = self.is_true and self.config.digest() == entry["mark"]
             self.deltas[entry["version"]] = (before, msgspec.msgpack.encode(entry["delta"]))
             self._bound(self.deltas, DELTAS_KEPT)
         else:
--- a/swiftdeck/config/configuration.py
+++ b/swiftdeck/config/configuration.py
@@ -17,7 +17,7 @@
     merge,
     told,
 )
-from swiftdeck.fault import INVALID, isFault
+from swiftdeck.fault import INVALID, is_fault
 
 KINDS = {
     "models": Model,
@@ -82,7 +82,7 @@
             return INVALID.because(f"$: {error}")
         empty = cls.empty()
         delta = empty.put(raws)
-        return delta if isFault(delta) else empty.apply(delta)
+        return delta if is_fault(delta) else empty.apply(delta)
 
     def bytes(self) -> bytes:
         """The whole text."""
@@ -210,15 +210,15 @@
             kept, shown = dict(held), dict(getattr(self.document, table))
             for name, entry in changes.items():
                 if name in kept:
-                    oldMark, oldSize = _mark(table, name, kept[name])
-                    mark, size = mark - oldMark, size - oldSize
+                    old_mark, old_size = _mark(table, name, kept[name])
+                    mark, size = mark - old_mark, size - old_size
                 if entry is None:
                     kept.pop(name, None)
                     shown.pop(name, None)
                 else:
                     kept[name], shown[name] = entry, msgspec.convert(entry, KINDS[table])
-                    newMark, newSize = _mark(table, name, entry)
-                    mark, size = mark + newMark, size + newSize
+                    new_mark, new_size = _mark(table, name, entry)
+                    mark, size = mark + new_mark, size + new_size
             if isinstance(part, (list, tuple)):
                 kept = {name: kept[name] for name in part[1]}
             raws[table], typed[table] = kept, shown
--- a/swiftdeck/config/document.py
+++ b/swiftdeck/config/document.py
@@ -189,6 +189,6 @@
     }
 
 
-def keyDigest(key: str) -> str:
+def key_digest(key: str) -> str:
     """How a tenant's key stands in a configuration."""
     return "sha256:" + hashlib.sha256(key.encode("utf-8", "surrogatepass")).hexdigest()
--- a/swiftdeck/config/settings.py
+++ b/swiftdeck/config/settings.py
@@ -86,14 +86,14 @@
     def faults(self):
         """What is wrong beyond the types."""
         for name in ("inner", "http"):
-            yield from self._addrFaults(name, getattr(self, name))
+            yield from self._addr_faults(name, getattr(self, name))
         for at, seed in enumerate(self.seeds):
-            yield from self._addrFaults(f"seeds[{at}]", seed)
+            yield from self._addr_faults(f"seeds[{at}]", seed)
         for at, founder in enumerate(self.founders):
-            yield from self._addrFaults(f"founders[{at}]", founder)
+            yield from self._addr_faults(f"founders[{at}]", founder)
         for name in ("platform", "store", "opsHttp"):
             if getattr(self, name):
-                yield from self._addrFaults(name, getattr(self, name))
+                yield from self._addr_faults(name, getattr(self, name))
         if self.configLicenceMs <= self.viewLicenceMs:
             yield "configLicenceMs: must be above viewLicenceMs"
         if self.grantMs >= self.holdLicenceMs:
@@ -102,7 +102,7 @@
             yield "http: is the same as inner"
 
     @staticmethod
-    def _addrFaults(name, addr):
+    def _addr_faults(name, addr):
         ip, _, port = addr.rpartition(":")
         try:
             ipaddress.ip_address(ip)
@@ -112,7 +112,7 @@
             yield f"{name}: `{addr}` is not IP:PORT ({error})"
 
 
-def readSettings(path: str = "", flags: dict | None = None):
+def read_settings(path: str = "", flags: dict | None = None):
     """Checked settings from a file, from flags, or from both, the flags going first; or a fault."""
     try:
         values = tomllib.loads(Path(path).read_text()) if path else {}
--- a/swiftdeck/control/archive.py
+++ b/swiftdeck/control/archive.py
@@ -11,7 +11,7 @@
 from dulwich.objects import Blob, Commit, Tree
 from dulwich.repo import Repo
 
-from swiftdeck.fault import NOT_FOUND, isFault
+from swiftdeck.fault import NOT_FOUND, is_fault
 from swiftdeck.wire.messages import ConfigAsk
 
 REF, FILE = b"refs/heads/main", b"config.json"
@@ -24,23 +24,23 @@
     def __init__(self, path, chain, scribe, board, wall=time.time):
         self.path, self.chain, self.scribe, self.board, self.wall = path, chain, scribe, board, wall
         self.waiting, self.pool = deque(maxlen=1000), ThreadPoolExecutor(1)
-        chain.state.onConfig = self.onConfig
+        chain.state.on_config = self.on_config
 
     def start(self):
         """Go on keeping."""
         self.task = asyncio.ensure_future(self._keeping())
 
-    def onConfig(self, entry):
+    def on_config(self, entry):
         """A version was written here; whether it stands is known later."""
         self.waiting.append(entry)
 
     async def _keeping(self):
         while True:
             await asyncio.sleep(1.0)
-            got = await self.scribe.readTail(ConfigAsk()) if self.waiting else None
+            got = await self.scribe.read_tail(ConfigAsk()) if self.waiting else None
             while (
                 got
-                and not isFault(got)
+                and not is_fault(got)
                 and self.waiting
                 and self.waiting[0]["version"] <= got.version
             ):
--- a/swiftdeck/control/client.py
+++ b/swiftdeck/control/client.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from swiftdeck.fault import isFault
-from swiftdeck.http.client import connect, fetchJson
+from swiftdeck.fault import is_fault
+from swiftdeck.http.client import connect, fetch_json
 
 
 class OperatorClient:
@@ -17,7 +17,7 @@
 
     async def ask(self, method, path, body=None, headers=(), door=None, timeoutMs=12000):
         """One exchange: (status, body) or a fault."""
-        return await fetchJson(
+        return await fetch_json(
             door or self.door, method, path, body, [*self.headers, *headers], timeoutMs
         )
 
@@ -26,10 +26,10 @@
         headers = [("change-id", changeId)] * bool(changeId) + [("author", author)] * bool(author)
         return await self.ask(method, f"/v1/config?base={base}", document, headers)
 
-    async def changeNewest(self, method, make, changeId="", author=""):
+    async def change_newest(self, method, make, changeId="", author=""):
         """One change on the newest version; `make` gives it from the newest document."""
         newest = await self.ask("GET", "/v1/config")
-        if isFault(newest) or newest[0] != 200:
+        if is_fault(newest) or newest[0] != 200:
             return newest
         return await self.change(
             method, make(newest[1]["document"]), newest[1]["version"], changeId, author
@@ -52,7 +52,7 @@
                 bad = 1
                 continue
             got = await self.ask("POST", "/v1/changes", asked, timeoutMs=15000)
-            told = got.asBody() if isFault(got) else got[1]
+            told = got.as_body() if is_fault(got) else got[1]
             bad |= int(bool(told.get("code")))
             say(msgspec.json.encode(told).decode())
         return bad
@@ -60,21 +60,21 @@
     async def statuses(self):
         """The status of each process by name; None for one that does not say."""
         first = await self.ask("GET", "/v1/status", timeoutMs=3000)
-        if isFault(first) or first[0] != 200:
+        if is_fault(first) or first[0] != 200:
             return first
         others = [each for each in first[1]["neighbours"] if each["state"] != "gone"]
         got = await asyncio.gather(
             *(self.ask("GET", "/v1/status", door=each["http"], timeoutMs=3000) for each in others)
         )
         return 200, {
-            each["name"]: None if isFault(one) or one[0] != 200 else one[1]
+            each["name"]: None if is_fault(one) or one[0] != 200 else one[1]
             for each, one in zip(others, got, strict=False)
         }
 
     async def fleet(self, full=False):
         """A short status of the whole fleet."""
         got = await self.statuses()
-        if isFault(got) or got[0] != 200:
+        if is_fault(got) or got[0] != 200:
             return got
         total = {}
         for each in got[1].values():
@@ -131,7 +131,7 @@
     async def routers(self):
         """HTTP addresses of the routers, or a fault."""
         got = await self.ask("GET", "/v1/status", timeoutMs=3000)
-        if isFault(got) or got[0] != 200:
+        if is_fault(got) or got[0] != 200:
             return got
         return sorted(
             each["http"]
@@ -150,11 +150,11 @@
         told = [
             item
             for each in got
-            if not isFault(each) and each[0] == 200
+            if not is_fault(each) and each[0] == 200
             for item in each[1]["decisions"]
         ]
         silent = [
-            door for door, each in zip(doors, got, strict=False) if isFault(each) or each[0] != 200
+            door for door, each in zip(doors, got, strict=False) if is_fault(each) or each[0] != 200
         ]
         return 200, {"decisions": sorted(told, key=lambda item: item["atMs"]), "silent": silent}
 
@@ -164,7 +164,7 @@
         while True:
             doors = await self.routers()
             if not isinstance(doors, list):
-                say(msgspec.json.encode(doors.asBody() if isFault(doors) else doors[1]).decode())
+                say(msgspec.json.encode(doors.as_body() if is_fault(doors) else doors[1]).decode())
                 return 1
             streams = [
                 asyncio.ensure_future(self._decisions(door, marks, say, follow)) for door in doors
@@ -178,7 +178,7 @@
     async def _decisions(self, door, marks, say, follow):
         ip, _, port = door.rpartition(":")
         link = await connect(ip, int(port), 1000)
-        if isFault(link):
+        if is_fault(link):
             return
         try:
             process, at = marks.get(door, ("", 0))
@@ -188,7 +188,7 @@
                 else f"/v1/decisions?since={at}&follow={int(follow)}"
             )
             got = await link.exchange("GET", path, self.headers, host=door)
-            if isFault(got) or got.status != 200:
+            if is_fault(got) or got.status != 200:
                 return
             name = ""
             async for line in got.lines():
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -11,7 +11,7 @@
 from swiftdeck.control.node import Node
 from swiftdeck.control.operators import Operators
 from swiftdeck.duty.ballots import Ballots
-from swiftdeck.fault import DAMAGED, isFault
+from swiftdeck.fault import DAMAGED, is_fault
 from swiftdeck.http.server import HttpServer
 
 
@@ -69,17 +69,17 @@
             note=self.board.note,
             streams=(b"/v1/changes",),
         )
-        self.agreement.watchers.append(self.onView)
+        self.agreement.watchers.append(self.on_view)
 
     async def start(self):
         """Come up with what the disk has, and join the fleet."""
         fault = await self.agreement.start()
-        if isFault(fault) and fault.code == DAMAGED.code:
+        if is_fault(fault) and fault.code == DAMAGED.code:
             self.board.note("agreement damaged, begins as a new core", reason=fault.reason)
             await self.agreement.journal.rewrite([])
             self.agreement.may_found = False
             fault = await self.agreement.start()
-        if isFault(fault):
+        if is_fault(fault):
             return fault
         self.me.coreId = self.agreement.coreId
         await self.chain.start()
@@ -97,7 +97,7 @@
         self.board.note("core started", coreId=self.agreement.coreId, addr=self.settings.inner)
         return None
 
-    def onView(self, view):
+    def on_view(self, view):
         """Tell the fleet of a new view."""
         self.chart.learn(view)
         self.news.post("view", view.number, bytes(view))
@@ -105,8 +105,8 @@
     async def stop(self):
         """Finish what operators asked, then leave."""
         self.http.stop()
-        endS = asyncio.get_running_loop().time() + 2
-        while self.http.open and asyncio.get_running_loop().time() < endS:
+        end_s = asyncio.get_running_loop().time() + 2
+        while self.http.open and asyncio.get_running_loop().time() < end_s:
             await asyncio.sleep(0.05)
         self.mesh.close()
 
@@ -125,18 +125,18 @@
             },
             "position": self.agreement.position(),
             "mayServe": self.agreement.mayServe(),
-            "whole": chain.isWhole(),
+            "whole": chain.is_whole(),
             "serial": chain.serial,
             "version": chain.state.stored.version,
             "trouble": self.agreement.trouble(),
-            "diskFreeBytes": self.folder.freeBytes(),
+            "diskFreeBytes": self.folder.free_bytes(),
             "logBytes": chain.journal.size,
             "claims": len(chain.state.stored.claims),
             "claimsMost": self.settings.claimsMost,
             "shared": self.settings.shared(),
             "licences": len(chain.holders),
             "clockMs": self.clockMs(),
-            "tasks": self.taskCount(),
+            "tasks": self.task_count(),
             "neighbours": self.neighbours(),
             "seeds": self.membership.seeds,
             "counters": self.counters(),
--- a/swiftdeck/control/doctor.py
+++ b/swiftdeck/control/doctor.py
@@ -4,8 +4,8 @@
 import os
 import tempfile
 
-from swiftdeck.fault import isFault
-from swiftdeck.http.client import connect, fetchJson
+from swiftdeck.fault import is_fault
+from swiftdeck.http.client import connect, fetch_json
 
 ROOM_BYTES = 64 << 20
 FINDINGS = {
@@ -72,8 +72,8 @@
     """All findings, by code."""
     found = [*_folder(folder)] + await _seeds(seeds)
     got = await client.statuses()
-    if isFault(got) or got[0] != 200:
-        reason = got.reason if isFault(got) else f"status {got[0]}: {got[1]}"
+    if is_fault(got) or got[0] != 200:
+        reason = got.reason if is_fault(got) else f"status {got[0]}: {got[1]}"
         return [*found, finding(700, f"{client.door}: {reason}")]
     statuses = got[1]
     rates = await _rates(client, statuses)
@@ -95,7 +95,7 @@
     async def one(seed):
         ip, _, port = seed.rpartition(":")
         link = await connect(ip, int(port), 1000)
-        if isFault(link):
+        if is_fault(link):
             return [finding(702, seed)]
         link.close()
         return []
@@ -115,10 +115,12 @@
     }
 
     async def clock(name):
-        startS = loop.time()
-        got = await fetchJson(doors[name], "GET", "/v1/status", None, client.headers, 3000)
+        start_s = loop.time()
+        got = await fetch_json(doors[name], "GET", "/v1/status", None, client.headers, 3000)
         return (
-            None if isFault(got) or got[0] != 200 else (got[1].get("clockMs"), startS, loop.time())
+            None
+            if is_fault(got) or got[0] != 200
+            else (got[1].get("clockMs"), start_s, loop.time())
         )
 
     names = [name for name, status in statuses.items() if status and name in doors]
@@ -128,12 +130,12 @@
     return [
         finding(715, name)
         for name, a, b in zip(names, first, second, strict=False)
-        if a and b and a[0] is not None and _isOff((b[0] - a[0]) / 1000, b[1] - a[2], b[2] - a[1])
+        if a and b and a[0] is not None and _is_off((b[0] - a[0]) / 1000, b[1] - a[2], b[2] - a[1])
     ]
 
 
-def _isOff(passedS, leastS, mostS):
-    return passedS < leastS * 0.95 - 0.02 or passedS > mostS * 1.05 + 0.02
+def _is_off(passed_s, least_s, most_s):
+    return passed_s < least_s * 0.95 - 0.02 or passed_s > most_s * 1.05 + 0.02
 
 
 def diagnose(statuses) -> list:
--- a/swiftdeck/control/node.py
+++ b/swiftdeck/control/node.py
@@ -21,7 +21,7 @@
             name=settings.name,
             role=role,
             zone=settings.zone,
-            httpAddr=settings.http,
+            http_addr=settings.http,
             incarnation=random.getrandbits(62) + 1,
         )
         self.membership = Membership(
@@ -35,7 +35,7 @@
         )
         self.news = NewsTable(self.mesh, self.membership)
 
-    async def startNode(self):
+    async def start_node(self):
         """Listen, join and follow the news."""
         await self.mesh.start()
         self.membership.start()
@@ -45,7 +45,7 @@
         """All counters of the process by name."""
         return dict(self.board.count + self.mesh.count)
 
-    def taskCount(self):
+    def task_count(self):
         """How many tasks the loop has."""
         return len(asyncio.all_tasks())
 
@@ -62,7 +62,7 @@
                 "role": each.role,
                 "zone": each.zone,
                 "addr": each.addr,
-                "http": each.httpAddr,
+                "http": each.http_addr,
                 "state": STATES[each.state],
             }
             for each in members
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from swiftdeck.fault import BAD_METHOD, BAD_OPERATOR, BAD_REQUEST, NOT_FOUND, isFault
+from swiftdeck.fault import BAD_METHOD, BAD_OPERATOR, BAD_REQUEST, NOT_FOUND, is_fault
 from swiftdeck.wire.messages import ConfigAsk
 
 
@@ -41,8 +41,8 @@
 
     async def _config(self, exchange, method):
         if method == "GET":
-            got = await self.core.scribe.readTail(ConfigAsk())
-            if isFault(got):
+            got = await self.core.scribe.read_tail(ConfigAsk())
+            if is_fault(got):
                 return got
             return await exchange.give(
                 200, {"version": got.version, "document": msgspec.Raw(got.document or b"{}")}
@@ -50,10 +50,10 @@
         if method not in ("PUT", "PATCH"):
             return BAD_METHOD
         body = exchange.json()
-        if isFault(body):
+        if is_fault(body):
             return body
         change = {
-            "id": exchange.headers.get("change-id") or self._newId(),
+            "id": exchange.headers.get("change-id") or self._new_id(),
             "op": "put" if method == "PUT" else "patch",
             "base": exchange.query.get("base"),
             "author": exchange.headers.get("author", ""),
@@ -62,7 +62,7 @@
         status, told, headers = await self.change(change)
         return await exchange.give(status, told, headers)
 
-    def _newId(self):
+    def _new_id(self):
         return f"{self.core.random.getrandbits(80):020x}"
 
     async def change(self, asked):
@@ -77,15 +77,15 @@
                 "document": asked["document"],
             }
             got = await self.core.scribe.write(asked["id"], entry)
-            if not isFault(got):
+            if not is_fault(got):
                 self.core.board.count["changesTaken"] += 1
                 return 200, {"code": 0, "changeId": asked["id"], "version": got.version}, []
             fault = got
         self.core.board.count["faults.%d" % fault.code] += 1
-        told = fault.asBody()
+        told = fault.as_body()
         if isinstance(asked, dict) and isinstance(asked.get("id"), str):
             told["changeId"] = asked["id"]
-        wait = [("retry-after", str(max(1, fault.retryMs // 1000)))] if fault.retryMs else []
+        wait = [("retry-after", str(max(1, fault.retry_ms // 1000)))] if fault.retry_ms else []
         return fault.status, told, wait
 
     def _malformed(self, asked):
@@ -115,16 +115,16 @@
                 try:
                     asked = msgspec.json.decode(line)
                     _, told, _ = await self.change(
-                        ({"id": self._newId()} | asked) if isinstance(asked, dict) else asked
+                        ({"id": self._new_id()} | asked) if isinstance(asked, dict) else asked
                     )
                 except (msgspec.DecodeError, RecursionError) as error:
-                    told = BAD_REQUEST.because(f"line is not JSON: {error}").asBody()
+                    told = BAD_REQUEST.because(f"line is not JSON: {error}").as_body()
                 await exchange.piece(msgspec.json.encode(told) + b"\n")
         exchange.finish()
 
     async def _outcome(self, exchange, changeId):
         got = await self.core.scribe.outcome(changeId, 1500)
-        if isFault(got):
+        if is_fault(got):
             return got
         return await exchange.give(200, {"code": 0, "changeId": changeId, "version": got.version})
 
@@ -135,7 +135,7 @@
         got = await (
             archive.run(archive.document, int(version)) if version else archive.run(archive.log)
         )
-        if got is None or isFault(got):
+        if got is None or is_fault(got):
             return NOT_FOUND.because("the archive of this core does not have it")
         return await exchange.give(
             200, {"version": int(version), "text": got} if version else {"versions": got}
@@ -143,11 +143,11 @@
 
     async def _seeds(self, exchange):
         body = exchange.json()
-        if isFault(body):
+        if is_fault(body):
             return body
         if not isinstance(body, list) or not all(
             isinstance(each, str) and ":" in each for each in body
         ):
             return BAD_REQUEST.because("seeds are a list of IP:PORT")
-        self.core.membership.setSeeds(body)
+        self.core.membership.set_seeds(body)
         return await exchange.give(200, {"seeds": body})
--- a/swiftdeck/disk/folder.py
+++ b/swiftdeck/disk/folder.py
@@ -15,7 +15,7 @@
     async def sync(self, name: str): ...
     async def replace(self, name: str, data: bytes): ...
     def truncate(self, name: str, length: int): ...
-    def freeBytes(self) -> int: ...
+    def free_bytes(self) -> int: ...
 
 
 class DataFolder:
@@ -73,7 +73,7 @@
         """Cut a file off."""
         os.truncate(self.path / name, length)
 
-    def freeBytes(self) -> int:
+    def free_bytes(self) -> int:
         """Room left."""
         room = os.statvfs(self.path)
         return room.f_bavail * room.f_frsize
--- a/swiftdeck/disk/journal.py
+++ b/swiftdeck/disk/journal.py
@@ -15,7 +15,7 @@
 LEAD = HEADER.size + CHECK.size
 
 
-def headOf(body) -> bytes:
+def head_of(body) -> bytes:
     """What stands before a record: its length, its checksum, a mark, and a check of these."""
     head = HEADER.pack(len(body), zlib.crc32(body), MARK)
     return head + CHECK.pack(zlib.crc32(head) & 0xFFFF)
@@ -30,23 +30,23 @@
 
     def __init__(self, folder, name):
         self.folder, self.name = folder, name
-        self.size, self.sinceS = 0, None
+        self.size, self.since_s = 0, None
 
     @staticmethod
     def frame(record) -> bytes:
         """One record with its length and checksum."""
         body = msgspec.msgpack.encode(record)
-        return headOf(body) + body
+        return head_of(body) + body
 
     def load(self):
         """All records, or a fault when one is damaged."""
         data = self.folder.read(self.name)
         records, at = [], 0
         while at < len(data):
-            found = self._recordAt(data, at)
+            found = self._record_at(data, at)
             if found is None:
-                if not self._isTorn(data, at) or any(
-                    self._recordAt(data, later) for later in self._marks(data, at + 1)
+                if not self._is_torn(data, at) or any(
+                    self._record_at(data, later) for later in self._marks(data, at + 1)
                 ):
                     return DAMAGED.because(f"{self.name} at byte {at}")
                 self.folder.truncate(self.name, at)
@@ -56,18 +56,18 @@
         self.size = at
         return records
 
-    def isSound(self) -> bool:
+    def is_sound(self) -> bool:
         """Whether the file still reads back whole, as a sweep wants to know."""
         data, at = self.folder.read(self.name), 0
         while at < len(data):
-            found = self._recordAt(data, at)
+            found = self._record_at(data, at)
             if found is None:
                 return False
             at = found[1]
         return at == self.size
 
     @staticmethod
-    def _isTorn(data, at):
+    def _is_torn(data, at):
         """Whether what begins here can be the beginning of a record whose end was never written."""
         if len(data) - at < LEAD or not any(data[at:]):
             return True
@@ -75,12 +75,12 @@
         if -(-written // SECTOR) * SECTOR < len(data):
             return True
         length, _, mark = HEADER.unpack_from(data, at)
-        isHead = (
+        is_head = (
             mark == OLD_MARK
             or zlib.crc32(data[at : at + HEADER.size]) & 0xFFFF
             == CHECK.unpack_from(data, at + HEADER.size)[0]
         )
-        return isHead and at + LEAD + length > len(data)
+        return is_head and at + LEAD + length > len(data)
 
     def _marks(self, data, start):
         for mark in (MARK, OLD_MARK):
@@ -89,7 +89,7 @@
                 yield at - HEADER.size + 1
                 at = data.find(mark, at + 1)
 
-    def _recordAt(self, data, at):
+    def _record_at(self, data, at):
         if at + HEADER.size > len(data):
             return None
         length, checksum, mark = HEADER.unpack_from(data, at)
@@ -114,11 +114,11 @@
         try:
             self.folder.append(self.name, data)
         except OSError:
-            self._cutBack()
+            self._cut_back()
             raise
         self.size += len(data)
 
-    def _cutBack(self):
+    def _cut_back(self):
         with contextlib.suppress(OSError, KeyError):
             self.folder.truncate(self.name, self.size)
 
@@ -127,16 +127,16 @@
         await self._timed(self.folder.sync(self.name))
 
     async def _timed(self, work):
-        self.sinceS = asyncio.get_running_loop().time()
+        self.since_s = asyncio.get_running_loop().time()
         try:
             await work
         finally:
-            self.sinceS = None
+            self.since_s = None
 
     def stallMs(self) -> float:
         """How long the disk has been busy with what it does now."""
         return (
-            0 if self.sinceS is None else (asyncio.get_running_loop().time() - self.sinceS) * 1000
+            0 if self.since_s is None else (asyncio.get_running_loop().time() - self.since_s) * 1000
         )
 
     async def rewrite(self, records):
--- a/swiftdeck/duty/ballots.py
+++ b/swiftdeck/duty/ballots.py
@@ -15,55 +15,55 @@
     term: int
     holder: str
     addr: str
-    untilS: float
+    until_s: float
 
 
 class Ballots:
     """The table of votes of one core."""
 
-    def __init__(self, mesh, agreement, licenceMs=3000):
-        self.agreement, self.licenceMs = agreement, licenceMs
+    def __init__(self, mesh, agreement, licence_ms=3000):
+        self.agreement, self.licence_ms = agreement, licence_ms
         self.casts = {}
-        agreement.watchers.append(self.onView)
-        mesh.on(Nominate, self.onNominate)
+        agreement.watchers.append(self.on_view)
+        mesh.on(Nominate, self.on_nominate)
 
     def start(self):
         """Begin, voting for nobody yet."""
         self.loop = asyncio.get_running_loop()
-        self.quietUntilS = self.loop.time() + self.licenceMs / 1000
-        self.wasVoter = self.agreement.isVoter()
+        self.quiet_until_s = self.loop.time() + self.licence_ms / 1000
+        self.was_voter = self.agreement.is_voter()
 
-    def onView(self, view):
-        if self.agreement.isVoter() and not self.wasVoter:
-            self.quietUntilS = self.loop.time() + self.licenceMs / 1000
-        self.wasVoter = self.agreement.isVoter()
+    def on_view(self, view):
+        if self.agreement.is_voter() and not self.was_voter:
+            self.quiet_until_s = self.loop.time() + self.licence_ms / 1000
+        self.was_voter = self.agreement.is_voter()
 
-    def onNominate(self, ask, sender):
-        nowS, held = self.loop.time(), self.casts.get(ask.duty)
-        if not self.agreement.isVoter():
+    def on_nominate(self, ask, sender):
+        now_s, held = self.loop.time(), self.casts.get(ask.duty)
+        if not self.agreement.is_voter():
             return NOT_VOTER
         if ask.view != self.agreement.decided.number or self.agreement.slot.accepted is not None:
             return OLD_VIEW.because(f"view {self.agreement.decided.number}")
         if ask.release:
             if held and held.holder == ask.holder and held.term == ask.term:
-                held.untilS = nowS
+                held.until_s = now_s
             return Vote(granted=True)
-        isBusy = held and held.untilS > nowS and held.holder != ask.holder
-        isOld = (
+        is_busy = held and held.until_s > now_s and held.holder != ask.holder
+        is_old = (
             held
             and ask.term < held.term
             or held
             and ask.term == held.term
             and held.holder != ask.holder
         )
-        if isBusy or isOld or nowS < self.quietUntilS:
-            leftS = max(self.quietUntilS, held.untilS if held else 0) - nowS
+        if is_busy or is_old or now_s < self.quiet_until_s:
+            left_s = max(self.quiet_until_s, held.until_s if held else 0) - now_s
             return Vote(
                 granted=False,
                 term=held.term if held else 0,
                 holder=held.holder if held else "",
                 addr=held.addr if held else "",
-                leftMs=max(0, int(leftS * 1000)),
+                left_ms=max(0, int(left_s * 1000)),
             )
-        self.casts[ask.duty] = Cast(ask.term, ask.holder, ask.addr, nowS + self.licenceMs / 1000)
+        self.casts[ask.duty] = Cast(ask.term, ask.holder, ask.addr, now_s + self.licence_ms / 1000)
         return Vote(granted=True, term=ask.term)
--- a/swiftdeck/duty/duty.py
+++ b/swiftdeck/duty/duty.py
@@ -3,18 +3,18 @@
 import asyncio
 import json
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import Nominate
 
 
 class Duty:
     """Stands for a duty whenever it is vacant, and renews it while held; a term that has lapsed is never renewed."""
 
-    def __init__(self, name, me, mesh, news, chart, random, licenceMs=3000, board=None):
+    def __init__(self, name, me, mesh, news, chart, random, licence_ms=3000, board=None):
         self.name, self.me, self.mesh, self.news, self.chart = name, me, mesh, news, chart
-        self.random, self.licenceMs, self.board = random, licenceMs, board
+        self.random, self.licence_ms, self.board = random, licence_ms, board
         self.holder = f"{me.name}/{me.incarnation:x}"
-        self.term, self.untilS, self.seenTerm = 0, -1.0, 0
+        self.term, self.until_s, self.seen_term = 0, -1.0, 0
         self.wants = True
 
     def start(self):
@@ -22,13 +22,13 @@
         self.loop = asyncio.get_running_loop()
         self.task = asyncio.ensure_future(self._holding())
 
-    def isHeld(self):
+    def is_held(self):
         """Whether the duty is held at this moment."""
-        return self.loop.time() < self.untilS
+        return self.loop.time() < self.until_s
 
     async def _holding(self):
         while True:
-            if self.isHeld():
+            if self.is_held():
                 await self._ask(self.term)
                 await asyncio.sleep(0.5)
             elif self.wants and self.chart.voters():
@@ -37,10 +37,10 @@
                 await asyncio.sleep(0.2)
 
     async def _stand(self):
-        term = self.seenTerm + 1
+        term = self.seen_term + 1
         won, votes = await self._ask(term)
         if won:
-            self.term = self.seenTerm = term
+            self.term = self.seen_term = term
             self.news.post(
                 f"duty/{self.name}",
                 term,
@@ -49,9 +49,9 @@
             if self.board:
                 self.board.put(f"duty.{self.name}", term)
             return
-        leftMs = max((vote.leftMs for vote in votes), default=0)
+        left_ms = max((vote.left_ms for vote in votes), default=0)
         await self._ask(term, release=True)
-        await asyncio.sleep(min(max(leftMs, 100), 1000) / 1000 + self.random.uniform(0.02, 0.4))
+        await asyncio.sleep(min(max(left_ms, 100), 1000) / 1000 + self.random.uniform(0.02, 0.4))
 
     async def _ask(self, term, release=False):
         view, sentS = self.chart.view, self.loop.time()
@@ -61,22 +61,22 @@
             term=term,
             holder=self.holder,
             addr=self.me.addr,
-            licenceMs=self.licenceMs,
+            licence_ms=self.licence_ms,
             release=release,
         )
         got = await asyncio.gather(*(self.mesh.ask(ref.addr, ask, 800) for ref in view.voters))
-        votes = [vote for vote in got if not isFault(vote)]
-        if any(isFault(vote) for vote in got):
+        votes = [vote for vote in got if not is_fault(vote)]
+        if any(is_fault(vote) for vote in got):
             self.chart.refresh()
-        self.seenTerm = max([self.seenTerm, *(vote.term for vote in votes)])
+        self.seen_term = max([self.seen_term, *(vote.term for vote in votes)])
         won = sum(vote.granted for vote in votes) * 2 > len(view.voters) > 0
-        if won and not release and (term > self.term or self.isHeld()):
-            self.untilS = sentS + self.licenceMs / 1000 * 0.95
+        if won and not release and (term > self.term or self.is_held()):
+            self.until_s = sentS + self.licence_ms / 1000 * 0.95
         return won, votes
 
-    async def handBack(self):
+    async def hand_back(self):
         """Give the duty up, so that another may win it at once."""
         self.wants = False
-        if self.isHeld():
-            self.untilS = -1.0
+        if self.is_held():
+            self.until_s = -1.0
             await self._ask(self.term, release=True)
--- a/swiftdeck/fault.py
+++ b/swiftdeck/fault.py
@@ -11,26 +11,26 @@
     name: str
     status: int
     reason: str = ""
-    retryMs: int = 0
+    retry_ms: int = 0
     notRun: bool = False
 
-    def because(self, reason: str, retryMs: int | None = None) -> "Fault":
+    def because(self, reason: str, retry_ms: int | None = None) -> "Fault":
         """The same fault with a reason and, if given, a time to come back after."""
         return attrs.evolve(
-            self, reason=str(reason)[:500], retryMs=self.retryMs if retryMs is None else retryMs
+            self, reason=str(reason)[:500], retry_ms=self.retry_ms if retry_ms is None else retry_ms
         )
 
-    def asBody(self) -> dict:
+    def as_body(self) -> dict:
         """The outward form, as JSON fields."""
         body = {"code": self.code, "fault": self.name, "reason": self.reason}
         body |= {"notRun": True} if self.notRun else {}
-        return body | ({"retryAfterMs": self.retryMs} if self.retryMs else {})
+        return body | ({"retryAfterMs": self.retry_ms} if self.retry_ms else {})
 
     def __bool__(self):
         return False
 
 
-def isFault(value) -> bool:
+def is_fault(value) -> bool:
     """Whether a returned value is a fault."""
     return isinstance(value, Fault)
 
@@ -50,24 +50,24 @@
 NOT_FOUND = _fault(104, "no such resource", 404, notRun=True)
 BAD_METHOD = _fault(105, "method not allowed", 405, notRun=True)
 SLOW_REQUEST = _fault(106, "request came too slowly", 408, notRun=True)
-LINE_FULL = _fault(110, "waiting line is full", 429, notRun=True, retryMs=2000)
-WAITED_OUT = _fault(111, "no room within the wait bound", 503, notRun=True, retryMs=2000)
-NO_WORKER = _fault(112, "no worker serves the model", 503, notRun=True, retryMs=1000)
-NO_LICENCE = _fault(113, "configuration licence lapsed", 503, notRun=True, retryMs=2000)
-STALE_LIST = _fault(114, "workers' list is too old", 503, notRun=True, retryMs=2000)
-NO_KEEPER = _fault(115, "no keeper holds the duty", 503, notRun=True, retryMs=2000)
-BUDGET_SPENT = _fault(116, "retry budget is spent", 503, notRun=True, retryMs=5000)
-STOPPING = _fault(117, "router is stopping", 503, notRun=True, retryMs=1000)
-NO_CLAIM = _fault(118, "once-only claim could not be made", 503, notRun=True, retryMs=2000)
-UNREACHED = _fault(119, "worker could not be reached", 503, notRun=True, retryMs=1000)
-BUSY = _fault(120, "router has too many calls open", 503, notRun=True, retryMs=1000)
-NO_ROOM = _fault(121, "no worker has room for the prompt", 503, notRun=True, retryMs=120)
-WORKER_FULL = _fault(122, "worker turned the request away", 503, notRun=True, retryMs=60)
+LINE_FULL = _fault(110, "waiting line is full", 429, notRun=True, retry_ms=2000)
+WAITED_OUT = _fault(111, "no room within the wait bound", 503, notRun=True, retry_ms=2000)
+NO_WORKER = _fault(112, "no worker serves the model", 503, notRun=True, retry_ms=1000)
+NO_LICENCE = _fault(113, "configuration licence lapsed", 503, notRun=True, retry_ms=2000)
+STALE_LIST = _fault(114, "workers' list is too old", 503, notRun=True, retry_ms=2000)
+NO_KEEPER = _fault(115, "no keeper holds the duty", 503, notRun=True, retry_ms=2000)
+BUDGET_SPENT = _fault(116, "retry budget is spent", 503, notRun=True, retry_ms=5000)
+STOPPING = _fault(117, "router is stopping", 503, notRun=True, retry_ms=1000)
+NO_CLAIM = _fault(118, "once-only claim could not be made", 503, notRun=True, retry_ms=2000)
+UNREACHED = _fault(119, "worker could not be reached", 503, notRun=True, retry_ms=1000)
+BUSY = _fault(120, "router has too many calls open", 503, notRun=True, retry_ms=1000)
+NO_ROOM = _fault(121, "no worker has room for the prompt", 503, notRun=True, retry_ms=120)
+WORKER_FULL = _fault(122, "worker turned the request away", 503, notRun=True, retry_ms=60)
 DEADLINE_PASSED = _fault(
-    123, "deadline passed before a worker had it", 503, notRun=True, retryMs=200
+    123, "deadline passed before a worker had it", 503, notRun=True, retry_ms=200
 )
 NO_CONNECTION = _fault(
-    124, "as many connections to the worker are open as may be", 503, notRun=True, retryMs=100
+    124, "as many connections to the worker are open as may be", 503, notRun=True, retry_ms=100
 )
 CLAIMED = _fault(130, "call was already claimed", 409)
 WORKER_LOST = _fault(140, "worker failed after dispatch, outcome unknown", 502)
@@ -76,18 +76,18 @@
 WORKER_REFUSED = _fault(143, "worker refused the run", 502)
 HORIZON = _fault(144, "horizon reached after dispatch, outcome unknown", 504)
 CLAIM_LEFT = _fault(
-    145, "nothing was sent, but the once-only claim may still stand", 503, retryMs=2000
+    145, "nothing was sent, but the once-only claim may still stand", 503, retry_ms=2000
 )
 STREAM_BROKEN = _fault(146, "stream broke off and could not be taken up elsewhere", 502)
 LOST_RACE = _fault(200, "base version is not the newest", 409)
 INVALID = _fault(201, "configuration is invalid", 422)
-UNDECIDED = _fault(202, "outcome is undecided, ask by change id", 504, retryMs=1000)
+UNDECIDED = _fault(202, "outcome is undecided, ask by change id", 504, retry_ms=1000)
 UNKNOWN_CHANGE = _fault(203, "change id is not known", 404)
 REUSED_CHANGE = _fault(204, "change id was used for another change", 409)
 BAD_OPERATOR = _fault(205, "operator key is wrong", 401)
-NOT_HEAD = _fault(300, "not the head of the present view", 503, retryMs=500)
-NOT_TAIL = _fault(301, "not the tail of the present view", 503, retryMs=500)
-NO_VIEW = _fault(302, "no view is in force", 503, retryMs=1000)
+NOT_HEAD = _fault(300, "not the head of the present view", 503, retry_ms=500)
+NOT_TAIL = _fault(301, "not the tail of the present view", 503, retry_ms=500)
+NO_VIEW = _fault(302, "no view is in force", 503, retry_ms=1000)
 OLD_VIEW = _fault(303, "view is not the present one", 409)
 DISK_FAILED = _fault(304, "disk failed", 503)
 DISK_FULL = _fault(305, "disk is full", 503)
@@ -95,19 +95,19 @@
 GAP = _fault(307, "entries are missing", 409)
 NOT_VOTER = _fault(308, "not a voter", 409)
 DISK_SLOW = _fault(309, "disk stalls", 503)
-UNREACHABLE = _fault(400, "neighbour not reached", 503, retryMs=500)
-TIMED_OUT = _fault(401, "neighbour gave no return in time", 503, retryMs=500)
+UNREACHABLE = _fault(400, "neighbour not reached", 503, retry_ms=500)
+TIMED_OUT = _fault(401, "neighbour gave no return in time", 503, retry_ms=500)
 BAD_FRAME = _fault(402, "frame is malformed", 400)
 UNKNOWN_KIND = _fault(403, "message kind is unknown", 400)
 HANDLER_FAILED = _fault(404, "internal fault", 500)
 OLD_TERM = _fault(500, "term is not the newest", 409)
-NOT_KEEPER = _fault(501, "not the keeper of the model", 409, retryMs=200)
-RECOVERING = _fault(503, "keeper still gathers open conversations", 503, retryMs=10)
+NOT_KEEPER = _fault(501, "not the keeper of the model", 409, retry_ms=200)
+RECOVERING = _fault(503, "keeper still gathers open conversations", 503, retry_ms=10)
 BAD_SETTING = _fault(600, "setting is invalid", 400)
 OTHER_WEIGHTS = _fault(602, "worker has other weights loaded", 409)
 BAD_RETURN = _fault(601, "back end sent something malformed", 502)
 
 
-def faultOf(code: int, reason: str = "", retryMs: int | None = None) -> Fault:
+def fault_of(code: int, reason: str = "", retry_ms: int | None = None) -> Fault:
     """The fault with a code, as read from a message."""
-    return TABLE.get(code, HANDLER_FAILED).because(reason, retryMs)
+    return TABLE.get(code, HANDLER_FAILED).because(reason, retry_ms)
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import KeptNews
 
 WAIT_MS, EXPECTED_S, DOWN_S, REST_S, LEAST_TOKENS, KNOWN_MOST = 1000, 2.0, 4.0, 0.2, 1024, 20000
@@ -75,7 +75,7 @@
         since, epoch = 0, None
         while True:
             got = await follower.reports(since, WAIT_MS)
-            if isFault(got):
+            if is_fault(got):
                 self.board.count["reportsFailed"] += 1
                 self._tell(name, [], True, True)
                 await asyncio.sleep(0.5)
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -4,9 +4,9 @@
 from collections import Counter
 
 from swiftdeck.chain.chart import Chart
-from swiftdeck.config.document import keyDigest
+from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
-from swiftdeck.fault import BAD_OPERATOR, NO_LICENCE, NO_ROUTE, NOT_FOUND, UNKNOWN_KEY, isFault
+from swiftdeck.fault import BAD_OPERATOR, NO_LICENCE, NO_ROUTE, NOT_FOUND, UNKNOWN_KEY, is_fault
 from swiftdeck.gateway.admission import Admission
 from swiftdeck.gateway.following import Following
 from swiftdeck.gateway.health import Judge
@@ -32,7 +32,7 @@
 
     def __init__(self, settings, dialects, random, log=None):
         super().__init__(settings, "router", random, log)
-        self.me.httpAddr = settings.opsHttp or settings.http
+        self.me.http_addr = settings.opsHttp or settings.http
         self.callers_speak, self.workers_speak, lists, caches = dialects
         self.chart = Chart(self.mesh, self.membership, self.news)
         self.licence = ConfigLicence(
@@ -74,7 +74,7 @@
         """Join the fleet and serve."""
         self.loop = asyncio.get_running_loop()
         self.licence.watchers.append(self.on_config)
-        await self.startNode()
+        await self.start_node()
         for part in (self.chart, self.licence, self.admission, self.listing, self.following):
             part.start()
         self.task = asyncio.ensure_future(self._watching())
@@ -98,7 +98,7 @@
         self.http.stop()
         while self.loop.time() < end_s and self.open:
             await asyncio.sleep(0.02)
-        await self.licence.handBack()
+        await self.licence.hand_back()
         self.membership.leave()
         await asyncio.sleep(0.02)
         self.board.note("gateway stopped", open=self.open, **self.counters())
@@ -111,7 +111,7 @@
     def on_config(self, held):
         """Compile what each request needs."""
         document = held.document
-        self.routes, self.tenants = RouteTable(document), held.tenantByKey
+        self.routes, self.tenants = RouteTable(document), held.tenant_by_key
         now_s = self.loop.time()
         self.named_s = {
             name: (
@@ -124,8 +124,8 @@
         }
         limits = document.limits.get(CALLERS)
         if limits:
-            self.http.headLimit, self.http.bodyLimit = limits.head_bytes, limits.body_bytes
-            self.http.slowMs, self.http.idleMs = limits.head_wait_ms, limits.idle_ms
+            self.http.head_limit, self.http.body_limit = limits.head_bytes, limits.body_bytes
+            self.http.slow_ms, self.http.idleMs = limits.head_wait_ms, limits.idle_ms
         self.following.stores = [
             each.store_addr for each in document.services.values() if each.store_addr
         ]
@@ -165,7 +165,7 @@
         newest, since_s = self._newest(model)
         since_s = max(since_s, min(self.unsettled_s, since_s + OLD_MOST_S))
         may_be_old = (
-            now_s - since_s < self.settings.oldWeightsMs / 1000 or not self.licence.isHeld()
+            now_s - since_s < self.settings.oldWeightsMs / 1000 or not self.licence.is_held()
         )
         fit = [
             each
@@ -183,7 +183,7 @@
                 self.chart.view.number,
                 frozenset(each.incarnation for each in self.membership.alive("core")),
             )
-            if now != seen or not self.licence.isHeld() or self.licence.failures:
+            if now != seen or not self.licence.is_held() or self.licence.failures:
                 seen, self.unsettled_s = now, self.loop.time()
             await asyncio.sleep(0.25)
 
@@ -245,14 +245,14 @@
         start_s, count = self.loop.time(), self.board.count
         count["calls"] += 1
         request = self.callers_speak.read(exchange)
-        if isFault(request):
+        if is_fault(request):
             return await self.refuse(exchange, request, None)
         if self.routes is None:
             return await self.refuse(exchange, NO_LICENCE, request)
         route = self.routes.find(request.host, request.path)
         if route is None:
             return await self.refuse(exchange, NO_ROUTE, request)
-        tenant = self.tenants.get(keyDigest(request.key), "") if request.key else ""
+        tenant = self.tenants.get(key_digest(request.key), "") if request.key else ""
         edition = self.document.edition.get(OPERATOR)
         if not tenant and not route.path.public and (edition is None or edition.keyed):
             return await self.refuse(exchange, UNKNOWN_KEY, request)
@@ -299,7 +299,7 @@
                 "voters": [ref.addr for ref in view.voters],
             },
             "version": self.licence.held.version if self.licence.held else 0,
-            "licence": self.licence.isHeld(),
+            "licence": self.licence.is_held(),
             "list": {
                 "ageMs": self.listing.age_ms(),
                 "fresh": self.listing.age_ms() <= self.settings.listOldMs,
@@ -318,7 +318,7 @@
             "keeps": [],
             "clockMs": self.clockMs(),
             "shared": self.settings.shared(),
-            "tasks": self.taskCount(),
+            "tasks": self.task_count(),
             "open": self.open,
             "running": sum(each.running for each in self.roster.workers.values()),
             "neighbours": self.neighbours(),
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.gateway.seams import Listed
 from swiftdeck.wire.messages import ListNews, ListWish
 
@@ -60,7 +60,7 @@
                 continue
             asked_s = self.loop.time()
             got = await self.source.read()
-            if isFault(got):
+            if is_fault(got):
                 self.board.count["listsFailed"] += 1
                 await asyncio.sleep(0.3)
                 continue
--- a/swiftdeck/gateway/passage.py
+++ b/swiftdeck/gateway/passage.py
@@ -17,7 +17,7 @@
     WORKER_FULL,
     WORKER_HANGS,
     WORKER_LOST,
-    isFault,
+    is_fault,
 )
 from swiftdeck.gateway.ledger import Attempt, Ledger, Move, next_move
 from swiftdeck.gateway.places import Wish
@@ -148,7 +148,7 @@
     async def _attempt(self, attempt, worker):
         gateway = self.gateway
         got = await gateway.pool.take(worker)
-        if isFault(got):
+        if is_fault(got):
             if got.code == UNREACHED.code:
                 gateway.judge.failed(worker)
             return got
@@ -169,7 +169,7 @@
         head = await self._head_in_time(worker, sent_s)
         if head is None:
             return WORKER_HANGS
-        if isFault(head):
+        if is_fault(head):
             if head.code != DEADLINE_PASSED.code:
                 gateway.judge.failed(worker, not self.link.is_reused)
             return head if head.code != BAD_RETURN.code else WORKER_BAD.because(head.reason)
@@ -238,7 +238,7 @@
         """The head of the answer that is due; what belongs to an earlier request is passed over."""
         while True:
             event = await self.link.event()
-            if isFault(event):
+            if is_fault(event):
                 return event
             if not isinstance(event, h11.Response):
                 return WORKER_BAD.because("no head where one was due")
@@ -288,7 +288,7 @@
         """Read a refusal to its end, so that its connection can be kept."""
         try:
             async with asyncio.timeout(0.05):
-                while not isFault(event := await self.link.event()):
+                while not is_fault(event := await self.link.event()):
                     if isinstance(event, h11.EndOfMessage):
                         return self._give_back()
         except TimeoutError:
@@ -310,7 +310,7 @@
             except TimeoutError:
                 self.gateway.judge.failed(worker, False)
                 return DEADLINE_PASSED
-            if isFault(event):
+            if is_fault(event):
                 self.gateway.judge.failed(worker, not self.link.is_reused)
                 return event if event.code != BAD_RETURN.code else WORKER_BAD.because(event.reason)
             if isinstance(event, h11.EndOfMessage):
--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -144,7 +144,7 @@
             return
         episode.running.pop(call, None)
         if not episode.running:
-            episode.idleSinceS = self._now()
+            episode.idle_since_s = self._now()
             if not is_kept:
                 self._leave(book, episode)
         self._tell_load(book)
@@ -159,7 +159,7 @@
                 del episode.running[call]
                 self.calls.pop(call, None)
                 self.board.count["placesReclaimed"] += 1
-                episode.idleSinceS = now_s
+                episode.idle_since_s = now_s
         self._end_idle(book, 0 if len(book.line) else self.pause_ms)
 
     def _end_idle(self, book, pause_ms):
@@ -176,7 +176,7 @@
         self._reclaim(book)
         while len(book.line) and self._has_room(book, book.line.first().ask.tokens):
             waiting = book.line.take()
-            if waiting.isAsking():
+            if waiting.is_asking():
                 self._begin(book, waiting.ask)
                 waiting.done.set_result(True)
 
--- a/swiftdeck/gateway/pool.py
+++ b/swiftdeck/gateway/pool.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from swiftdeck.fault import NO_CONNECTION, UNREACHED, WORKER_LOST, isFault
+from swiftdeck.fault import NO_CONNECTION, UNREACHED, WORKER_LOST, is_fault
 from swiftdeck.http.client import HttpLink
 
 KEEP_S, SPARE_S = 20.0, 1.0
@@ -63,7 +63,7 @@
         """Read an answer that belongs to another request to its end, and get ready for the one that is due."""
         while True:
             event = await self.event()
-            if isFault(event):
+            if is_fault(event):
                 return event
             if isinstance(event, h11.EndOfMessage):
                 break
--- a/swiftdeck/gateway/share.py
+++ b/swiftdeck/gateway/share.py
@@ -27,7 +27,7 @@
     def _of(self, service):
         if service not in self.budgets:
             self.budgets[service] = Budget(
-                self.ratio * SAFE, self.window_s, startS=asyncio.get_running_loop().time()
+                self.ratio * SAFE, self.window_s, start_s=asyncio.get_running_loop().time()
             )
         return self.budgets[service]
 
--- a/swiftdeck/gateway/swap.py
+++ b/swiftdeck/gateway/swap.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from swiftdeck.control.core import Core
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.gateway.listing import Listing
 from swiftdeck.gateway.roster import Roster
 from swiftdeck.wire.messages import SwapNews
@@ -59,7 +59,7 @@
     def fence(self) -> int:
         """The number under which this core may order now, 0 while it may not."""
         agreement = self.core.agreement
-        if agreement.position() != 0 or not agreement.mayServe() or not self.core.chain.isWhole():
+        if agreement.position() != 0 or not agreement.mayServe() or not self.core.chain.is_whole():
             return 0
         number, now_s = agreement.decided.number, self.loop.time()
         if self.since_s is None or self.held_in not in (number, number - 1):
@@ -136,7 +136,7 @@
                 worker.listed.addr, model, version, self.core.me.name, fence
             )
             count["ordersSent"] += 1
-            if isFault(got):
+            if is_fault(got):
                 count["ordersUnanswered"] += 1
                 return
             if got == OLD_FENCE:
@@ -154,7 +154,7 @@
         await asyncio.sleep(0 if holds else 0.42)
         while not holds and self.loop.time() < end_s:
             got = await self.orders.versions(worker.listed.addr)
-            if not isFault(got):
+            if not is_fault(got):
                 holds = got[0].get(model, 0) >= version and not got[1]
                 if not holds and not got[1]:
                     return
--- a/swiftdeck/http/client.py
+++ b/swiftdeck/http/client.py
@@ -6,7 +6,7 @@
 import h11
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, TIMED_OUT, UNREACHED, WORKER_LOST, isFault
+from swiftdeck.fault import BAD_RETURN, TIMED_OUT, UNREACHED, WORKER_LOST, is_fault
 
 READ_AHEAD = 262144
 LINE_LIMIT = 262144
@@ -97,7 +97,7 @@
             return WORKER_LOST.because("connection lost")
         self.transport.write(data)
         head = await self.event()
-        return head if isFault(head) else HttpReturn(self, head)
+        return head if is_fault(head) else HttpReturn(self, head)
 
     def close(self):
         """Drop the connection."""
@@ -119,7 +119,7 @@
         """The body as it comes; `fault` is set when it broke off."""
         while True:
             event = await self.link.event()
-            if isFault(event):
+            if is_fault(event):
                 self.fault = event
                 return
             if isinstance(event, h11.EndOfMessage):
@@ -160,23 +160,23 @@
         return UNREACHED.because(f"{ip}:{port}: {error or 'no connection in time'}")
 
 
-async def fetchJson(addr, method, path, body=None, headers=(), timeoutMs=2000):
+async def fetch_json(addr, method, path, body=None, headers=(), timeoutMs=2000):
     """One exchange of JSON over a connection of its own: (status, value) or a fault."""
     link = None
     try:
         async with asyncio.timeout(timeoutMs / 1000):
             ip, _, port = addr.rpartition(":")
             link = await connect(ip, int(port), timeoutMs)
-            if isFault(link):
+            if is_fault(link):
                 return link
             data = b"" if body is None else msgspec.json.encode(body)
             got = await link.exchange(method, path, [("connection", "close"), *headers], data, addr)
-            if isFault(got):
+            if is_fault(got):
                 return got
             whole = await got.whole()
             return (
                 whole
-                if isFault(whole)
+                if is_fault(whole)
                 else (got.status, msgspec.json.decode(whole) if whole else None)
             )
     except TimeoutError:
--- a/swiftdeck/http/kept.py
+++ b/swiftdeck/http/kept.py
@@ -5,7 +5,7 @@
 import h11
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, TIMED_OUT, isFault
+from swiftdeck.fault import BAD_RETURN, TIMED_OUT, is_fault
 from swiftdeck.http.client import connect
 
 
@@ -25,7 +25,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
             got = BAD_RETURN.because(str(error))
         if (
-            isFault(got)
+            is_fault(got)
             or self.link.conn.our_state is not h11.DONE
             or self.link.conn.their_state is not h11.DONE
         ):
@@ -36,16 +36,18 @@
         if self.link is None or self.link.gone:
             ip, _, port = self.addr.rpartition(":")
             link = await connect(ip, int(port), 1000)
-            if isFault(link):
+            if is_fault(link):
                 return link
             self.link = link
         data = b"" if body is None else msgspec.json.encode(body)
         got = await self.link.exchange(method, path, headers, data, self.addr)
-        if isFault(got):
+        if is_fault(got):
             return got
         whole = await got.whole()
         return (
-            whole if isFault(whole) else (got.status, msgspec.json.decode(whole) if whole else None)
+            whole
+            if is_fault(whole)
+            else (got.status, msgspec.json.decode(whole) if whole else None)
         )
 
     def close(self):
--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -7,7 +7,7 @@
 import h11
 import msgspec
 
-from swiftdeck.fault import BAD_REQUEST, HANDLER_FAILED, SLOW_REQUEST, TOO_LARGE, Fault, isFault
+from swiftdeck.fault import BAD_REQUEST, HANDLER_FAILED, SLOW_REQUEST, TOO_LARGE, Fault, is_fault
 
 HEAD_LIMIT = 32768
 
@@ -40,7 +40,7 @@
             *whole, rest = (rest + data).split(b"\n")
             for line in whole:
                 yield line
-            if len(rest) > self.conversation.server.bodyLimit:
+            if len(rest) > self.conversation.server.body_limit:
                 return
             self.conversation.transport.resume_reading()
         if rest:
@@ -77,10 +77,10 @@
         """Cut the return off, so that it can't look complete."""
         self.conversation.abort()
 
-    async def giveFault(self, fault: Fault, headers=(), **more):
+    async def give_fault(self, fault: Fault, headers=(), **more):
         """A fault as the return, with Retry-After where it says when to come back."""
-        wait = [("retry-after", str(max(1, -(-fault.retryMs // 1000))))] if fault.retryMs else []
-        await self.give(fault.status, fault.asBody() | more, [*wait, *headers])
+        wait = [("retry-after", str(max(1, -(-fault.retry_ms // 1000))))] if fault.retry_ms else []
+        await self.give(fault.status, fault.as_body() | more, [*wait, *headers])
 
     def begin(self, status, headers):
         """Start a return; its pieces follow."""
@@ -105,9 +105,9 @@
 
     def __init__(self, server):
         self.server = server
-        self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=server.headLimit)
+        self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=server.head_limit)
         self.loop = asyncio.get_running_loop()
-        self.request, self.body, self.bodySize = None, [], 0
+        self.request, self.body, self.body_size = None, [], 0
         self.task = self.wakeup = self.transport = None
         self.paused = self.feed = None
         self.gone = self.dropping = False
@@ -121,9 +121,9 @@
         """Set the wakeup that ends a connection that is too slow."""
         if self.wakeup:
             self.wakeup.cancel()
-        self.wakeup = self.loop.call_later(ms / 1000, self.tooSlow)
+        self.wakeup = self.loop.call_later(ms / 1000, self.too_slow)
 
-    def tooSlow(self):
+    def too_slow(self):
         if self.task is None:
             if self.request or self.conn.trailing_data[0]:
                 self.drop(SLOW_REQUEST)
@@ -134,7 +134,7 @@
         if self.dropping:
             return
         if self.request is None and self.task is None and not self.conn.trailing_data[0]:
-            self.rest(self.server.slowMs)
+            self.rest(self.server.slow_ms)
         self.take(data)
         if (
             self.feed
@@ -172,14 +172,14 @@
                 self.feed = asyncio.Queue()
                 self.task = self.loop.create_task(self.serve(event, b"", self.feed))
             elif isinstance(event, h11.Request):
-                self.request, self.body, self.bodySize = event, [], 0
+                self.request, self.body, self.body_size = event, [], 0
                 if self.conn.they_are_waiting_for_100_continue:
                     self.send(h11.InformationalResponse(status_code=100, headers=[]))
             elif isinstance(event, h11.Data):
-                self.bodySize += len(event.data)
-                if self.bodySize > self.server.bodyLimit:
+                self.body_size += len(event.data)
+                if self.body_size > self.server.body_limit:
                     return self.drop(
-                        TOO_LARGE.because(f"body is over {self.server.bodyLimit} bytes")
+                        TOO_LARGE.because(f"body is over {self.server.body_limit} bytes")
                     )
                 self.body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -198,8 +198,8 @@
             exchange = HttpExchange(self, request, body)
             exchange.feed = feed
             fault = await self.server.handler(exchange)
-            if isFault(fault):
-                await exchange.giveFault(fault)
+            if is_fault(fault):
+                await exchange.give_fault(fault)
         except asyncio.CancelledError:
             self.abort()
             return
@@ -213,7 +213,7 @@
             if exchange is None or exchange.begun:
                 self.abort()
             else:
-                await exchange.giveFault(HANDLER_FAILED)
+                await exchange.give_fault(HANDLER_FAILED)
         finally:
             self.task = self.feed = None
         self.next()
@@ -242,7 +242,7 @@
         self.dropping = True
         self.server.count["faults.%d" % fault.code] += 1
         if self.conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            data = msgspec.json.encode(fault.asBody())
+            data = msgspec.json.encode(fault.as_body())
             self.send(
                 h11.Response(
                     status_code=status if status and status >= 400 else fault.status,
@@ -268,7 +268,7 @@
         """Wait until the other side takes more; one that takes nothing for too long is cut off."""
         if self.paused:
             try:
-                async with asyncio.timeout(self.server.slowWriteMs / 1000):
+                async with asyncio.timeout(self.server.slow_write_ms / 1000):
                     await self.paused
             except TimeoutError:
                 self.server.count["slowCallers"] += 1
@@ -309,17 +309,17 @@
     def __init__(
         self,
         handler,
-        bodyLimit=4 << 20,
+        body_limit=4 << 20,
         idleMs=60000,
-        slowMs=10000,
-        slowWriteMs=20000,
+        slow_ms=10000,
+        slow_write_ms=20000,
         note=lambda *_, **__: None,
         streams=(),
     ):
-        self.handler, self.bodyLimit, self.note, self.streams = handler, bodyLimit, note, streams
-        self.idleMs, self.slowMs, self.slowWriteMs = idleMs, slowMs, slowWriteMs
+        self.handler, self.body_limit, self.note, self.streams = handler, body_limit, note, streams
+        self.idleMs, self.slow_ms, self.slow_write_ms = idleMs, slow_ms, slow_write_ms
         self.open, self.stopping, self.closing, self.server = {}, False, False, None
-        self.headLimit = HEAD_LIMIT
+        self.head_limit = HEAD_LIMIT
         self.count = Counter()
 
     async def start(self, ip, port):
--- a/swiftdeck/member/membership.py
+++ b/swiftdeck/member/membership.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import Done, Member, Probe, ProbeReturn, Roster
 
 ALIVE, SUSPECT, GONE = 0, 1, 2
@@ -16,7 +16,7 @@
     """A neighbour and what this process thinks of it."""
 
     member: Member
-    sinceS: float
+    since_s: float
     tells: int = 0
 
 
@@ -28,9 +28,9 @@
         self.probeMs, self.suspectMs, self.board = probeMs, suspectMs, board
         self.known, self.turn, self.waiting, self.serial = {}, [], {}, 0
         self.watchers = []
-        mesh.on(Probe, self.onProbe)
-        mesh.on(ProbeReturn, self.onProbeReturn)
-        mesh.on(Roster, self.onRoster)
+        mesh.on(Probe, self.on_probe)
+        mesh.on(ProbeReturn, self.on_probe_return)
+        mesh.on(Roster, self.on_roster)
 
     def start(self):
         """Join and go on probing."""
@@ -61,7 +61,7 @@
             each.tells -= 1
         return [each.member for each in fresh]
 
-    def learn(self, member: Member, isDirect=False):
+    def learn(self, member: Member, is_direct=False):
         """Take in what was heard of a process."""
         if not member.addr or not member.incarnation:
             return
@@ -69,7 +69,7 @@
             if member.state != ALIVE and member.refuted >= self.me.refuted:
                 self.me.refuted = member.refuted + 1
             return
-        if isDirect:
+        if is_direct:
             for other in [
                 each.member
                 for each in self.known.values()
@@ -87,7 +87,7 @@
             before = old.member.state
             old.member, old.tells = member, 8
             if before != member.state:
-                old.sinceS = self.loop.time()
+                old.since_s = self.loop.time()
                 self._changed(member)
 
     def _set(self, member, state):
@@ -102,12 +102,12 @@
         for watch in self.watchers:
             watch(member)
 
-    def onProbe(self, probe, sender):
+    def on_probe(self, probe, sender):
         self.learn(probe.sender, True)
         for each in probe.about:
             self.learn(each)
         if probe.target and probe.target != self.me.addr:
-            return asyncio.ensure_future(self._secondOpinion(probe, sender))
+            return asyncio.ensure_future(self._second_opinion(probe, sender))
         about = self._about()
         mine = self.known.get(probe.sender.incarnation)
         if mine and mine.member.state != ALIVE:
@@ -117,13 +117,13 @@
             ProbeReturn(sender=self.me, target=self.me.addr, serial=probe.serial, about=about),
         )
 
-    async def _secondOpinion(self, probe, sender):
+    async def _second_opinion(self, probe, sender):
         if await self._reach(probe.target, self.probeMs * 0.4):
             self.mesh.cast(
                 sender, ProbeReturn(sender=self.me, target=probe.target, serial=probe.serial)
             )
 
-    def onProbeReturn(self, told, sender):
+    def on_probe_return(self, told, sender):
         self.learn(told.sender, True)
         for each in told.about:
             self.learn(each)
@@ -131,7 +131,7 @@
         if done and not done.done():
             done.set_result(True)
 
-    def onRoster(self, roster, sender):
+    def on_roster(self, roster, sender):
         for each in roster.members:
             self.learn(each)
         return Roster(members=[self.me, *(each.member for each in self.known.values())])
@@ -151,7 +151,7 @@
         finally:
             del self.waiting[number]
 
-    def _nominateNext(self):
+    def _nominate_next(self):
         self.turn = [
             each
             for each in self.turn
@@ -164,30 +164,30 @@
 
     async def _probing(self):
         while True:
-            startS = self.loop.time()
-            target = self._nominateNext()
+            start_s = self.loop.time()
+            target = self._nominate_next()
             if target:
                 await self._probe(target.member)
             self._expire()
-            await asyncio.sleep(max(0.05, self.probeMs / 1000 - (self.loop.time() - startS)))
+            await asyncio.sleep(max(0.05, self.probeMs / 1000 - (self.loop.time() - start_s)))
 
     async def _probe(self, member):
-        startS = self.loop.time()
+        start_s = self.loop.time()
         if await self._reach(member.addr, self.probeMs * 0.4):
             return
         others = [each.addr for each in self.some(3) if each.addr != member.addr][:2]
         heard = await self._reach(member.addr, self.probeMs * 0.6, others) if others else False
-        isLate = self.loop.time() - startS > 2 * self.probeMs / 1000
+        is_late = self.loop.time() - start_s > 2 * self.probeMs / 1000
         now = self.known.get(member.incarnation)
-        if not heard and not isLate and now and now.member.state == ALIVE:
+        if not heard and not is_late and now and now.member.state == ALIVE:
             self._set(now.member, SUSPECT)
 
     def _expire(self):
-        nowS = self.loop.time()
+        now_s = self.loop.time()
         for each in list(self.known.values()):
-            if each.member.state == SUSPECT and nowS - each.sinceS > self.suspectMs / 1000:
+            if each.member.state == SUSPECT and now_s - each.since_s > self.suspectMs / 1000:
                 self._set(each.member, GONE)
-            elif each.member.state == GONE and nowS - each.sinceS > 600:
+            elif each.member.state == GONE and now_s - each.since_s > 600:
                 del self.known[each.member.incarnation]
 
     async def _seeking(self):
@@ -201,7 +201,7 @@
 
     async def _join(self, addr):
         got = await self.mesh.ask(addr, Roster(members=[self.me, *self.alive()]))
-        if not isFault(got) and not isinstance(got, Done):
+        if not is_fault(got) and not isinstance(got, Done):
             for each in got.members:
                 self.learn(each)
 
@@ -212,6 +212,6 @@
         for each in self.alive():
             self.mesh.cast(each.addr, Roster(members=[gone]))
 
-    def setSeeds(self, seeds):
+    def set_seeds(self, seeds):
         """Exchange the seeds at run time."""
         self.seeds = list(seeds)
--- a/swiftdeck/member/news.py
+++ b/swiftdeck/member/news.py
@@ -2,18 +2,23 @@
 
 import asyncio
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import News, NewsDigest, NewsItem
 
 
 class NewsTable:
     """Items by key; of two items with one key the higher stamp stands."""
 
-    def __init__(self, mesh, membership, fanOut=3, digestMs=1000):
-        self.mesh, self.membership, self.fanOut, self.digestMs = mesh, membership, fanOut, digestMs
+    def __init__(self, mesh, membership, fan_out=3, digest_ms=1000):
+        self.mesh, self.membership, self.fan_out, self.digest_ms = (
+            mesh,
+            membership,
+            fan_out,
+            digest_ms,
+        )
         self.items, self.watchers = {}, {}
-        mesh.on(News, self.onNews)
-        mesh.on(NewsDigest, self.onDigest)
+        mesh.on(News, self.on_news)
+        mesh.on(NewsDigest, self.on_digest)
 
     def start(self):
         """Go on mending gaps."""
@@ -27,10 +32,10 @@
         """Bring news into the fleet."""
         self._take([NewsItem(key=key, stamp=stamp, body=body)])
 
-    def onNews(self, news, sender):
+    def on_news(self, news, sender):
         self._take(news.items, sender)
 
-    def onDigest(self, digest, sender):
+    def on_digest(self, digest, sender):
         theirs = dict(zip(digest.keys, digest.stamps, strict=False))
         return News(
             items=[item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)]
@@ -48,13 +53,13 @@
                 if item.key.startswith(prefix):
                     watcher(item.key, item.stamp, item.body)
         if fresh:
-            for each in self.membership.some(self.fanOut):
+            for each in self.membership.some(self.fan_out):
                 if each.addr != sender:
                     self.mesh.tell(each.addr, News(items=fresh))
 
     async def _mending(self):
         while True:
-            await asyncio.sleep(self.digestMs / 1000)
+            await asyncio.sleep(self.digest_ms / 1000)
             for each in self.membership.some(1):
                 got = await self.mesh.ask(
                     each.addr,
@@ -62,5 +67,5 @@
                         keys=list(self.items), stamps=[item.stamp for item in self.items.values()]
                     ),
                 )
-                if isinstance(got, News) and not isFault(got):
+                if isinstance(got, News) and not is_fault(got):
                     self._take(got.items, each.addr)
--- a/swiftdeck/platform/caches.py
+++ b/swiftdeck/platform/caches.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, isFault
+from swiftdeck.fault import BAD_RETURN, is_fault
 from swiftdeck.gateway.seams import Kept, Reports
 from swiftdeck.http.kept import KeptJson
 
@@ -41,8 +41,8 @@
         got = await self.kept.fetch(
             "GET", f"{PATH}?since={since}", headers=[(WAIT, str(wait_ms))], timeout_ms=wait_ms + 500
         )
-        if isFault(got) or got[0] != 200:
-            return got if isFault(got) else BAD_RETURN.because(f"reports say {got[0]}")
+        if is_fault(got) or got[0] != 200:
+            return got if is_fault(got) else BAD_RETURN.because(f"reports say {got[0]}")
         try:
             told = msgspec.convert(got[1], Told)
         except msgspec.ValidationError as error:
--- a/swiftdeck/platform/configs.py
+++ b/swiftdeck/platform/configs.py
@@ -14,10 +14,10 @@
     Path,
     Service,
     Tenant,
-    keyDigest,
+    key_digest,
     told,
 )
-from swiftdeck.fault import INVALID, isFault
+from swiftdeck.fault import INVALID, is_fault
 
 TABLES = {"routes": "paths", "backends": "services", "customers": "tenants"}
 VERSION, PUT_ITEMS, REMOVE_NAMES = "version", "put-items", "remove-names"
@@ -140,7 +140,7 @@
     def entry(self, item):
         """The tenant of ours."""
         return Tenant(
-            keys=[keyDigest(key) for key in self.api_keys],
+            keys=[key_digest(key) for key in self.api_keys],
             apart=self.isolated,
             urgency=self.urgency,
             told=item,
@@ -232,7 +232,7 @@
         for name in TABLES
         if raw.get(name) is not None
     }
-    fault = next(filter(isFault, tables.values()), None)
+    fault = next(filter(is_fault, tables.values()), None)
     if fault is not None:
         return fault
     return tables | (
@@ -253,11 +253,11 @@
 
 def _named(items):
     """The items of a list that isn't ours by name, or none where it isn't one of named items."""
-    isNamed = isinstance(items, list) and all(
+    is_named = isinstance(items, list) and all(
         isinstance(item, dict) and isinstance(item.get("name"), str) for item in items
     )
-    named = {item["name"]: [item] for item in items} if isNamed else {}
-    return named if isNamed and len(named) == len(items) else None
+    named = {item["name"]: [item] for item in items} if is_named else {}
+    return named if is_named and len(named) == len(items) else None
 
 
 def _others(raw):
@@ -280,11 +280,11 @@
 def whole(body: bytes, base: int):
     """The change id and the change for a whole configuration on top of a number, or a fault."""
     got = _read(body, Whole)
-    if isFault(got):
+    if is_fault(got):
         return got
     read, raw = got
     tables = _tables("$", read, raw)
-    if isFault(tables):
+    if is_fault(tables):
         return tables
     edition = {"number": read.version, "keyed": read.customers is not None, "told": _others(raw)}
     document = (
@@ -307,12 +307,12 @@
 def items(body: bytes, base: int):
     """The change id and the change for a change of named items on top of a number, or a fault."""
     got = _read(body, Changes)
-    if isFault(got):
+    if is_fault(got):
         return got
     read, raw = got
     put, gone = raw.get(PUT_ITEMS, {}), read.remove_names
     tables = _tables(f"$.{PUT_ITEMS}", read.put_items, put)
-    if isFault(tables):
+    if is_fault(tables):
         return tables
     lists = {name: _named(part) for name, part in put.items() if name not in (*TABLES, "limits")}
     wrong = next((name for name, named in lists.items() if named is None), None)
@@ -347,7 +347,7 @@
 def weights(body: bytes):
     """The change id and the change for new weights of a model, or a fault."""
     got = _read(body, Weights)
-    if isFault(got):
+    if is_fault(got):
         return got
     read, _ = got
     return _change(
