--- a/swiftdeck/platform/lists.py
+++ b/swiftdeck/platform/lists.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, isFault
+from swiftdeck.fault import BAD_RETURN, is_fault
 from swiftdeck.gateway.seams import Listed
-from swiftdeck.http.client import fetchJson
+from swiftdeck.http.client import fetch_json
 
 PATH, WORKERS, NEXT, PAGE = "/workers", "app-servers", "next-token", "page-token"
 PAGES_MOST = 200
@@ -48,11 +48,11 @@
         found, token, seen = [], None, set()
         while token not in seen and len(seen) < PAGES_MOST:
             seen.add(token)
-            got = await fetchJson(
+            got = await fetch_json(
                 self.addr, "GET", f"{PATH}?{PAGE}={token}" if token else PATH, timeoutMs=1000
             )
-            if isFault(got) or got[0] != 200:
-                return got if isFault(got) else BAD_RETURN.because(f"list says {got[0]}")
+            if is_fault(got) or got[0] != 200:
+                return got if is_fault(got) else BAD_RETURN.because(f"list says {got[0]}")
             try:
                 page = msgspec.convert(got[1], Page)
             except msgspec.ValidationError as error:
--- a/swiftdeck/platform/operator_door.py
+++ b/swiftdeck/platform/operator_door.py
@@ -13,7 +13,7 @@
     REUSED_CHANGE,
     TIMED_OUT,
     UNDECIDED,
-    isFault,
+    is_fault,
 )
 from swiftdeck.platform import configs
 from swiftdeck.wire.messages import ConfigAsk
@@ -42,8 +42,8 @@
         if method not in (("PUT", "PATCH") if path == CONFIG_PATH else ("POST",)):
             return await self._refuse(exchange, BAD_METHOD)
         asked = configs.weights(exchange.body) if path == WEIGHTS_PATH else self._asked(exchange)
-        got = asked if isFault(asked) else await self._outcome(*asked)
-        if isFault(got):
+        got = asked if is_fault(asked) else await self._outcome(*asked)
+        if is_fault(got):
             return await self._refuse(exchange, got)
         self.core.board.count["changesTaken"] += 1
         return await exchange.give(200, {"code": 0, "changeId": asked[0]})
@@ -67,16 +67,16 @@
 
     async def _write(self, change_id, change):
         got = await self.core.scribe.write(change_id, change)
-        isOther = isFault(got) and got.code == REUSED_CHANGE.code
-        return await self.core.scribe.outcome(change_id) if isOther else got
+        is_other = is_fault(got) and got.code == REUSED_CHANGE.code
+        return await self.core.scribe.outcome(change_id) if is_other else got
 
     async def _show(self, exchange):
         try:
             async with asyncio.timeout(ANSWER_WITHIN_MS / 1000):
-                got = await self.core.scribe.readTail(ConfigAsk())
+                got = await self.core.scribe.read_tail(ConfigAsk())
         except TimeoutError:
             got = TIMED_OUT
-        if isFault(got):
+        if is_fault(got):
             return await self._refuse(exchange, got)
         return await exchange.give(200, configs.shown(msgspec.json.decode(got.document or b"{}")))
 
@@ -84,5 +84,5 @@
         self.core.board.count["faults.%d" % fault.code] += 1
         status = STATUSES.get(fault.code, NO_VIEW.status)
         await exchange.give(
-            status, fault.asBody(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)]
+            status, fault.as_body(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)]
         )
--- a/swiftdeck/platform/orders.py
+++ b/swiftdeck/platform/orders.py
@@ -1,7 +1,7 @@
 """Orders to the platform's workers to take new weights."""
 
-from swiftdeck.fault import BAD_RETURN, isFault
-from swiftdeck.http.client import fetchJson
+from swiftdeck.fault import BAD_RETURN, is_fault
+from swiftdeck.http.client import fetch_json
 
 ORDER, REPORT, METHOD = "/swiftdeck/order", "/swiftdeck/report", "wait"
 
@@ -11,7 +11,7 @@
 
     async def order(self, addr: str, model: str, version: int, owner: str, fence: int):
         """The status of the order, or a fault; with a fault it may have been taken."""
-        got = await fetchJson(
+        got = await fetch_json(
             addr,
             "POST",
             ORDER,
@@ -25,13 +25,13 @@
             },
             timeoutMs=800,
         )
-        return got if isFault(got) else got[0]
+        return got if is_fault(got) else got[0]
 
     async def versions(self, addr: str):
         """(Versions by model, whether an order is under way), or a fault."""
-        got = await fetchJson(addr, "GET", REPORT, timeoutMs=800)
-        if isFault(got) or got[0] != 200 or not isinstance(got[1], dict):
-            return got if isFault(got) else BAD_RETURN.because("report can't be read")
+        got = await fetch_json(addr, "GET", REPORT, timeoutMs=800)
+        if is_fault(got) or got[0] != 200 or not isinstance(got[1], dict):
+            return got if is_fault(got) else BAD_RETURN.because("report can't be read")
         models = [
             each
             for each in got[1].get("models") or ()
--- a/swiftdeck/platform/program.py
+++ b/swiftdeck/platform/program.py
@@ -5,9 +5,9 @@
 import random
 import sys
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.platform.settings import read_place
-from swiftdeck.programs.loop import makeLog, runUntilSignal
+from swiftdeck.programs.loop import make_log, run_until_signal
 
 READY = "/swiftdeck/ready"
 LOOK_S, COUNTERS_S = 1.0, 10.0
@@ -33,10 +33,10 @@
 
 def _seeds_again(role, node, log):
     place = read_place(role)
-    if isFault(place):
+    if is_fault(place):
         node.board.put("settings", place.reason)
     elif place.settings.seeds != node.membership.seeds:
-        node.membership.setSeeds(place.settings.seeds)
+        node.membership.set_seeds(place.settings.seeds)
         log.info("seeds exchanged", seeds=place.settings.seeds)
 
 
@@ -48,7 +48,7 @@
 
 
 def _run(role, place, make):
-    log, box = makeLog(place.settings.name, os.environ.get("SWIFTDECK_LOG", "info")), []
+    log, box = make_log(place.settings.name, os.environ.get("SWIFTDECK_LOG", "info")), []
 
     async def start():
         box.append(make(place, log))
@@ -57,7 +57,7 @@
         box.append(asyncio.ensure_future(_count_aloud(box[0], log)))
         return fault
 
-    return runUntilSignal(start, lambda: box[0].stop(), lambda: _seeds_again(role, box[0], log))
+    return run_until_signal(start, lambda: box[0].stop(), lambda: _seeds_again(role, box[0], log))
 
 
 def router(place, log):
@@ -105,7 +105,7 @@
         print("fault 600 setting is invalid: say router or core", file=sys.stderr)
         return 2
     place = read_place(role)
-    if isFault(place):
+    if is_fault(place):
         print(f"fault {place.code} {place.name}: {place.reason}", file=sys.stderr)
         return 2
     return _run(role, place, {"router": router, "core": core}[role])
--- a/swiftdeck/platform/speech.py
+++ b/swiftdeck/platform/speech.py
@@ -108,11 +108,11 @@
         headers = [("Content-Type", "application/json")]
         headers += [("Swiftdeck-Request-Id", request.name)] if request is not None else []
         headers += (
-            [(RETRY_AFTER, f"{fault.retryMs / 1000:.3f}")]
-            if fault.retryMs and status in (429, 503)
+            [(RETRY_AFTER, f"{fault.retry_ms / 1000:.3f}")]
+            if fault.retry_ms and status in (429, 503)
             else []
         )
-        return status, headers, msgspec.json.encode(fault.asBody())
+        return status, headers, msgspec.json.encode(fault.as_body())
 
 
 class Workers:
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -22,7 +22,7 @@
 from swiftdeck.bench.record import FileRecord
 from swiftdeck.bench.store import Store
 from swiftdeck.bench.worker import Worker
-from swiftdeck.programs.loop import BootLoop, runUntilSignal
+from swiftdeck.programs.loop import BootLoop, run_until_signal
 from swiftdeck.sim.storm import BITES, SCENARIOS, Storm, idle
 
 app = typer.Typer(
@@ -38,7 +38,7 @@
 BITES_SEEDS = 8
 
 
-def runStorm(work):
+def run_storm(work):
     """One seed of a scenario: what came of it, and its faults."""
     storm = Storm(*work)
     try:
@@ -54,7 +54,7 @@
     async def stop():
         part.http.stop()
 
-    raise typer.Exit(runUntilSignal(part.start, stop))
+    raise typer.Exit(run_until_signal(part.start, stop))
 
 
 @app.command()
@@ -120,15 +120,15 @@
     faults: Annotated[
         bool, typer.Option(help="Kill a worker, a router, a core and the keeper.")
     ] = False,
-    basePort: int = 21000,
+    base_port: int = 21000,
     routers: int = 9,
-    shortEveryS: float = 0.8,
+    short_every_s: float = 0.8,
 ):
     """Run a whole site on loopback, drive its traffic, and check the records."""
-    it = Fleet(folder, site, basePort, routers)
+    it = Fleet(folder, site, base_port, routers)
 
     async def main():
-        it.startAll()
+        it.start_all()
         got = await it.configure()
         typer.echo(f"configured: {got}")
         if got is None:
@@ -139,7 +139,7 @@
                 f"key {next(iter(it.site.keys.values()))}"
             )
             await asyncio.Event().wait()
-        await it.drive(seconds, faults, shortEveryS)
+        await it.drive(seconds, faults, short_every_s)
         return 0
 
     status = 1
@@ -150,7 +150,7 @@
     except KeyboardInterrupt:
         status = 0
     finally:
-        it.stopAll()
+        it.stop_all()
     if seconds:
         breaches, sums = it.verdict()
         typer.echo(json.dumps(sums))
@@ -176,15 +176,15 @@
     work = [(name, number, seconds) for name in names for number in range(seed, seed + seeds)]
     broken, sums, acts = 0, Counter(), {name: Counter() for name in names}
     with ProcessPoolExecutor(jobs) as pool:
-        for (name, number, _), (got, faults) in zip(work, pool.map(runStorm, work), strict=False):
+        for (name, number, _), (got, faults) in zip(work, pool.map(run_storm, work), strict=False):
             broken += bool(got["breaches"])
             acts[name].update(got.pop("acts", {}))
             sums.update({key: got.get(key, 0) for key in ("faults", "returns", "served", "runs")})
             if got["breaches"] or trace or len(work) <= 5:
                 typer.echo(json.dumps({"scenario": name} | got))
-                for atS, what in faults:
+                for at_s, what in faults:
                     if trace:
-                        typer.echo(f"  {atS} {what}")
+                        typer.echo(f"  {at_s} {what}")
     typer.echo(json.dumps({"seeds": len(work), "broken": broken} | sums))
     for name in names if seeds >= BITES_SEEDS else []:
         typer.echo(
@@ -195,25 +195,25 @@
 
 
 @app.command("growth")
-def growthCommand(
+def growth_command(
     folder: Annotated[str, typer.Option(help="Folder for data, records and logs.")],
     routes: Annotated[
         list[int], typer.Option(help="How many routes; may be given several times.")
     ] = [0, 1000, 5000],
-    basePort: int = 22000,
+    base_port: int = 22000,
 ):
     """Measure acknowledgements and stalls on real processes, with configurations of many routes."""
     for at, count in enumerate(routes):
-        it = Fleet(f"{folder}/{count}", basePort=basePort + 100 * at)
-        it.startAll()
+        it = Fleet(f"{folder}/{count}", base_port=base_port + 100 * at)
+        it.start_all()
         try:
             with asyncio.Runner(loop_factory=BootLoop) as runner:
                 typer.echo(json.dumps(runner.run(growth(it, count))))
         finally:
-            it.stopAll()
+            it.stop_all()
 
 
-def runMeasure(work):
+def run_measure(work):
     """One measurement under one seed."""
     name, seed = work
     return list(MEASURES[name](seed))
@@ -235,7 +235,7 @@
     with ProcessPoolExecutor(jobs) as pool:
         for number, rows in zip(
             range(seed, seed + seeds),
-            pool.map(runMeasure, [(name, each) for each in range(seed, seed + seeds)]),
+            pool.map(run_measure, [(name, each) for each in range(seed, seed + seeds)]),
             strict=False,
         ):
             for row in rows:
@@ -253,7 +253,7 @@
     cores: Annotated[
         list[int], typer.Option(help="How many cores; may be given several times.")
     ] = [3],
-    workersEach: Annotated[
+    workers_each: Annotated[
         float, typer.Option(help="Workers for each router.")
     ] = scales.WORKERS_EACH,
     seconds: Annotated[float, typer.Option(help="Simulated time that is measured.")] = 4.0,
@@ -269,7 +269,7 @@
         typer.echo("\n".join(scales.table(list(scales.parts()), scales.PARTS)))
         return
     work = [
-        (number, count, chain, workersEach, seconds)
+        (number, count, chain, workers_each, seconds)
         for count in routers
         for chain in cores
         for number in range(seed, seed + seeds)
--- a/swiftdeck/programs/deck.py
+++ b/swiftdeck/programs/deck.py
@@ -10,14 +10,14 @@
 import msgspec
 import typer
 
-from swiftdeck.config.document import keyDigest
-from swiftdeck.config.settings import readSettings
+from swiftdeck.config.document import key_digest
+from swiftdeck.config.settings import read_settings
 from swiftdeck.control.client import OperatorClient
 from swiftdeck.control.core import Core
 from swiftdeck.control.doctor import examine
 from swiftdeck.disk.folder import DataFolder
-from swiftdeck.fault import isFault
-from swiftdeck.programs.loop import makeLog, runUntilSignal
+from swiftdeck.fault import is_fault
+from swiftdeck.programs.loop import make_log, run_until_signal
 from swiftdeck.traffic.router import Router
 
 app = typer.Typer(
@@ -52,20 +52,20 @@
 
 
 def _settings(path, flags):
-    settings = readSettings(path, flags)
-    if isFault(settings):
+    settings = read_settings(path, flags)
+    if is_fault(settings):
         typer.echo(f"fault {settings.code} {settings.name}: {settings.reason}", err=True)
         raise typer.Exit(2)
     return settings
 
 
-def _seedsAgain(path, flags, node, log):
+def _seeds_again(path, flags, node, log):
     def again():
-        settings = readSettings(path, flags)
-        if isFault(settings):
+        settings = read_settings(path, flags)
+        if is_fault(settings):
             log.warning("settings not taken", reason=settings.reason)
         else:
-            node.membership.setSeeds(settings.seeds)
+            node.membership.set_seeds(settings.seeds)
             log.info("seeds exchanged", seeds=settings.seeds)
 
     return again
@@ -97,7 +97,7 @@
     if not checked.dataFolder:
         typer.echo("fault 600 setting is invalid: a core needs dataFolder (--data)", err=True)
         raise typer.Exit(2)
-    log = makeLog(checked.name, level)
+    log = make_log(checked.name, level)
     try:
         folder = DataFolder(checked.dataFolder)
     except OSError as error:
@@ -110,8 +110,8 @@
         return await box[0].start()
 
     raise typer.Exit(
-        runUntilSignal(
-            start, lambda: box[0].stop(), lambda: _seedsAgain(settings, flags, box[0], log)()
+        run_until_signal(
+            start, lambda: box[0].stop(), lambda: _seeds_again(settings, flags, box[0], log)()
         )
     )
 
@@ -141,7 +141,7 @@
         "operatorKey": operatorKey,
     }
     checked = _settings(settings, flags)
-    log = makeLog(checked.name, level)
+    log = make_log(checked.name, level)
     box = []
 
     async def start():
@@ -149,15 +149,15 @@
         await box[0].start()
 
     raise typer.Exit(
-        runUntilSignal(
-            start, lambda: box[0].stop(), lambda: _seedsAgain(settings, flags, box[0], log)()
+        run_until_signal(
+            start, lambda: box[0].stop(), lambda: _seeds_again(settings, flags, box[0], log)()
         )
     )
 
 
 def _show(got):
     """Print an answer; ends with status 1 on a fault."""
-    if isFault(got):
+    if is_fault(got):
         typer.echo(f"fault {got.code} {got.name}: {got.reason}", err=True)
         raise typer.Exit(1)
     status, body = got
@@ -179,7 +179,7 @@
     client, document = OperatorClient(door, operator), _read(file)
     _show(
         asyncio.run(
-            client.changeNewest(method, lambda _: document, changeId, author)
+            client.change_newest(method, lambda _: document, changeId, author)
             if base is None
             else client.change(method, document, base, changeId, author)
         )
@@ -294,7 +294,7 @@
 
     texts = asyncio.run(work())
     for got in texts:
-        if isFault(got) or got[0] != 200:
+        if is_fault(got) or got[0] != 200:
             _show(got)
     lines = [got[1]["text"].splitlines() for got in texts]
     typer.echo(
@@ -312,13 +312,13 @@
 ):
     """Name new weights for a model; once this returns, no call starts on the old ones."""
     client, patch = OperatorClient(core, operatorKey), {"models": {model: {"weights": version}}}
-    _show(asyncio.run(client.changeNewest("PATCH", lambda _: patch, author=author)))
+    _show(asyncio.run(client.change_newest("PATCH", lambda _: patch, author=author)))
 
 
 @keys.command()
 def digest(key: Annotated[str, typer.Argument(help="A tenant's key.")]):
     """Show how a key stands in a configuration."""
-    typer.echo(keyDigest(key))
+    typer.echo(key_digest(key))
 
 
 @keys.command()
@@ -331,7 +331,7 @@
     """Take a key from a tenant; connected clients lose it too."""
     client, gone = (
         OperatorClient(core, operatorKey),
-        key if key.startswith("sha256:") else keyDigest(key),
+        key if key.startswith("sha256:") else key_digest(key),
     )
 
     def without(document):
@@ -342,7 +342,7 @@
         ]
         return {"tenants": {tenant: {"keys": kept}}}
 
-    _show(asyncio.run(client.changeNewest("PATCH", without)))
+    _show(asyncio.run(client.change_newest("PATCH", without)))
 
 
 @app.command()
@@ -350,7 +350,7 @@
     core: Door = "127.0.0.1:8000",
     operatorKey: Operator = "",
     settings: SettingsFile = "",
-    asJson: Annotated[bool, typer.Option("--json", help="Findings as JSON.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Findings as JSON.")] = False,
 ):
     """Look for common faults; each finding has a code and what to do. The status is 1 when one was found."""
     seeds, folder = [], ""
@@ -358,7 +358,7 @@
         checked = _settings(settings, {})
         seeds, folder = checked.seeds, checked.dataFolder
     findings = asyncio.run(examine(OperatorClient(core, operatorKey), seeds, folder))
-    if asJson:
+    if as_json:
         typer.echo(msgspec.json.encode(findings).decode())
     else:
         for each in findings:
--- a/swiftdeck/programs/loop.py
+++ b/swiftdeck/programs/loop.py
@@ -16,7 +16,7 @@
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def makeLog(name, level="info"):
+def make_log(name, level="info"):
     """Lines of JSON on standard error, for changes of state only."""
     structlog.configure(
         processors=[
@@ -30,15 +30,15 @@
     return structlog.get_logger().bind(process=name)
 
 
-def runUntilSignal(start, stop, onHangup=None) -> int:
+def run_until_signal(start, stop, on_hangup=None) -> int:
     """Run a process until SIGTERM or SIGINT; gives its exit status."""
 
     async def main():
         loop, done = asyncio.get_running_loop(), asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, done.set)
-        if onHangup:
-            loop.add_signal_handler(signal.SIGHUP, onHangup)
+        if on_hangup:
+            loop.add_signal_handler(signal.SIGHUP, on_hangup)
         fault = await start()
         if fault is not None and not fault:
             print(f"fault {fault.code} {fault.name}: {fault.reason}", file=sys.stderr)
--- a/swiftdeck/sim/folder.py
+++ b/swiftdeck/sim/folder.py
@@ -47,11 +47,11 @@
         del self.written[name][length:]
         self.synced[name] = bytes(self.written[name])
 
-    def freeBytes(self) -> int:
+    def free_bytes(self) -> int:
         """Room left."""
         return 0 if self.full else 1 << 30
 
-    def losePower(self, torn=0):
+    def lose_power(self, torn=0):
         """Forget what was not synced, but for a torn first part of it."""
         self.written = {
             name: bytearray(data + bytes(self.written.get(name, b""))[len(data) : len(data) + torn])
--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -12,8 +12,8 @@
         super().__init__({"sockname": local, "peername": remote})
         self.net, self.loop, self.local, self.remote = net, loop, local, remote
         self.protocol = self.other = None
-        self.closing = self.gone = self.readPaused = self.writePaused = self.eofSent = False
-        self.inbox, self.outstanding, self.readyAt = [], 0, 0.0
+        self.closing = self.gone = self.read_paused = self.write_paused = self.eof_sent = False
+        self.inbox, self.outstanding, self.ready_at = [], 0, 0.0
 
     def get_protocol(self):
         return self.protocol
@@ -38,13 +38,13 @@
             return
         self.outstanding += len(data)
         self._post(bytes(data))
-        if self.outstanding > HIGH_WATER and not self.writePaused:
-            self.writePaused = True
+        if self.outstanding > HIGH_WATER and not self.write_paused:
+            self.write_paused = True
             self.protocol.pause_writing()
 
     def write_eof(self):
-        if not self.closing and not self.eofSent:
-            self.eofSent = True
+        if not self.closing and not self.eof_sent:
+            self.eof_sent = True
             self._post(None)
 
     def can_write_eof(self):
@@ -56,7 +56,7 @@
     def close(self):
         if not self.closing:
             self.closing = True
-            if not self.eofSent:
+            if not self.eof_sent:
                 self._post(None)
             self.loop.call_soon(self._lost, None)
 
@@ -73,14 +73,14 @@
             self.protocol.connection_lost(error)
 
     def pause_reading(self):
-        self.readPaused = True
+        self.read_paused = True
 
     def resume_reading(self):
-        self.readPaused = False
+        self.read_paused = False
         self.loop.call_soon(self._drain)
 
     def is_reading(self):
-        return not self.readPaused
+        return not self.read_paused
 
     def arrive(self, item):
         """Take what came over the network."""
@@ -90,7 +90,7 @@
     def _drain(self):
         while self.inbox and not self.gone:
             item = self.inbox[0]
-            if isinstance(item, bytes) and self.readPaused and not self.closing:
+            if isinstance(item, bytes) and self.read_paused and not self.closing:
                 return
             self.inbox.pop(0)
             if isinstance(item, bytes):
@@ -107,8 +107,8 @@
 
     def _taken(self, count):
         self.outstanding -= count
-        if self.writePaused and self.outstanding <= HIGH_WATER // 4:
-            self.writePaused = False
+        if self.write_paused and self.outstanding <= HIGH_WATER // 4:
+            self.write_paused = False
             if not self.gone and not self.loop.dead:
                 self.loop.call_soon(self.protocol.resume_writing)
 
@@ -121,7 +121,7 @@
         self.net, self.loop, self.local, self.closing = net, loop, local, False
 
     def sendto(self, data, addr=None):
-        self.net.sendDatagram(self, bytes(data), addr)
+        self.net.send_datagram(self, bytes(data), addr)
 
     def close(self):
         self.closing = True
@@ -153,7 +153,7 @@
         self.world = world
         self.listeners, self.datagrams, self.open = {}, {}, {}
         self.cuts, self.stuck, self.slow = set(), [], {}
-        self.lossRate, self.nextPort, self.vanished = 0.0, 40000, set()
+        self.loss_rate, self.next_port, self.vanished = 0.0, 40000, set()
 
     def cut(self, sources, targets, both=True):
         """Lose all that goes from some addresses to others."""
@@ -169,11 +169,11 @@
         for transport, item in stuck:
             self.send(transport, item)
 
-    def isCut(self, a, b):
+    def is_cut(self, a, b):
         """Whether what `a` sends to `b` is lost."""
         return (a, b) in self.cuts
 
-    def delayS(self, a, b):
+    def delay_s(self, a, b):
         """How long one piece takes from `a` to `b`."""
         return self.slow.get((a, b), 0.0) + (
             0.0002 if a == b else self.world.random.uniform(0.0003, 0.0009)
@@ -182,8 +182,8 @@
     def listen(self, loop, factory, host, port):
         """Open a listener; port 0 takes the next free one."""
         if not port:
-            self.nextPort += 1
-            port = self.nextPort
+            self.next_port += 1
+            port = self.next_port
         if (host, port) in self.listeners:
             raise OSError(98, "address in use")
         self.listeners[(host, port)] = (loop, factory)
@@ -193,9 +193,9 @@
     async def connect(self, loop, factory, host, port):
         """Open a stream, as a process does."""
         done = loop.create_future()
-        if not self.isCut(loop.ip, host):
+        if not self.is_cut(loop.ip, host):
             self.world.at(
-                self.delayS(loop.ip, host), lambda: self._reach(loop, factory, host, port, done)
+                self.delay_s(loop.ip, host), lambda: self._reach(loop, factory, host, port, done)
             )
         return await done
 
@@ -207,11 +207,11 @@
             if host not in self.vanished:
                 loop.call_soon(self._finish, done, ConnectionRefusedError(111, "refused"))
             return
-        if self.isCut(host, loop.ip):
+        if self.is_cut(host, loop.ip):
             return
-        server, serverFactory = found
-        self.nextPort += 1
-        local, remote = (loop.ip, self.nextPort), (host, port)
+        server, server_factory = found
+        self.next_port += 1
+        local, remote = (loop.ip, self.next_port), (host, port)
         near, far = (
             SimTransport(self, loop, local, remote),
             SimTransport(self, server, remote, local),
@@ -220,7 +220,7 @@
         self.open |= {near: None, far: None}
 
         def accept():
-            far.protocol = serverFactory()
+            far.protocol = server_factory()
             far.protocol.connection_made(far)
 
         def made():
@@ -234,7 +234,7 @@
 
         server.call_soon(accept)
         self.world.at(
-            self.delayS(host, loop.ip), lambda: None if loop.dead else loop.call_soon(made)
+            self.delay_s(host, loop.ip), lambda: None if loop.dead else loop.call_soon(made)
         )
 
     def _finish(self, done, error):
@@ -244,11 +244,11 @@
     def send(self, transport, item):
         """Carry one piece of a stream to its other end, in order."""
         a, b = transport.local[0], transport.remote[0]
-        if self.isCut(a, b) or any(entry[0] is transport for entry in self.stuck):
+        if self.is_cut(a, b) or any(entry[0] is transport for entry in self.stuck):
             self.stuck.append((transport, item))
             return
-        at = max(transport.readyAt, self.world.now + self.delayS(a, b))
-        transport.readyAt = at
+        at = max(transport.ready_at, self.world.now + self.delay_s(a, b))
+        transport.ready_at = at
         other = transport.other
 
         def land():
@@ -261,7 +261,7 @@
                 and not transport.loop.dead
             ):
                 self.world.at(
-                    self.delayS(b, a),
+                    self.delay_s(b, a),
                     lambda: (
                         None
                         if transport.loop.dead
@@ -287,10 +287,10 @@
         protocol.connection_made(transport)
         return transport, protocol
 
-    def sendDatagram(self, transport, data, addr):
+    def send_datagram(self, transport, data, addr):
         """Carry one datagram, or lose it."""
         a, b = transport.local[0], addr[0]
-        if self.isCut(a, b) or (self.lossRate and self.world.random.random() < self.lossRate):
+        if self.is_cut(a, b) or (self.loss_rate and self.world.random.random() < self.loss_rate):
             return
 
         def land():
@@ -298,7 +298,7 @@
             if found and not found[0].dead:
                 found[0].call_soon(found[1].datagram_received, data, transport.local)
 
-        self.world.at(self.delayS(a, b), land)
+        self.world.at(self.delay_s(a, b), land)
 
     def drop(self, loop, silent):
         """Take all ends of a dead process away."""
--- a/swiftdeck/sim/storm.py
+++ b/swiftdeck/sim/storm.py
@@ -5,8 +5,8 @@
 from unittest import mock
 
 from swiftdeck.bench.checker import check
-from swiftdeck.config.document import keyDigest
-from swiftdeck.http.client import fetchJson
+from swiftdeck.config.document import key_digest
+from swiftdeck.http.client import fetch_json
 from swiftdeck.sim.town import Town
 
 
@@ -27,7 +27,7 @@
         )
         self.random = self.town.world.random
         self.done, self.falls, self.fallen = [], 0, {}
-        self.weights, self.wallS, self.keys, self.isRolling = "w1", 0.0, 0, False
+        self.weights, self.wallS, self.keys, self.is_rolling = "w1", 0.0, 0, False
         self.rolled = {}
 
     def log(self, what):
@@ -39,7 +39,7 @@
         self.falls += 1
         number, town = self.falls, self.town
         self.fallen[number] = name
-        town.record("operator")("kill", target=name, id=number, keeper=name in town.keeperNames())
+        town.record("operator")("kill", target=name, id=number, keeper=name in town.keeper_names())
 
         def back():
             if self.fallen.pop(number, None):
@@ -51,15 +51,15 @@
         """Long checks as agents and short calls, either crowded or with short calls ten times as many."""
         town = self.town
         town.caller.returns = 3
-        isCrowded = self.seed // 2 % 2
+        is_crowded = self.seed // 2 % 2
         agents = {
-            name: 1 + (at < 2) if isCrowded else at < 3 for at, name in enumerate(town.site.keys)
+            name: 1 + (at < 2) if is_crowded else at < 3 for at, name in enumerate(town.site.keys)
         }
         town.spawn(
             lambda: town.caller.run(
                 self.seconds + 55,
                 {name: int(count) for name, count in agents.items()},
-                1.5 if isCrowded else 1.0,
+                1.5 if is_crowded else 1.0,
             )
         )
 
@@ -74,15 +74,15 @@
         world = town.world
         self.traffic()
         self.quiet()
-        endS = world.now + self.seconds
-        nextReadS = world.now
-        while world.now < endS:
+        end_s = world.now + self.seconds
+        next_read_s = world.now
+        while world.now < end_s:
             world.run(self.random.uniform(1.0, 5.0))
             self.strike()
-            if world.now > nextReadS:
-                nextReadS = world.now + 5
+            if world.now > next_read_s:
+                next_read_s = world.now + 5
                 self.read()
-        self.mendAll()
+        self.mend_all()
         town.record("operator")("closing")
         self.ask_steadily()
         world.run(14)
@@ -91,7 +91,7 @@
         world.run(16)
         self.read()
         town.caller.stopping = True
-        self.mendAll()
+        self.mend_all()
         world.run(30)
         self.readBack()
         breaches = check(town.records, {town.site.apart})
@@ -139,11 +139,11 @@
                 "platform restarts",
             ]
         )
-        tail = next((name for name in town.coreNames() if town.up[name].chain.isLast()), None)
+        tail = next((name for name in town.core_names() if town.up[name].chain.isLast()), None)
         keeper = town.keeper()
         self.log(f"closing: {fault}")
         if fault == "kill some":
-            others = [name for name in town.routerNames() if name != keeper]
+            others = [name for name in town.router_names() if name != keeper]
             for name in (tail, keeper, self._pick(others), self._pick(self._workers())):
                 if name:
                     self.fall(name)
@@ -162,16 +162,16 @@
                     self.fall(node["name"])
             town.world.net.cut(near, [ip for ip in town.ips.values() if ip not in near])
         elif fault == "kill all cores":
-            for name in town.coreNames():
+            for name in town.core_names():
                 self._kill(name, least=0.5, most=2.0)
         elif fault == "cut the core in two":
-            names = town.coreNames()
+            names = town.core_names()
             alone = self._pick(names)
             town.world.net.cut(
                 [self._ip(alone)], [self._ip(name) for name in town.addresses if name != alone]
             )
         elif fault == "whole outage":
-            for name in [*town.coreNames(), *town.routerNames(), *self._workers()]:
+            for name in [*town.core_names(), *town.router_names(), *self._workers()]:
                 self._kill(name, least=0.5, most=2.0)
         elif fault == "platform restarts":
             town.world.kill("platform")
@@ -225,11 +225,11 @@
         if name in town.world.loops:
             return
         if name.startswith("core"):
-            town.startCore(name)
+            town.start_core(name)
         elif name.startswith("router"):
-            town.startRouter(name)
+            town.start_router(name)
         elif name.startswith("worker"):
-            town.startWorker(name, weights=self.random.choice(["w1", self.weights]))
+            town.start_worker(name, weights=self.random.choice(["w1", self.weights]))
 
     def _kill(self, name, silent=False, least=1.0, most=12.0):
         town = self.town
@@ -238,7 +238,7 @@
         back = self.fall(name)
         town.world.kill(name, silent)
         if name in town.folders:
-            town.folders[name].losePower(torn=self.random.choice([0, 0, 1, 7, 40]))
+            town.folders[name].lose_power(torn=self.random.choice([0, 0, 1, 7, 40]))
         self.log(f"kill {name}")
 
         def again():
@@ -254,60 +254,60 @@
             if worker["name"] in self.town.world.loops
         ]
 
-    def crashWorker(self):
+    def crash_worker(self):
         self._kill(self._pick(self._workers()))
 
-    def vanishWorker(self):
+    def vanish_worker(self):
         self._kill(self._pick(self._workers()), silent=True)
 
-    def killRouter(self):
-        self._kill(self._pick(self.town.routerNames()), silent=self.random.random() < 0.5)
+    def kill_router(self):
+        self._kill(self._pick(self.town.router_names()), silent=self.random.random() < 0.5)
 
-    def killKeeper(self):
+    def kill_keeper(self):
         self._kill(self.town.keeper())
 
-    def killCore(self):
-        if len(self.town.coreNames()) == 3:
-            self._kill(self._pick(self.town.coreNames()))
+    def kill_core(self):
+        if len(self.town.core_names()) == 3:
+            self._kill(self._pick(self.town.core_names()))
 
-    def killAllCores(self):
-        for name in self.town.coreNames():
+    def kill_all_cores(self):
+        for name in self.town.core_names():
             self._kill(name, least=0.5, most=3.0)
 
-    def killMany(self):
+    def kill_many(self):
         for name in sorted(
-            self.random.sample(self.town.routerNames(), min(4, len(self.town.routerNames())))
+            self.random.sample(self.town.router_names(), min(4, len(self.town.router_names())))
         ):
             self._kill(name, least=0.5, most=4.0)
-        self.killCore()
+        self.kill_core()
 
     def freeze(self):
-        self._freeze(self._pick([*self.town.coreNames(), *self.town.routerNames()]))
+        self._freeze(self._pick([*self.town.core_names(), *self.town.router_names()]))
 
-    def freezeKeeper(self):
+    def freeze_keeper(self):
         self._freeze(self.town.keeper())
 
-    def freezeBusy(self):
+    def freeze_busy(self):
         """A router is frozen with a grant in hand that it has not yet acted on, and wakes after its slot was given away."""
-        town, endS = self.town, self.town.world.now + 3.0
+        town, end_s = self.town, self.town.world.now + 3.0
 
         def look():
-            for name in town.routerNames():
+            for name in town.router_names():
                 legs = [
                     running.call.ledger.legs[-1]
                     for running in town.up[name].running.values()
                     if running.call.ledger.legs
                 ]
                 if name != town.keeper() and any(
-                    leg.grant is not None and not leg.wasSent for leg in legs
+                    leg.grant is not None and not leg.was_sent for leg in legs
                 ):
                     return self._freeze(name, least=3.2)
-            if town.world.now < endS:
+            if town.world.now < end_s:
                 town.world.at(0.001, look)
 
         look()
 
-    def freezeWorker(self):
+    def freeze_worker(self):
         self._freeze(self._pick(self._workers()), most=6)
 
     def _freeze(self, name, most=15, least=0.5):
@@ -338,7 +338,7 @@
             for ip in everyone + (workers if self.random.random() < 0.3 else [])
             if ip not in near
         ]
-        backs = [self.fall(name) for name in town.routerNames() if self._ip(name) in near]
+        backs = [self.fall(name) for name in town.router_names() if self._ip(name) in near]
         pairs = town.world.net.cut(near, far, both)
         self.log(f"cut {near} both={both}")
 
@@ -349,50 +349,50 @@
 
         self._later(heal, 1, 15)
 
-    def cutRouter(self):
+    def cut_router(self):
         self._cut([self._ip(self._pick(self.town.addresses))], self.random.random() < 0.7)
 
-    def cutCore(self):
+    def cut_core(self):
         names = sorted(name for name in self.town.addresses if name.startswith("core"))
         some = self.random.sample(names, self.random.choice([1, 1, 2]))
         routers = sorted(name for name in self.town.addresses if name.startswith("router"))
         near = some + self.random.sample(routers, self.random.randint(0, len(routers) // 2))
         self._cut([self._ip(name) for name in near], self.random.random() < 0.7)
 
-    def loseDisk(self):
+    def lose_disk(self):
         town = self.town
-        if len(town.coreNames()) == 3 and all(
-            town.up[name].agreement.position() >= 0 for name in town.coreNames()
+        if len(town.core_names()) == 3 and all(
+            town.up[name].agreement.position() >= 0 for name in town.core_names()
         ):
-            name = self._pick(town.coreNames())
+            name = self._pick(town.core_names())
             self._patch({"models": {town.site.model: {"lineMax": self.random.randint(20, 90)}}})
             self._kill(name)
             town.folders[name].wipe()
             self.log(f"wipe {name}")
 
-    def fillDisk(self):
-        town, name = self.town, self._pick(self.town.coreNames())
+    def fill_disk(self):
+        town, name = self.town, self._pick(self.town.core_names())
         folder = town.folders.get(name)
         if folder:
             folder.full = True
             self.log(f"full {name}")
             self._later(lambda: setattr(folder, "full", False), 1, 15)
 
-    def stallDisk(self):
-        town, name = self.town, self._pick(self.town.coreNames())
+    def stall_disk(self):
+        town, name = self.town, self._pick(self.town.core_names())
         folder = town.folders.get(name)
         if folder:
             folder.stallS = self.random.choice([0.05, 0.3, 5.0])
             self.log(f"stall {name} {folder.stallS}")
             self._later(lambda: setattr(folder, "stallS", 0.0), 1, 10)
 
-    def newAddress(self):
+    def new_address(self):
         town = self.town
-        if len(town.coreNames()) < 3 or any(
-            town.up[name].agreement.position() < 0 for name in town.coreNames()
+        if len(town.core_names()) < 3 or any(
+            town.up[name].agreement.position() < 0 for name in town.core_names()
         ):
             return
-        name = self._pick(town.coreNames())
+        name = self._pick(town.core_names())
         town.world.kill(name)
         town.folders[name].wipe()
         machine = f"{name}-{len(self.done)}"
@@ -401,14 +401,14 @@
             "http": f"{town.ip(machine)}:8000",
         }
         town.seeds = [core["inner"] for core in town.site.cores]
-        for other in [*town.coreNames(), *town.routerNames()]:
-            town.up[other].membership.setSeeds(town.seeds)
+        for other in [*town.core_names(), *town.router_names()]:
+            town.up[other].membership.set_seeds(town.seeds)
         self.log(f"empty {name} at a new address")
         self._later(lambda: self._back(name), 2, 6)
 
     def _patch(self, document, then=lambda: None, name=None):
         town = self.town
-        name, base = name or self._pick(town.coreNames()), town.version
+        name, base = name or self._pick(town.core_names()), town.version
         if name is None:
             return
         changeId, askedMs = (
@@ -417,7 +417,7 @@
         )
 
         async def work():
-            got = await fetchJson(
+            got = await fetch_json(
                 town.addresses[name]["http"],
                 "PATCH",
                 f"/v1/config?base={base}",
@@ -461,7 +461,7 @@
         self.keys += 1
         key = f"key-{tenant}-{self.keys}"
         self._patch(
-            {"tenants": {tenant: {"keys": [keyDigest(key)]}}},
+            {"tenants": {tenant: {"keys": [key_digest(key)]}}},
             lambda: town.caller.keys.update({tenant: key}),
         )
         self.log(f"rekey {tenant}")
@@ -482,12 +482,12 @@
                 {"routes": {f"extra-{len(self.town.records)}": {"model": self.town.site.model}}}
             )
 
-    def powerAfterAck(self):
+    def power_after_ack(self):
         """Power goes, of one core or of all, in the moment of an acknowledgement."""
         names = (
-            self.town.coreNames()
+            self.town.core_names()
             if self.random.random() < 0.5
-            else [self._pick(self.town.coreNames())]
+            else [self._pick(self.town.core_names())]
         )
         self._patch(
             {"models": {self.town.site.model: {"lineMax": self.random.randint(20, 90)}}},
@@ -496,41 +496,41 @@
             ),
         )
 
-    def killAfterFault(self):
+    def kill_after_fault(self):
         """A second fault soon after a first: slow disk then power, freeze then kill, cut then restart."""
-        name = self._pick(self.town.coreNames())
-        if name is None or len(self.town.coreNames()) < 3:
+        name = self._pick(self.town.core_names())
+        if name is None or len(self.town.core_names()) < 3:
             return
         first = self.random.choice(["slow", "freeze", "cut"])
         self.patch()
         if first == "slow":
-            self._slowDisk(name, self.random.uniform(0.1, 0.9))
+            self._slow_disk(name, self.random.uniform(0.1, 0.9))
         elif first == "freeze":
             self._freeze(name)
         else:
             self._cut([self._ip(name)], self.random.random() < 0.5)
         self._later(lambda: self._kill(name, least=0.2, most=4.0), 0.2, 2.0)
 
-    def slowDisk(self):
-        self._slowDisk(self._pick(self.town.coreNames()), self.random.uniform(0.02, 0.9))
+    def slow_disk(self):
+        self._slow_disk(self._pick(self.town.core_names()), self.random.uniform(0.02, 0.9))
 
-    def _slowDisk(self, name, stallS):
+    def _slow_disk(self, name, stallS):
         folder = self.town.folders.get(name)
         if folder:
             folder.stallS = stallS
             self.log(f"slow disk {name} {stallS:.2f}")
             self._later(lambda: setattr(folder, "stallS", 0.0), 2, 15)
 
-    def jumpWall(self):
+    def jump_wall(self):
         """The wall clocks jump; nothing that decides may notice."""
         self.wallS += self.random.choice([-86400.0, -30.0, 30.0, 86400.0])
         self.log("wall clock")
 
-    def cutPlatform(self):
+    def cut_platform(self):
         """Some routers, or all, can't reach the platform, and one side may be shown a drain."""
         town = self.town
         some = self.random.sample(
-            town.routerNames(), self.random.randint(1, len(town.routerNames()))
+            town.router_names(), self.random.randint(1, len(town.router_names()))
         )
         pairs = town.world.net.cut(
             [self._ip(name) for name in some],
@@ -542,10 +542,10 @@
         self._later(lambda: (town.world.net.heal(pairs), [back() for back in backs]), 1, 10)
         self.drain()
 
-    def splitList(self):
+    def split_list(self):
         """The keeper and half of the routers are cut from the platform and from the others, who are then shown a drain."""
         town, keeper = self.town, self.town.keeper()
-        others = [name for name in town.routerNames() if name != keeper]
+        others = [name for name in town.router_names() if name != keeper]
         if keeper is None or len(others) < 2:
             return
         near = [keeper, *self.random.sample(others, len(others) // 2)]
@@ -558,18 +558,18 @@
         self._later(self.drain, 2, 3)
         self._later(lambda: (town.world.net.heal(pairs), [back() for back in backs]), 8, 12)
 
-    def powerBeforeSync(self):
+    def power_before_sync(self):
         """The head's disk is slow, and its power goes after an operator may have read what it has not yet synced."""
         town = self.town
-        name = next((each for each in town.coreNames() if town.up[each].chain.isFirst()), None)
-        if name is None or len(town.coreNames()) < 3 or not town.up[name].chain.isWhole():
+        name = next((each for each in town.core_names() if town.up[each].chain.is_first()), None)
+        if name is None or len(town.core_names()) < 3 or not town.up[name].chain.is_whole():
             return
         folder = town.folders[name]
         folder.stallS = 0.9
         self.log(f"power before sync {name}")
         self._patch(
             {"models": {town.site.model: {"lineMax": self.random.randint(20, 90)}}},
-            name=self._pick([each for each in town.coreNames() if each != name]),
+            name=self._pick([each for each in town.core_names() if each != name]),
         )
 
         def lose():
@@ -583,12 +583,12 @@
         name = self._pick(self.town.addresses)
         self._cut([self._ip(name)], False)
 
-    def writeBothSides(self):
+    def write_both_sides(self):
         """The core is cut in two, and operators write on both sides."""
-        names = self.town.coreNames()
+        names = self.town.core_names()
         if len(names) == 3:
             alone = self._pick(names)
-            routers = self.town.routerNames()
+            routers = self.town.router_names()
             near = [alone, *self.random.sample(routers, len(routers) // 2)]
             self._cut([self._ip(name) for name in near], True)
             for name in (alone, next(name for name in names if name != alone)):
@@ -597,23 +597,23 @@
                     name=name,
                 )
 
-    def rollWorkers(self):
+    def roll_workers(self):
         """All workers are replaced, one after another."""
         town = self.town
         for at, worker in enumerate(town.site.workers):
             self._later(lambda name=worker["name"]: self._release(name), 1 + 7 * at, 2 + 7 * at)
         self.log("roll workers")
 
-    def rollNodes(self):
+    def roll_nodes(self):
         """All routers and cores are ended politely and started again, one after another."""
         town, names = self.town, sorted(self.town.addresses)
-        if self.isRolling:
+        if self.is_rolling:
             return
-        self.isRolling = True
+        self.is_rolling = True
         self.random.shuffle(names)
 
         def roll(name):
-            if not self.isRolling or name not in town.world.loops or town.world.loops[name].frozen:
+            if not self.is_rolling or name not in town.world.loops or town.world.loops[name].frozen:
                 return
             back, loop = self.fall(name), town.world.loops[name]
             town.world._within(loop, lambda: loop.create_task(town.up[name].stop()))
@@ -624,7 +624,7 @@
                 if town.world.loops.get(name) is loop:
                     town.world.kill(name)
                 if name in town.folders:
-                    town.folders[name].losePower()
+                    town.folders[name].lose_power()
                 self._back(name)
                 back()
 
@@ -635,7 +635,7 @@
             self._later(lambda name=name: roll(name), 1 + 8 * at, 2 + 8 * at)
         self.log("roll nodes")
 
-    def newWeights(self):
+    def new_weights(self):
         number = int(self.weights[1:])
         again = number > 2 and self.random.random() < 0.25
         self.weights = f"w{number - 1}" if again else f"w{number + 1}"
@@ -717,18 +717,18 @@
 
             self._later(mend, 1, 6)
 
-    def slowLinks(self):
+    def slow_links(self):
         for name in self._workers():
             self.town.up[name].linkS = self.random.choice([0.0, 0.5, 5.0])
 
-    def loseStore(self):
+    def lose_store(self):
         town = self.town
         if "store" in town.world.loops:
             town.world.kill("store")
             self.log("kill store")
-            self._later(town.startStore, 2, 10)
+            self._later(town.start_store, 2, 10)
 
-    def losePlatform(self):
+    def lose_platform(self):
         town = self.town
         if "platform" in town.world.loops and not town.world.loops["platform"].frozen:
             town.world.freeze("platform")
@@ -736,45 +736,47 @@
             self.log("freeze platform")
             self._later(lambda: (town.world.thaw("platform"), back()), 1, 14)
 
-    def loseDatagrams(self):
-        self.town.world.net.lossRate = self.random.choice([0.0, 0.1, 0.4])
+    def lose_datagrams(self):
+        self.town.world.net.loss_rate = self.random.choice([0.0, 0.1, 0.4])
 
-    def slowClock(self):
+    def slow_clock(self):
         loop = self.town.world.loops.get(
-            self._pick([*self.town.coreNames(), *self.town.routerNames()])
+            self._pick([*self.town.core_names(), *self.town.router_names()])
         )
         if loop:
-            nowS = loop.time()
+            now_s = loop.time()
             loop.rate = self.random.choice([0.97, 1.0, 1.03])
-            loop.offset = nowS - self.town.world.now * loop.rate
+            loop.offset = now_s - self.town.world.now * loop.rate
 
     def read(self):
         """An operator reads the configuration, and the record says what came."""
         town, askedMs = self.town, int(self.town.world.now * 1000)
-        name = self._pick(town.coreNames())
+        name = self._pick(town.core_names())
         if name is None:
             return
 
         async def work():
-            got = await fetchJson(town.addresses[name]["http"], "GET", "/v1/config", timeoutMs=5000)
-            isGood = bool(got) and got[0] == 200
+            got = await fetch_json(
+                town.addresses[name]["http"], "GET", "/v1/config", timeoutMs=5000
+            )
+            is_good = bool(got) and got[0] == 200
             town.record("operator")(
                 "read",
                 status=got[0] if got else 0,
-                version=got[1]["version"] if isGood else 0,
+                version=got[1]["version"] if is_good else 0,
                 askedMs=askedMs,
-                **({"document": got[1]["document"]} if isGood else {}),
+                **({"document": got[1]["document"]} if is_good else {}),
             )
 
         town.spawn(work)
 
-    def mendAll(self):
+    def mend_all(self):
         """End all faults."""
-        town, self.isRolling = self.town, False
+        town, self.is_rolling = self.town, False
         for again in list(self.rolled.values()):
             again()
         town.world.net.heal()
-        town.world.net.lossRate = 0.0
+        town.world.net.loss_rate = 0.0
         for folder in town.folders.values():
             folder.full, folder.stallS = False, 0.0
         for name in [*town.addresses, *(worker["name"] for worker in town.site.workers)]:
@@ -784,7 +786,7 @@
         if town.world.loops["platform"].frozen:
             town.world.thaw("platform")
         if "store" not in town.world.loops:
-            town.startStore()
+            town.start_store()
         for worker in town.site.workers:
             if town.up[worker["name"]].quirk:
                 town.up[worker["name"]].quirk = ""
@@ -823,47 +825,47 @@
                     "settled": True,
                 }
         askedMs, got = int(town.world.now * 1000), town.ask("GET", "/v1/config")
-        isGood = bool(got) and got[0] == 200
+        is_good = bool(got) and got[0] == 200
         town.record("operator")(
             "read",
             status=got[0] if got else 0,
-            version=got[1]["version"] if isGood else 0,
+            version=got[1]["version"] if is_good else 0,
             askedMs=askedMs,
-            **({"document": got[1]["document"]} if isGood else {}),
+            **({"document": got[1]["document"]} if is_good else {}),
         )
 
 
 CONTROL = ["patch", "race", "invalid", "rekey", "route"]
 SCENARIOS = {
-    "workers": ["crashWorker", "vanishWorker", "freezeWorker", "drain", "quirk", "slowLinks"],
-    "release": ["drain", "drain", "crashWorker", "rollWorkers"],
-    "rolling": ["rollNodes", "rollNodes", "patch", "rekey"],
-    "routers": ["killRouter", "killKeeper", "killRouter", "killMany"],
-    "cores": ["killCore", "killAllCores", "powerAfterAck", "killAfterFault", *CONTROL],
+    "workers": ["crash_worker", "vanish_worker", "freeze_worker", "drain", "quirk", "slow_links"],
+    "release": ["drain", "drain", "crash_worker", "roll_workers"],
+    "rolling": ["roll_nodes", "roll_nodes", "patch", "rekey"],
+    "routers": ["kill_router", "kill_keeper", "kill_router", "kill_many"],
+    "cores": ["kill_core", "kill_all_cores", "power_after_ack", "kill_after_fault", *CONTROL],
     "freezes": [
         "freeze",
-        "freezeBusy",
-        "freezeBusy",
-        "freezeKeeper",
-        "freezeWorker",
+        "freeze_busy",
+        "freeze_busy",
+        "freeze_keeper",
+        "freeze_worker",
         "patch",
-        "newWeights",
-        "slowClock",
-        "jumpWall",
+        "new_weights",
+        "slow_clock",
+        "jump_wall",
     ],
     "disks": [
-        "loseDisk",
-        "fillDisk",
-        "stallDisk",
-        "slowDisk",
-        "powerAfterAck",
-        "powerBeforeSync",
-        "powerBeforeSync",
-        "killAfterFault",
+        "lose_disk",
+        "fill_disk",
+        "stall_disk",
+        "slow_disk",
+        "power_after_ack",
+        "power_before_sync",
+        "power_before_sync",
+        "kill_after_fault",
         *CONTROL,
     ],
-    "cuts": ["cutRouter", "cutCore", "oneWay", "writeBothSides", "loseDatagrams", *CONTROL],
-    "addresses": ["newAddress", "patch", "killRouter"],
+    "cuts": ["cut_router", "cut_core", "oneWay", "write_both_sides", "lose_datagrams", *CONTROL],
+    "addresses": ["new_address", "patch", "kill_router"],
     "operators": [
         "race",
         "invalid",
@@ -871,25 +873,32 @@
         "patch",
         "rekey",
         "route",
-        "killCore",
+        "kill_core",
+        "freeze",
+        "write_both_sides",
+    ],
+    "weights": [
+        "new_weights",
+        "new_weights",
+        "kill_keeper",
+        "cut_router",
+        "crash_worker",
         "freeze",
-        "writeBothSides",
     ],
-    "weights": ["newWeights", "newWeights", "killKeeper", "cutRouter", "crashWorker", "freeze"],
-    "store": ["loseStore", "slowLinks", "drain", "quirk"],
+    "store": ["lose_store", "slow_links", "drain", "quirk"],
     "platform": [
-        "losePlatform",
-        "cutPlatform",
-        "splitList",
-        "splitList",
+        "lose_platform",
+        "cut_platform",
+        "split_list",
+        "split_list",
         "drain",
-        "cutRouter",
-        "crashWorker",
+        "cut_router",
+        "crash_worker",
     ],
 }
 SCENARIOS["mix"] = sorted(
     {name for names in SCENARIOS.values() for name in names}
-    - {"newAddress", "rollNodes", "rollWorkers"}
+    - {"new_address", "roll_nodes", "roll_workers"}
 )
 
 
--- a/swiftdeck/sim/town.py
+++ b/swiftdeck/sim/town.py
@@ -7,12 +7,12 @@
 from swiftdeck.bench.caller import Caller
 from swiftdeck.bench.platform import Platform
 from swiftdeck.bench.record import ListRecord
-from swiftdeck.bench.site import planSite
+from swiftdeck.bench.site import plan_site
 from swiftdeck.bench.store import Store
 from swiftdeck.bench.worker import Worker
 from swiftdeck.config.settings import Settings
 from swiftdeck.control.core import Core
-from swiftdeck.http.client import fetchJson
+from swiftdeck.http.client import fetch_json
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.world import World
 from swiftdeck.traffic.router import Router
@@ -35,7 +35,7 @@
     ):
         self.world = World(seed)
         self.ips = {}
-        self.site = planSite(
+        self.site = plan_site(
             site, self.ip, routers=routers, workers=workers, models=models, cores=cores
         )
         self.settings, self.speed = settings, speed
@@ -70,7 +70,7 @@
             **self.settings,
         )
 
-    def startCore(self, name):
+    def start_core(self, name):
         """Start a core on what its disk has."""
         node = self.addresses[name]
         folder = self.folders.setdefault(name, SimFolder())
@@ -83,7 +83,7 @@
 
         self.world.start(name, node["inner"].rpartition(":")[0], main)
 
-    def startRouter(self, name):
+    def start_router(self, name):
         """Start a router."""
         node = self.addresses[name]
 
@@ -95,7 +95,7 @@
 
         self.world.start(name, node["inner"].rpartition(":")[0], main)
 
-    def startWorker(self, name, weights="w1", **more):
+    def start_worker(self, name, weights="w1", **more):
         """Start a worker stand-in with an empty cache."""
         plan = next(worker for worker in self.site.workers if worker["name"] == name)
 
@@ -113,7 +113,7 @@
 
         self.world.start(name, plan["addr"].rpartition(":")[0], main)
 
-    def startStore(self):
+    def start_store(self):
         """Start the store, empty."""
 
         async def main():
@@ -125,7 +125,7 @@
     def start(self, **model):
         """Start everything and put the first configuration."""
         for node in self.site.cores:
-            self.startCore(node["name"])
+            self.start_core(node["name"])
 
         async def platform():
             self.up["platform"] = Platform(
@@ -134,11 +134,11 @@
             await self.up["platform"].start()
 
         self.world.start("platform", self.site.platform.rpartition(":")[0], platform)
-        self.startStore()
+        self.start_store()
         for worker in self.site.workers:
-            self.startWorker(worker["name"])
+            self.start_worker(worker["name"])
         for node in self.site.routers:
-            self.startRouter(node["name"])
+            self.start_router(node["name"])
         self.world.start("operator", self.ip("operator"), lambda: asyncio.sleep(0))
         self.world.start("callers", self.ip("callers"), lambda: asyncio.sleep(0))
         doors = [node["http"] for node in self.site.routers]
@@ -150,41 +150,41 @@
             self.site.keys,
             routers={node["http"]: node["name"] for node in self.site.routers},
         )
-        self.world.run(until=self.coresServe, limitS=30)
+        self.world.run(until=self.cores_serve, limit_s=30)
         got = self.change("PUT", self.site.document(**model))
         assert got[0] == 200, got
         self.is_first_start = False
-        self.world.run(until=lambda: self.keeper() is not None, limitS=30)
+        self.world.run(until=lambda: self.keeper() is not None, limit_s=30)
         self.world.run(0.5)
         return self
 
-    def coresServe(self):
+    def cores_serve(self):
         """Whether some core may answer for the chain."""
-        return any(self.up[name].chain.mayTell() for name in self.coreNames() if name in self.up)
+        return any(self.up[name].chain.may_tell() for name in self.core_names() if name in self.up)
 
-    def coreNames(self):
+    def core_names(self):
         """Cores that run."""
         return [node["name"] for node in self.site.cores if node["name"] in self.world.loops]
 
-    def routerNames(self):
+    def router_names(self):
         """Routers that run."""
         return [node["name"] for node in self.site.routers if node["name"] in self.world.loops]
 
     def keeper(self):
         """The name of the router that keeps the books, if one does."""
-        for name in self.routerNames():
+        for name in self.router_names():
             for keeper in self.up[name].keepers.values():
-                if keeper.isReady() and not self.world.loops[name].frozen:
+                if keeper.is_ready() and not self.world.loops[name].frozen:
                     return name
         return None
 
-    def keeperNames(self):
+    def keeper_names(self):
         """The routers that keep the books of some model now."""
         return {
             name
-            for name in self.routerNames()
+            for name in self.router_names()
             for keeper in self.up[name].keepers.values()
-            if keeper.duty.isHeld()
+            if keeper.duty.is_held()
         }
 
     def counters(self):
@@ -204,15 +204,17 @@
 
     def ask(self, method, path, body=None, name=None, headers=(), timeoutMs=15000):
         """An operator's exchange with a process."""
-        name = name or self.coreNames()[0]
+        name = name or self.core_names()[0]
         return self.world.do(
             "operator",
-            lambda: fetchJson(self.addresses[name]["http"], method, path, body, headers, timeoutMs),
+            lambda: fetch_json(
+                self.addresses[name]["http"], method, path, body, headers, timeoutMs
+            ),
         )
 
     def change(self, method, document, base=None, name=None, changeId=None):
         """An operator's change on the newest version, recorded with what came back."""
-        name = name or self.coreNames()[0]
+        name = name or self.core_names()[0]
         base = self.version if base is None else base
         headers = [("change-id", changeId)] if changeId else []
         askedMs = int(self.world.now * 1000)
@@ -233,7 +235,7 @@
     def call(self, tenant, route, parts, **more):
         """One call, to its return."""
         return self.world.do(
-            "callers", lambda: self.caller.call(tenant, route, parts, **more), limitS=200
+            "callers", lambda: self.caller.call(tenant, route, parts, **more), limit_s=200
         )
 
     def spawn(self, make):
--- a/swiftdeck/sim/world.py
+++ b/swiftdeck/sim/world.py
@@ -120,13 +120,13 @@
         for handle in held:
             self.push(self.now, loop, handle)
 
-    def at(self, delayS, action):
+    def at(self, delay_s, action):
         """Run a plain function later, outside any process."""
-        self.push(self.now + delayS, None, action)
+        self.push(self.now + delay_s, None, action)
 
-    def run(self, seconds=None, until=None, limitS=600.0):
+    def run(self, seconds=None, until=None, limit_s=600.0):
         """Let time pass; returns whether `until` came true (or the time has passed)."""
-        end = self.now + (limitS if seconds is None else seconds)
+        end = self.now + (limit_s if seconds is None else seconds)
         while self.heap and self.heap[0][0] <= end:
             when, _, loop, handle = heapq.heappop(self.heap)
             self.now = max(self.now, when)
@@ -145,10 +145,10 @@
         self.now = max(self.now, end)
         return until is None
 
-    def do(self, name, make, limitS=60.0):
+    def do(self, name, make, limit_s=60.0):
         """Run a coroutine inside a process until it is done and give its result."""
         loop, box = self.loops[name], []
         self._within(loop, lambda: box.append(loop.create_task(make())))
-        if not self.run(until=box[0].done, limitS=limitS):
-            raise TimeoutError(f"{name} did not finish within {limitS} simulated seconds")
+        if not self.run(until=box[0].done, limit_s=limit_s):
+            raise TimeoutError(f"{name} did not finish within {limit_s} simulated seconds")
         return box[0].result()
--- a/swiftdeck/traffic/book.py
+++ b/swiftdeck/traffic/book.py
@@ -20,9 +20,9 @@
     parts: int = 0
     turns: int = 0
     running: dict = attrs.Factory(dict)
-    idleSinceS: float = 0.0
-    isOver: bool = False
-    isServed: bool = False
+    idle_since_s: float = 0.0
+    is_over: bool = False
+    is_served: bool = False
 
 
 @attrs.define(eq=False)
@@ -35,9 +35,9 @@
     open: dict = attrs.Factory(dict)
     hits: int = 0
     returns: int = 0
-    shunnedUntilS: float = -1.0
+    shunned_until_s: float = -1.0
 
-    def hasRoom(self) -> bool:
+    def has_room(self) -> bool:
         """Whether one more conversation may start."""
         return len(self.open) < self.cap
 
@@ -50,22 +50,22 @@
         """Take a conversation out."""
         self.open.pop(conversation.name, None)
 
-    def ended(self, nowS: float, idleMs: float):
+    def ended(self, now_s: float, idleMs: float):
         """Conversations that are over: said to be so, or idle for long."""
         return [
             each
             for each in self.open.values()
-            if not each.running and (each.isOver or nowS - each.idleSinceS > idleMs / 1000)
+            if not each.running and (each.is_over or now_s - each.idle_since_s > idleMs / 1000)
         ]
 
-    def longestPaused(self, nowS: float, pauseMs: float):
+    def longest_paused(self, now_s: float, pauseMs: float):
         """The conversation to end first when others wait, if one has paused long enough."""
         paused = [
             each
             for each in self.open.values()
-            if not each.running and nowS - each.idleSinceS > pauseMs / 1000
+            if not each.running and now_s - each.idle_since_s > pauseMs / 1000
         ]
-        return min(paused, key=lambda each: each.idleSinceS, default=None)
+        return min(paused, key=lambda each: each.idle_since_s, default=None)
 
     def survival(self):
         """The share of returning calls whose whole earlier prompt was still kept, None while too few are known."""
--- a/swiftdeck/traffic/books.py
+++ b/swiftdeck/traffic/books.py
@@ -13,7 +13,7 @@
     term: int
 
     def config(self): ...
-    def isReady(self) -> bool: ...
+    def is_ready(self) -> bool: ...
     def mine(self) -> list: ...
 
 
@@ -32,7 +32,7 @@
 
     def clear(self):
         """Begin with empty books."""
-        self.table, self.conversations, self.byLast, self.routers = {}, {}, {}, {}
+        self.table, self.conversations, self.by_last, self.routers = {}, {}, {}, {}
 
     def of(self, worker) -> Book:
         """The book of a worker."""
@@ -57,58 +57,58 @@
         self.of(conversation.worker).leave(conversation)
         self.of(worker).entry(conversation)
 
-    def adopt(self, told, addr, graceS):
+    def adopt(self, told, addr, grace_s):
         """Take over what a router tells of a conversation that it serves or served."""
-        nowS = self.loop.time()
+        now_s = self.loop.time()
         found = self.conversations.get(told.conversation)
-        idleSinceS = max(nowS - told.idleMs / 1000, graceS)
+        idle_since_s = max(now_s - told.idleMs / 1000, grace_s)
         if found is None:
             found = Conversation(
                 told.conversation, told.tenant, told.group, told.worker, told.weights
             )
-            found.idleSinceS = idleSinceS
+            found.idle_since_s = idle_since_s
             self.open(found)
-        elif idleSinceS > found.idleSinceS and told.worker != found.worker:
+        elif idle_since_s > found.idle_since_s and told.worker != found.worker:
             self.move(found, told.worker)
-        found.isServed = True
+        found.is_served = True
         found.parts, found.turns = max(found.parts, told.parts), max(found.turns, told.turns)
-        found.idleSinceS = max(found.idleSinceS, idleSinceS)
+        found.idle_since_s = max(found.idle_since_s, idle_since_s)
         self.remember(found, told.last)
-        if told.call and told.isSent:
-            found.running[told.call] = (addr, nowS)
+        if told.call and told.is_sent:
+            found.running[told.call] = (addr, now_s)
             self.seen(addr)
 
     def run(self, conversation: Conversation, ask, sender) -> bool:
         """Count a granted leg; gives whether its call is a new one."""
-        isNew = ask.leg <= 1 and not ask.wasGranted and ask.call not in conversation.running
+        is_new = ask.leg <= 1 and not ask.was_granted and ask.call not in conversation.running
         conversation.running[ask.call] = (sender, self.loop.time())
-        conversation.turns += isNew
+        conversation.turns += is_new
         self.remember(conversation, ask.talk[-1])
         conversation.weights = ask.weights
         conversation.parts = max(conversation.parts, len(ask.chain))
-        conversation.isOver = False
+        conversation.is_over = False
         self.seen(sender)
-        return isNew
+        return is_new
 
-    def callEnded(self, conversation: Conversation, call):
+    def call_ended(self, conversation: Conversation, call):
         """A leg is over; the conversation is idle from now on when it was the last."""
         if conversation.running.pop(call, None) is not None and not conversation.running:
-            conversation.idleSinceS = self.loop.time()
+            conversation.idle_since_s = self.loop.time()
 
-    def legEnded(self, conversation: Conversation, end):
+    def leg_ended(self, conversation: Conversation, end):
         """Take in what a router says of a leg that is over, and close the conversation if it ends with it."""
-        conversation.isOver = conversation.isOver or end.isOver
+        conversation.is_over = conversation.is_over or end.is_over
         book = self.of(conversation.worker)
         if end.parts and conversation.turns > 1:
             book.returns += 1
             book.hits += end.hits >= end.earlier
-        if end.neverSent and end.isBad:
-            book.shunnedUntilS = self.loop.time() + 2.0
-        self.callEnded(conversation, end.call)
-        conversation.isServed = conversation.isServed or not end.neverSent
-        if not conversation.isServed and not conversation.running:
+        if end.never_sent and end.is_bad:
+            book.shunned_until_s = self.loop.time() + 2.0
+        self.call_ended(conversation, end.call)
+        conversation.is_served = conversation.is_served or not end.never_sent
+        if not conversation.is_served and not conversation.running:
             self.close(conversation, "never sent")
-        elif conversation.isOver and not conversation.running:
+        elif conversation.is_over and not conversation.running:
             self.close(conversation, "said so")
         return book
 
@@ -128,11 +128,11 @@
         )
 
     def _forget(self, conversation, last):
-        names = self.byLast.get((conversation.tenant, last))
+        names = self.by_last.get((conversation.tenant, last))
         if names:
             names.discard(conversation.name)
             if not names:
-                del self.byLast[(conversation.tenant, last)]
+                del self.by_last[(conversation.tenant, last)]
 
     def remember(self, conversation: Conversation, last):
         """Know a conversation again by a prompt of its own."""
@@ -141,16 +141,16 @@
         if len(conversation.lasts) == conversation.lasts.maxlen:
             self._forget(conversation, conversation.lasts[0])
         conversation.lasts.append(last)
-        self.byLast.setdefault((conversation.tenant, last), set()).add(conversation.name)
+        self.by_last.setdefault((conversation.tenant, last), set()).add(conversation.name)
 
     def continued(self, ask):
         """The open conversation that a prompt extends, under whatever weights it was begun."""
         for last in reversed(ask.talk):
-            for name in sorted(self.byLast.get((ask.tenant, last), ())):
+            for name in sorted(self.by_last.get((ask.tenant, last), ())):
                 found = self.conversations[name]
-                isSame = last == ask.talk[-1]
-                isBusy = isSame and found.running and ask.call not in found.running
-                if found.group == ask.group and not isBusy:
+                is_same = last == ask.talk[-1]
+                is_busy = is_same and found.running and ask.call not in found.running
+                if found.group == ask.group and not is_busy:
                     return found
         return None
 
@@ -160,24 +160,24 @@
 
     def reclaim(self):
         """Give the slots of silent routers back."""
-        nowS = self.loop.time()
-        silent = [addr for addr, untilS in self.routers.items() if untilS < nowS]
+        now_s = self.loop.time()
+        silent = [addr for addr, until_s in self.routers.items() if until_s < now_s]
         for addr in silent:
             del self.routers[addr]
             for each in list(self.conversations.values()):
                 for call in [call for call, (holder, _) in each.running.items() if holder == addr]:
-                    self.callEnded(each, call)
+                    self.call_ended(each, call)
                     self.board.count["legsReclaimed"] += 1
 
-    def mend(self, sender, calls, settledS):
+    def mend(self, sender, calls, settled_s):
         """End what a router no longer runs; gives those of its calls that are not known here."""
         for each in list(self.conversations.values()):
             for call in [
                 call
-                for call, (addr, sinceS) in each.running.items()
-                if addr == sender and call not in calls and sinceS < settledS
+                for call, (addr, since_s) in each.running.items()
+                if addr == sender and call not in calls and since_s < settled_s
             ]:
-                self.callEnded(each, call)
+                self.call_ended(each, call)
                 self.board.count["legEndsMended"] += 1
         return calls - {
             call
@@ -186,10 +186,10 @@
             if addr == sender
         }
 
-    def endIdle(self, book: Book, config):
+    def end_idle(self, book: Book, config):
         """Close what has been idle for long, and follow the configuration's cap."""
         for each in book.ended(self.loop.time(), config.idleMs):
-            self.close(each, "over" if each.isOver else "idle")
+            self.close(each, "over" if each.is_over else "idle")
         if not config.adapts:
             book.cap = config.cap
 
@@ -211,7 +211,7 @@
                 "open": len(book.open),
                 "cap": book.cap,
                 "line": len(book.line),
-                "up": index.isUp(name),
+                "up": index.is_up(name),
                 "weights": index.weights(name),
                 "running": sum(len(each.running) for each in book.open.values()),
             }
--- a/swiftdeck/traffic/budget.py
+++ b/swiftdeck/traffic/budget.py
@@ -9,28 +9,31 @@
     A leg counts for as much longer as it may take from its grant to its worker.
     """
 
-    def __init__(self, share=0.2, windowS=10.0, lateS=2.0, startS=0.0):
-        self.share, self.windowS, self.lateS, self.startS = share, windowS, lateS, startS
+    def __init__(self, share=0.2, window_s=10.0, late_s=2.0, start_s=0.0):
+        self.share, self.window_s, self.late_s, self.start_s = share, window_s, late_s, start_s
         self.calls, self.legs = deque(), deque()
 
-    def _forget(self, nowS):
-        for times, keptS in ((self.calls, self.windowS), (self.legs, self.windowS + self.lateS)):
-            while times and times[0] <= nowS - keptS:
+    def _forget(self, now_s):
+        for times, kept_s in (
+            (self.calls, self.window_s),
+            (self.legs, self.window_s + self.late_s),
+        ):
+            while times and times[0] <= now_s - kept_s:
                 times.popleft()
 
-    def call(self, nowS: float):
+    def call(self, now_s: float):
         """Count a call."""
-        self.calls.append(nowS)
+        self.calls.append(now_s)
 
-    def draw(self, nowS: float, extra: int) -> bool:
+    def draw(self, now_s: float, extra: int) -> bool:
         """Take one extra leg, if the budget has one beside the allowance of `extra`."""
-        if not self.has(nowS, extra):
+        if not self.has(now_s, extra):
             return False
-        self.legs.append(nowS)
+        self.legs.append(now_s)
         return True
 
-    def has(self, nowS: float, extra: int) -> bool:
+    def has(self, now_s: float, extra: int) -> bool:
         """Whether one could be taken."""
-        self._forget(nowS)
-        allowance = extra if nowS - self.startS >= self.windowS + self.lateS else 0
+        self._forget(now_s)
+        allowance = extra if now_s - self.start_s >= self.window_s + self.late_s else 0
         return len(self.legs) + 1 <= self.share * len(self.calls) + allowance
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -24,11 +24,11 @@
     WORKER_HANGS,
     WORKER_LOST,
     WORKER_REFUSED,
-    isFault,
+    is_fault,
 )
-from swiftdeck.http.client import connect, fetchJson
-from swiftdeck.traffic.ledger import Ledger, Leg, Move, nextMove
-from swiftdeck.traffic.prefix import chainOf, groupOf
+from swiftdeck.http.client import connect, fetch_json
+from swiftdeck.traffic.ledger import Ledger, Leg, Move, next_move
+from swiftdeck.traffic.prefix import chain_of, group_of
 from swiftdeck.wire.messages import GrantAsk, GrantDrop
 
 SLICE_MS = 700
@@ -48,27 +48,27 @@
 class Call:
     """Drives one exchange to its final return."""
 
-    def __init__(self, router, exchange, held, tenant, route, body, startS):
+    def __init__(self, router, exchange, held, tenant, route, body, start_s):
         self.router, self.exchange, self.held = router, exchange, held
         self.tenant, self.route, self.body = tenant, route, body
         self.loop = asyncio.get_running_loop()
         self.name = f"{router.random.getrandbits(80):020x}"
-        self.startS = startS
+        self.start_s = start_s
         key = exchange.headers.get("idempotency-key", "")
-        self.claimKey = f"{tenant}:{key}" if key and not route.repeatable else ""
-        self.digest = hashlib.sha256(exchange.body).hexdigest()[:32] if self.claimKey else ""
+        self.claim_key = f"{tenant}:{key}" if key and not route.repeatable else ""
+        self.digest = hashlib.sha256(exchange.body).hexdigest()[:32] if self.claim_key else ""
         self.ledger = Ledger(
             route.repeatable,
-            bool(self.claimKey),
-            startS * 1000 + route.waitMs,
-            startS * 1000 + route.horizonMs,
+            bool(self.claim_key),
+            start_s * 1000 + route.waitMs,
+            start_s * 1000 + route.horizonMs,
         )
         self.isLast = exchange.headers.get("conversation-end", "") not in ("", "0", "false")
         self.conversation, self.avoid, self.pieces, self.begun = "", [], [], False
-        self.wasGranted, self.claiming, self.released = False, None, None
+        self.was_granted, self.claiming, self.released = False, None, None
         self.chain, self.talk, self.weights, self.link = [], [], "", None
 
-    def nowMs(self):
+    def now_ms(self):
         return self.loop.time() * 1000
 
     def run(self):
@@ -80,7 +80,7 @@
         acts = {Move.CLAIM: self._claim, Move.NOMINATE: self._nominate, Move.SEND: self._send}
         try:
             while True:
-                move, fault = nextMove(self.ledger, self.nowMs())
+                move, fault = next_move(self.ledger, self.now_ms())
                 if move in acts:
                     await acts[move]()
                 else:
@@ -91,26 +91,26 @@
     def _settle(self):
         if self.link:
             self.link.close()
-        if self.ledger.sent() and self.claimKey:
-            self.router.claims.finish(self.claimKey, self.name, self.digest)
+        if self.ledger.sent() and self.claim_key:
+            self.router.claims.finish(self.claim_key, self.name, self.digest)
         else:
             self._release()
         leg = self.ledger.legs[-1] if self.ledger.legs else None
         if leg and leg.grant is None and (leg.fault is None or leg.fault.code == WAITED_OUT.code):
-            self.router.tellKeeper(
+            self.router.tell_keeper(
                 self.route.model, GrantDrop(call=self.name, model=self.route.model)
             )
-        self._closeLeg()
+        self._close_leg()
 
-    def _closeLeg(self):
+    def _close_leg(self):
         leg = self.ledger.legs[-1] if self.ledger.legs else None
         if leg and leg.grant is not None and self.name in self.router.running:
-            self.router.legEnded(self, leg)
+            self.router.leg_ended(self, leg)
 
     def _release(self):
         """Give up the key of a call that was never sent."""
-        if self.claiming is not None and self.released is None and not isFault(self.ledger.claim):
-            self.released = self.router.claims.release(self.claimKey, self.name, self.digest)
+        if self.claiming is not None and self.released is None and not is_fault(self.ledger.claim):
+            self.released = self.router.claims.release(self.claim_key, self.name, self.digest)
 
     async def _claim(self):
         """Claim the key for the leg that was granted.
@@ -119,27 +119,27 @@
         """
         leg = self.ledger.legs[-1]
         self.claiming = self.claiming or self.router.claims.claim(
-            self.claimKey, self.name, self.digest
+            self.claim_key, self.name, self.digest
         )
-        boundMs = min(CLAIM_MS if leg.grant.isStart else 1e9, self._leftMs())
-        await asyncio.wait([self.claiming], timeout=boundMs / 1000)
+        bound_ms = min(CLAIM_MS if leg.grant.is_start else 1e9, self._left_ms())
+        await asyncio.wait([self.claiming], timeout=bound_ms / 1000)
         if self.claiming.done():
             self.ledger.claim = self.claiming.result()
         if self.ledger.claim is not True:
             leg.fault = NO_CLAIM
-            self._closeLeg()
+            self._close_leg()
             leg.grant = None
             self.router.board.count["slotsHandedBack"] += 1
 
-    def _leftMs(self):
+    def _left_ms(self):
         """What is left of the call's wait."""
-        return max(1, min(self.ledger.waitUntilMs, self.ledger.horizonMs) - self.nowMs())
+        return max(1, min(self.ledger.waitUntilMs, self.ledger.horizonMs) - self.now_ms())
 
-    async def _mayClaim(self):
+    async def _may_claim(self):
         """Whether a grant is worth asking for: none is while the chain keeps this call's claim waiting."""
         if self.claiming is None or self.ledger.claim is True:
             return True
-        await asyncio.wait([self.claiming], timeout=self._leftMs() / 1000)
+        await asyncio.wait([self.claiming], timeout=self._left_ms() / 1000)
         return self.claiming.done()
 
     async def _nominate(self):
@@ -147,41 +147,41 @@
         if last and last.grant is None:
             self.ledger.legs.pop()
             if last.fault.code != WAITED_OUT.code:
-                await asyncio.sleep(min(0.2, (last.fault.retryMs or 100) / 1000))
+                await asyncio.sleep(min(0.2, (last.fault.retry_ms or 100) / 1000))
         leg = Leg(len(self.ledger.legs) + 1)
         self.ledger.legs.append(leg)
         if not await self.router.licence.wait(self.ledger.waitUntilMs / 1000):
             leg.fault = NO_LICENCE
             return
         self.held = self.router.licence.held
-        if not await self._mayClaim():
+        if not await self._may_claim():
             leg.fault = NO_CLAIM
             return
         model = self.held.document.models.get(self.route.model)
         tenant = self.held.document.tenants.get(self.tenant)
-        if self.held.tenantByKey.get(self.keyDigest) != self.tenant:
+        if self.held.tenant_by_key.get(self.key_digest) != self.tenant:
             leg.fault = UNKNOWN_KEY
             return
         if model is None or tenant is None or self.body.model not in self.held.document.routes:
             leg.fault = NO_ROUTE.because(self.body.model)
             return
-        if not self.router.workers.isFresh():
+        if not self.router.workers.is_fresh():
             leg.fault = STALE_LIST
             return
-        group = groupOf(self.tenant, tenant.apart)
+        group = group_of(self.tenant, tenant.apart)
         if (self.weights, group) != (model.weights, getattr(self, "group", None)):
             self.weights, self.group = model.weights, group
             self.chain, self.talk = (
-                chainOf(model.weights, group, self.body.parts),
-                chainOf("", group, self.body.parts),
+                chain_of(model.weights, group, self.body.parts),
+                chain_of("", group, self.body.parts),
             )
-        leg.fault = await self._askKeeper(leg)
+        leg.fault = await self._ask_keeper(leg)
 
-    async def _askKeeper(self, leg):
-        keeper = self.router.keeperOf(self.route.model)
+    async def _ask_keeper(self, leg):
+        keeper = self.router.keeper_of(self.route.model)
         if keeper is None:
             return NO_KEEPER
-        sliceMs, askedS = int(min(self._leftMs(), SLICE_MS)), self.loop.time()
+        slice_ms, asked_s = int(min(self._left_ms(), SLICE_MS)), self.loop.time()
         ask = GrantAsk(
             router=self.router.me.name,
             call=self.name,
@@ -192,105 +192,105 @@
             chain=self.chain,
             talk=self.talk,
             weights=self.weights,
-            waitMs=sliceMs,
+            waitMs=slice_ms,
             avoid=self.avoid,
             conversation=self.conversation,
-            waitedMs=int((askedS - self.startS) * 1000),
-            wasGranted=self.wasGranted,
+            waitedMs=int((asked_s - self.start_s) * 1000),
+            was_granted=self.was_granted,
             size=sum(map(len, self.body.parts[:-1])),
         )
-        got = await self.router.askKeeper(keeper, ask, sliceMs + 300)
-        if isFault(got):
+        got = await self.router.ask_keeper(keeper, ask, slice_ms + 300)
+        if is_fault(got):
             return got
-        fault = self.router.takeGrant(self, leg, got, askedS)
+        fault = self.router.take_grant(self, leg, got, asked_s)
         if fault is None:
-            leg.grant, self.conversation, self.wasGranted = got, got.conversation, True
+            leg.grant, self.conversation, self.was_granted = got, got.conversation, True
         return fault
 
-    def _mayBeSent(self, leg):
+    def _may_be_sent(self, leg):
         """Looked at right before the bytes go: everything that a frozen process could have outlived."""
         router, model = self.router, None
-        if not router.licence.isHeld():
+        if not router.licence.is_held():
             return NO_LICENCE
         model = router.licence.held.document.models.get(self.route.model)
         if (
             model is None
             or model.weights != self.weights
-            or router.licence.held.tenantByKey.get(self.keyDigest) != self.tenant
+            or router.licence.held.tenant_by_key.get(self.key_digest) != self.tenant
         ):
             return NO_LICENCE.because("configuration changed meanwhile", 200)
-        if not router.workers.mayTake(leg.grant.worker):
+        if not router.workers.may_take(leg.grant.worker):
             return STALE_LIST.because("worker drains, is gone, or the list is old", 200)
-        if not router.isGrantValid(self.name):
+        if not router.is_grant_valid(self.name):
             return NO_KEEPER.because("grant lapsed", 200)
-        if self.nowMs() >= self.ledger.horizonMs:
+        if self.now_ms() >= self.ledger.horizonMs:
             return WAITED_OUT
         return None
 
     async def _send(self):
         leg = self.ledger.legs[-1]
-        if leg.grant.fetchFrom:
+        if leg.grant.fetch_from:
             await self._fetch(leg)
         ip, _, port = leg.grant.url.rpartition(":")
-        self.link = await connect(ip, int(port), max(50, min(1000, self._leftMs())))
-        if isFault(self.link):
+        self.link = await connect(ip, int(port), max(50, min(1000, self._left_ms())))
+        if is_fault(self.link):
             leg.fault, self.link = self.link, None
             self.avoid.append(leg.grant.worker)
         else:
-            leg.fault = self._mayBeSent(leg)
+            leg.fault = self._may_be_sent(leg)
             if leg.fault is not None:
                 self.router.board.count[f"looks.{leg.fault.code}"] += 1
             else:
                 self.router.board.count["legsSent"] += 1
-                leg.wasSent = True
-                self.router.legSent(leg)
-                leg.fault = await self._runAtWorker(leg)
-                if leg.fault is not None and leg.wasSent:
+                leg.was_sent = True
+                self.router.leg_sent(leg)
+                leg.fault = await self._run_at_worker(leg)
+                if leg.fault is not None and leg.was_sent:
                     self.router.board.count["legsFailed"] += 1
                     self.avoid.append(leg.grant.worker)
-                    self.ledger.waitUntilMs = self.nowMs() + min(self.route.waitMs, AGAIN_MS)
+                    self.ledger.waitUntilMs = self.now_ms() + min(self.route.waitMs, AGAIN_MS)
             if self.link:
                 self.link.close()
         if leg.fault is not None:
-            self._closeLeg()
-            if not leg.wasSent and leg.fault.code != UNREACHED.code:
+            self._close_leg()
+            if not leg.was_sent and leg.fault.code != UNREACHED.code:
                 leg.grant = None
 
     async def _fetch(self, leg):
-        boundMs = int(max(50, min(leg.grant.fetchMs, self._leftMs())))
-        startMs = self.nowMs()
-        got = await fetchJson(
+        bound_ms = int(max(50, min(leg.grant.fetchMs, self._left_ms())))
+        start_ms = self.now_ms()
+        got = await fetch_json(
             leg.grant.url,
             "POST",
             "/v1/fetch",
             {
-                "from": leg.grant.fetchFrom,
+                "from": leg.grant.fetch_from,
                 "chain": [link.hex() for link in self.chain],
                 "weights": self.weights,
                 "group": self.group,
-                "withinMs": boundMs,
+                "withinMs": bound_ms,
                 "call": self.name,
             },
-            timeoutMs=boundMs,
+            timeoutMs=bound_ms,
         )
-        tookMs = int(self.nowMs() - startMs)
-        self.slowFrom = leg.grant.fetchFrom if isFault(got) or tookMs > 0.8 * boundMs else ""
-        parts = got[1].get("parts", 0) if not isFault(got) and isinstance(got[1], dict) else 0
+        took_ms = int(self.now_ms() - start_ms)
+        self.slow_from = leg.grant.fetch_from if is_fault(got) or took_ms > 0.8 * bound_ms else ""
+        parts = got[1].get("parts", 0) if not is_fault(got) and isinstance(got[1], dict) else 0
         self.router.board.count["fetches"] += 1
-        self.router.board.count["fetchesBounded"] += bool(self.slowFrom)
+        self.router.board.count["fetchesBounded"] += bool(self.slow_from)
         self.router.board.count["fetchedParts"] += parts if isinstance(parts, int) else 0
         self.router.decisions.add(
             "fetch",
             call=self.name,
-            source=leg.grant.fetchFrom,
+            source=leg.grant.fetch_from,
             worker=leg.grant.worker,
             parts=parts,
-            tookMs=tookMs,
+            took_ms=took_ms,
         )
 
-    slowFrom, keyDigest, group = "", "", None
+    slow_from, key_digest, group = "", "", None
 
-    async def _runAtWorker(self, leg):
+    async def _run_at_worker(self, leg):
         body = msgspec.json.encode(
             {
                 "run": self.run(),
@@ -301,19 +301,19 @@
                 "maxTokens": self.body.maxTokens,
                 "route": self.body.model,
                 "tenant": self.tenant,
-                "key": self.claimKey,
+                "key": self.claim_key,
             }
         )
-        leftS = max(0.05, self.ledger.horizonMs / 1000 - self.loop.time())
+        left_s = max(0.05, self.ledger.horizonMs / 1000 - self.loop.time())
         try:
-            async with asyncio.timeout(min(leftS, self.route.firstPieceMs / 1000)):
+            async with asyncio.timeout(min(left_s, self.route.firstPieceMs / 1000)):
                 got = await self.link.exchange(
                     "POST", "/v1/run", [("content-type", "application/json")], body, leg.grant.url
                 )
-            if isFault(got):
+            if is_fault(got):
                 return got if got.code != BAD_RETURN.code else WORKER_BAD.because(got.reason)
             if got.status == OTHER_WEIGHTS.status:
-                leg.wasSent = False
+                leg.was_sent = False
                 return NO_WORKER.because("worker has other weights", 200)
             if got.status != 200:
                 return WORKER_REFUSED.because(f"status {got.status}")
@@ -322,15 +322,15 @@
             return self._late()
 
     def _late(self):
-        return HORIZON if self.nowMs() >= self.ledger.horizonMs else WORKER_HANGS
+        return HORIZON if self.now_ms() >= self.ledger.horizonMs else WORKER_HANGS
 
     async def _relay(self, leg, got):
         lines, expected, self.pieces = got.lines(), 0, []
         while True:
-            leftS = self.ledger.horizonMs / 1000 - self.loop.time()
-            boundMs = self.route.pieceMs if expected else self.route.firstPieceMs
+            left_s = self.ledger.horizonMs / 1000 - self.loop.time()
+            bound_ms = self.route.pieceMs if expected else self.route.firstPieceMs
             try:
-                async with asyncio.timeout(max(0.01, min(leftS, boundMs / 1000))):
+                async with asyncio.timeout(max(0.01, min(left_s, bound_ms / 1000))):
                     line = await anext(lines, None)
             except TimeoutError:
                 return self._late()
@@ -344,13 +344,13 @@
             if not line.strip():
                 continue
             piece = self._read(line, expected)
-            if isFault(piece):
+            if is_fault(piece):
                 return piece
             expected += 1
             if piece.get("end"):
                 usage = piece.get("usage")
                 self.usage = usage if isinstance(usage, dict) else {}
-                leg.isWhole = True
+                leg.is_whole = True
                 return None
             leg.delivered += 1 if self.body.stream else 0
             await self._give(piece)
@@ -409,12 +409,12 @@
         return (
             fault
             if self.released.done()
-            else CLAIM_LEFT.because(fault.reason or fault.name, fault.retryMs or None)
+            else CLAIM_LEFT.because(fault.reason or fault.name, fault.retry_ms or None)
         )
 
     async def _end(self, move, fault):
         leg = self.ledger.legs[-1] if self.ledger.legs else None
-        self._closeLeg()
+        self._close_leg()
         if move is Move.FINISH:
             self.router.board.count["callsServed"] += 1
             body = {
@@ -441,6 +441,6 @@
         sent = self.ledger.sent()
         told = {"call": self.name} | ({"worker": sent[-1].grant.worker} if sent else {})
         if self.begun:
-            await self._event(fault.asBody() | told, "error")
+            await self._event(fault.as_body() | told, "error")
             return self.exchange.finish()
-        return await self.exchange.giveFault(fault, [("call-id", self.name)], **told)
+        return await self.exchange.give_fault(fault, [("call-id", self.name)], **told)
--- a/swiftdeck/traffic/claims.py
+++ b/swiftdeck/traffic/claims.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from swiftdeck.chain.state import CLAIM, FINISH, FULL, RELEASE
-from swiftdeck.fault import CLAIMED, NO_CLAIM, isFault
+from swiftdeck.fault import CLAIMED, NO_CLAIM, is_fault
 
 BATCH, AGAIN_S = 200, 0.3
 
@@ -53,12 +53,12 @@
 
     async def _write(self, batch):
         got, name = NO_CLAIM, f"batch/{self.router}/{self.random.getrandbits(64):x}"
-        while isFault(got) or len(got.results) != len(batch):
+        while is_fault(got) or len(got.results) != len(batch):
             got = await self.scribe.write(
                 name, {"t": "claims", "ops": [op for op, _ in batch]}, 8000
             )
             self.board.count["claimBatches"] += 1
-            if isFault(got):
+            if is_fault(got):
                 self.board.count["claimBatchesAgain"] += 1
                 await asyncio.sleep(AGAIN_S)
         for (op, done), result in zip(batch, got.results, strict=False):
--- a/swiftdeck/traffic/index.py
+++ b/swiftdeck/traffic/index.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from swiftdeck.fault import isFault
-from swiftdeck.http.client import connect, fetchJson
+from swiftdeck.fault import is_fault
+from swiftdeck.http.client import connect, fetch_json
 
 
 class Kept:
@@ -13,7 +13,7 @@
 
     def __init__(self):
         self.number, self.weights, self.prefixes = -1, "", set()
-        self.isUp, self.heardS = False, -1e9
+        self.is_up, self.heard_s = False, -1e9
 
     def snapshot(self, body) -> bool:
         """Take a whole report; false when it is malformed."""
@@ -53,8 +53,8 @@
 class PrefixIndex:
     """Follows the reports of the workers of one model; a gap means a new snapshot."""
 
-    def __init__(self, board, onChange=lambda: None):
-        self.board, self.onChange = board, onChange
+    def __init__(self, board, on_change=lambda: None):
+        self.board, self.on_change = board, on_change
         self.kept, self.followers = {}, {}
 
     def follow(self, workers):
@@ -86,42 +86,42 @@
         kept = self.kept.get(worker)
         return kept.weights if kept else ""
 
-    def isUp(self, worker) -> bool:
+    def is_up(self, worker) -> bool:
         """Whether a worker's reports come in."""
         kept = self.kept.get(worker)
-        return bool(kept and kept.isUp)
+        return bool(kept and kept.is_up)
 
     async def _following(self, worker):
         kept = self.kept[worker.name]
         while True:
             try:
-                await self._followOnce(worker, kept)
+                await self._follow_once(worker, kept)
             except (TimeoutError, msgspec.DecodeError):
                 self.board.count["reportsBroken"] += 1
-            if kept.isUp:
-                kept.isUp = False
-                self.onChange()
+            if kept.is_up:
+                kept.is_up = False
+                self.on_change()
             await asyncio.sleep(0.3)
 
-    async def _followOnce(self, worker, kept):
-        got = await fetchJson(worker.addr, "GET", "/v1/kept", timeoutMs=1500)
-        if isFault(got) or got[0] != 200 or not kept.snapshot(got[1]):
+    async def _follow_once(self, worker, kept):
+        got = await fetch_json(worker.addr, "GET", "/v1/kept", timeoutMs=1500)
+        if is_fault(got) or got[0] != 200 or not kept.snapshot(got[1]):
             return
         self.board.count["snapshots"] += 1
         ip, _, port = worker.addr.rpartition(":")
         link = await connect(ip, int(port), 1000)
-        if isFault(link):
+        if is_fault(link):
             return
         try:
             async with asyncio.timeout(1.5):
                 stream = await link.exchange(
                     "GET", f"/v1/events?since={kept.number}", host=worker.addr
                 )
-            if isFault(stream) or stream.status != 200:
+            if is_fault(stream) or stream.status != 200:
                 return
-            if not kept.isUp:
-                kept.isUp = True
-                self.onChange()
+            if not kept.is_up:
+                kept.is_up = True
+                self.on_change()
             lines = stream.lines()
             while True:
                 async with asyncio.timeout(4.0):
@@ -133,6 +133,6 @@
                     self.board.count["reportGaps"] += 1
                     return
                 if kept.weights != weights:
-                    self.onChange()
+                    self.on_change()
         finally:
             link.close()
--- a/swiftdeck/traffic/ledger.py
+++ b/swiftdeck/traffic/ledger.py
@@ -60,9 +60,9 @@
     number: int
     grant: object = None
     fault: Fault | None = None
-    wasSent: bool = False
+    was_sent: bool = False
     delivered: int = 0
-    isWhole: bool = False
+    is_whole: bool = False
 
 
 @attrs.define
@@ -78,7 +78,7 @@
 
     def sent(self):
         """Legs of which a byte may have reached a worker."""
-        return [leg for leg in self.legs if leg.wasSent]
+        return [leg for leg in self.legs if leg.was_sent]
 
     def verdict(self, fault: Fault) -> Fault:
         """The final fault: one that promises "not run" only if nothing was ever sent."""
@@ -87,7 +87,7 @@
             return (
                 fault
                 if fault.notRun
-                else UNREACHED.because(fault.reason or fault.name, fault.retryMs or 1000)
+                else UNREACHED.because(fault.reason or fault.name, fault.retry_ms or 1000)
             )
         known = next((leg.fault for leg in reversed(sent) if leg.fault is not None), None)
         return (
@@ -95,26 +95,26 @@
         )
 
 
-def nextMove(ledger: Ledger, nowMs: float):
+def next_move(ledger: Ledger, now_ms: float):
     """The next move and, when it ends the call, the fault to give; a pure function of the ledger and the time."""
     if isinstance(ledger.claim, Fault):
         return Move.GIVE_UP, ledger.claim
     last = ledger.legs[-1] if ledger.legs else None
-    if last and last.isWhole:
+    if last and last.is_whole:
         return Move.FINISH, None
     if last and last.delivered:
         return Move.BREAK, last.fault
-    if last and last.grant is not None and last.fault is None and not last.wasSent:
-        if nowMs >= ledger.horizonMs:
+    if last and last.grant is not None and last.fault is None and not last.was_sent:
+        if now_ms >= ledger.horizonMs:
             return Move.GIVE_UP, ledger.verdict(WAITED_OUT)
         return (Move.CLAIM if ledger.needsClaim and ledger.claim is None else Move.SEND), None
     if last is None:
         return Move.NOMINATE, None
     if last.grant is None and last.fault.code not in AGAIN:
         return Move.GIVE_UP, ledger.verdict(last.fault)
-    if last.wasSent and not ledger.repeatable:
+    if last.was_sent and not ledger.repeatable:
         return Move.GIVE_UP, ledger.verdict(last.fault)
-    isWaitOver = nowMs >= ledger.waitUntilMs and (last.grant is None or not last.wasSent)
-    if nowMs >= ledger.horizonMs or isWaitOver:
+    is_wait_over = now_ms >= ledger.waitUntilMs and (last.grant is None or not last.was_sent)
+    if now_ms >= ledger.horizonMs or is_wait_over:
         return Move.GIVE_UP, ledger.verdict(HORIZON if ledger.sent() else last.fault)
     return Move.NOMINATE, None
--- a/swiftdeck/traffic/licence.py
+++ b/swiftdeck/traffic/licence.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from swiftdeck.config.configuration import Configuration
-from swiftdeck.fault import INVALID, NO_LICENCE, isFault
+from swiftdeck.fault import INVALID, NO_LICENCE, is_fault
 from swiftdeck.wire.messages import LicenceAsk, LicenceReturn, Nudge, PeekAsk, PeekReturn, Relay
 
 
@@ -17,7 +17,7 @@
 
     version: int
     config: object
-    tenantByKey: dict
+    tenant_by_key: dict
 
     @property
     def document(self):
@@ -38,53 +38,53 @@
         )
         self.renewMs = renewMs
         self.router = f"{me.name}/{me.incarnation:x}"
-        self.held, self.untilS, self.watchers = None, -1.0, []
-        self.waiting, self.stopping, self.mustHaveWhole = [], False, False
+        self.held, self.until_s, self.watchers = None, -1.0, []
+        self.waiting, self.stopping, self.must_have_whole = [], False, False
         self.failures, self.peeks, self.routers = 0, False, 0
-        mesh.on(Nudge, self.onNudge)
-        mesh.on(Relay, self.onRelay)
+        mesh.on(Nudge, self.on_nudge)
+        mesh.on(Relay, self.on_relay)
 
     def start(self):
         """Go on renewing."""
         self.loop, self.kick = asyncio.get_running_loop(), asyncio.Event()
         self.task = asyncio.ensure_future(self._renewing())
 
-    def isHeld(self) -> bool:
+    def is_held(self) -> bool:
         """Whether the configuration held may be served by now."""
-        return self.held is not None and self.loop.time() < self.untilS
+        return self.held is not None and self.loop.time() < self.until_s
 
-    def onNudge(self, nudge, sender):
+    def on_nudge(self, nudge, sender):
         if self.held is None or nudge.version > self.held.version:
             self.kick.set()
 
     async def _renewing(self):
         while not self.stopping:
-            wasNew = await self._renew()
-            self.board.put("configLicence", "held" if self.isHeld() else "lapsed")
-            if not wasNew:
+            was_new = await self._renew()
+            self.board.put("configLicence", "held" if self.is_held() else "lapsed")
+            if not was_new:
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(
-                        self.kick.wait(), self.renewMs / 1000 if self.isHeld() else 0.15
+                        self.kick.wait(), self.renewMs / 1000 if self.is_held() else 0.15
                     )
             self.kick.clear()
 
-    def _ask(self, handBack=False):
+    def _ask(self, hand_back=False):
         return LicenceAsk(
             router=self.router,
             addr=self.me.addr,
             held=self.held.version if self.held else 0,
-            handBack=handBack,
-            digest=self.held.config.digest() if self.held and not self.mustHaveWhole else b"",
+            hand_back=hand_back,
+            digest=self.held.config.digest() if self.held and not self.must_have_whole else b"",
         )
 
     async def _renew(self):
         sentS, ask, tail = self.loop.time(), self._ask(), self.chart.tail()
         got = NO_LICENCE if tail is None else await self.mesh.ask(tail, ask, 700)
-        if isFault(got):
+        if is_fault(got):
             self.chart.refresh()
             sentS = self.loop.time()
-            got = await self._throughOthers(ask)
-        if isFault(got) or not isinstance(got, LicenceReturn):
+            got = await self._through_others(ask)
+        if is_fault(got) or not isinstance(got, LicenceReturn):
             self.failures += 1
             if self.peeks and self.held is None:
                 await self._peek()
@@ -106,43 +106,43 @@
                 LicenceReturn(version=best.version, document=best.document, digest=best.digest)
             )
 
-    async def _throughOthers(self, ask):
+    async def _through_others(self, ask):
         some = self.membership.some(2, "router")
         asked = [
             asyncio.ensure_future(self.mesh.ask(each.addr, Relay(ask=ask), 900)) for each in some
         ]
         for each in asked:
             got = await each
-            if not isFault(got):
+            if not is_fault(got):
                 self.board.count["licencesRelayed"] += 1
                 return got
         return NO_LICENCE
 
     def _take(self, got, sentS):
         held = self.held.version if self.held else -1
-        isNew = got.version > held
-        if (isNew or got.document and got.version == held) and not self._install(got):
+        is_new = got.version > held
+        if (is_new or got.document and got.version == held) and not self._install(got):
             return False
-        if got.version >= held and got.licenceMs:
-            self.untilS = max(self.untilS, sentS + got.licenceMs / 1000 * 0.95)
+        if got.version >= held and got.licence_ms:
+            self.until_s = max(self.until_s, sentS + got.licence_ms / 1000 * 0.95)
             waiting, self.waiting = self.waiting, []
             for done in waiting:
                 if not done.done():
                     done.set_result(None)
-        return isNew
+        return is_new
 
     def _install(self, got):
         config = self._next(got)
-        if isFault(config) or config.digest() != got.digest:
+        if is_fault(config) or config.digest() != got.digest:
             self.board.count["configsMismatched"] += 1
             self.board.note("configuration in force is not what was told", version=got.version)
-            self.mustHaveWhole = True
+            self.must_have_whole = True
             return False
-        self.mustHaveWhole = False
-        byKey = {
+        self.must_have_whole = False
+        by_key = {
             key: name for name, tenant in config.document.tenants.items() for key in tenant.keys
         }
-        self.held = Held(got.version, config, byKey)
+        self.held = Held(got.version, config, by_key)
         self.board.put("config", got.version)
         for watch in self.watchers:
             watch(self.held)
@@ -167,20 +167,20 @@
         self.board.count["configsChanged"] += 1
         return config
 
-    async def onRelay(self, relay, sender):
+    async def on_relay(self, relay, sender):
         tail = self.chart.tail()
         return NO_LICENCE if tail is None else await self.mesh.ask(tail, relay.ask, 700)
 
-    async def wait(self, untilS):
+    async def wait(self, until_s):
         """Wait for the licence, but no longer than given; whether it is held."""
-        while not self.isHeld() and self.loop.time() < untilS:
+        while not self.is_held() and self.loop.time() < until_s:
             done = self.loop.create_future()
             self.waiting.append(done)
-            await asyncio.wait([done], timeout=max(0.001, untilS - self.loop.time()))
-        return self.isHeld()
+            await asyncio.wait([done], timeout=max(0.001, until_s - self.loop.time()))
+        return self.is_held()
 
-    async def handBack(self):
+    async def hand_back(self):
         """Give the licence up, so that no acknowledgement waits for this router."""
-        self.stopping, self.untilS = True, -1.0
+        self.stopping, self.until_s = True, -1.0
         if self.chart.tail():
             await self.mesh.ask(self.chart.tail(), self._ask(True), 500)
--- a/swiftdeck/traffic/line.py
+++ b/swiftdeck/traffic/line.py
@@ -12,11 +12,11 @@
     tenant: str
     ask: object
     done: object
-    sinceS: float
+    since_s: float
     sender: str = ""
-    seenS: float = 0.0
+    seen_s: float = 0.0
 
-    def isAsking(self) -> bool:
+    def is_asking(self) -> bool:
         """Whether its router has a question open, to which a grant can be given."""
         return not self.done.done()
 
@@ -37,8 +37,8 @@
         """Stand in the tenant's line, behind all that have waited as long."""
         line = self.tenants.setdefault(waiting.tenant, deque())
         line.append(waiting)
-        if len(line) > 1 and line[-2].sinceS > waiting.sinceS:
-            self.tenants[waiting.tenant] = deque(sorted(line, key=lambda each: each.sinceS))
+        if len(line) > 1 and line[-2].since_s > waiting.since_s:
+            self.tenants[waiting.tenant] = deque(sorted(line, key=lambda each: each.since_s))
 
     def first(self):
         """The next to begin, or None."""
--- a/swiftdeck/traffic/lines.py
+++ b/swiftdeck/traffic/lines.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.fault import LINE_FULL, NO_WORKER, WAITED_OUT, isFault
+from swiftdeck.fault import LINE_FULL, NO_WORKER, WAITED_OUT, is_fault
 from swiftdeck.traffic.book import Conversation
 from swiftdeck.traffic.line import Waiting
 
@@ -30,7 +30,7 @@
                 self._give(each, fault)
         self.waits = {}
 
-    async def wait(self, ask, sender, startS):
+    async def wait(self, ask, sender, start_s):
         """A grant for a start, now or within the question's slice of the wait."""
         waiting = self.waits.get(ask.call)
         if waiting is None:
@@ -38,27 +38,27 @@
                 ask.tenant,
                 ask,
                 self.loop.create_future(),
-                startS - ask.waitedMs / 1000,
+                start_s - ask.waitedMs / 1000,
                 sender,
-                startS,
+                start_s,
             )
             self.place(waiting)
         else:
-            waiting.ask, waiting.done, waiting.sender, waiting.seenS = (
+            waiting.ask, waiting.done, waiting.sender, waiting.seen_s = (
                 ask,
                 self.loop.create_future(),
                 sender,
-                startS,
+                start_s,
             )
             for book in self.books.all():
                 if book.line.first() is waiting:
                     self.pump(book)
-        return await self._waited(waiting, waiting.done, startS + ask.waitMs / 1000)
+        return await self._waited(waiting, waiting.done, start_s + ask.waitMs / 1000)
 
-    async def _waited(self, waiting, done, endS):
+    async def _waited(self, waiting, done, end_s):
         """One slice of a wait; the place in line outlasts it, so that a grant is never older than its question."""
         try:
-            await asyncio.wait([done], timeout=max(0, endS - self.loop.time()))
+            await asyncio.wait([done], timeout=max(0, end_s - self.loop.time()))
         finally:
             if not done.done():
                 done.cancel()
@@ -75,7 +75,7 @@
         if name is None:
             return self._give(waiting, NO_WORKER)
         book = self.books.of(name)
-        if book.hasRoom() and not len(book.line) and waiting.isAsking():
+        if book.has_room() and not len(book.line) and waiting.is_asking():
             return self._begin(book, waiting)
         if len(book.line) >= config.lineMax:
             self.board.count["lineFull"] += 1
@@ -99,27 +99,27 @@
     def pump(self, book):
         """Let the next ones begin while there is room."""
         if (
-            not self.host.isReady()
+            not self.host.is_ready()
             or self.host.config() is None
-            or not self.router.workers.mayTake(book.worker)
+            or not self.router.workers.may_take(book.worker)
         ):
             return
         while len(book.line):
             first = book.line.first()
-            if not first.isAsking():
-                if self.loop.time() - first.seenS < FORGOTTEN_S:
+            if not first.is_asking():
+                if self.loop.time() - first.seen_s < FORGOTTEN_S:
                     return
                 self._forget(book.line.take())
                 continue
-            if not book.hasRoom():
-                paused = book.longestPaused(self.loop.time(), self.host.config().pauseMs)
+            if not book.has_room():
+                paused = book.longest_paused(self.loop.time(), self.host.config().pauseMs)
                 if paused is None or len(book.open) > book.cap:
                     return
                 self.board.count["slotsReclaimed"] += 1
                 self.books.close(paused, "paused while others wait")
             self._begin(book, book.line.take())
 
-    def pumpAll(self):
+    def pump_all(self):
         """Look at every line."""
         for book in self.books.all():
             self.pump(book)
@@ -161,7 +161,7 @@
         conversation = Conversation(name, ask.tenant, ask.group, book.worker, ask.weights)
         self.books.open(conversation)
         self.board.count["starts"] += 1
-        waitedMs = int((self.loop.time() - waiting.sinceS) * 1000)
+        waitedMs = int((self.loop.time() - waiting.since_s) * 1000)
         self.router.decisions.add(
             "start",
             call=ask.call,
@@ -173,12 +173,12 @@
             cap=book.cap,
         )
         got = self.grant(conversation, ask, waiting.sender, True)
-        if not isFault(got):
+        if not is_fault(got):
             got.waitedMs = waitedMs
         self._give(waiting, got)
 
     def _give(self, waiting, got):
-        if waiting.isAsking():
+        if waiting.is_asking():
             waiting.done.set_result(got)
         else:
             self._forget(waiting)
--- a/swiftdeck/traffic/moves.py
+++ b/swiftdeck/traffic/moves.py
@@ -13,19 +13,19 @@
 
     def settle(self, conversation, ask):
         """Move the conversation if it must; a fault when it must and can't."""
-        worker, nowS = conversation.worker, asyncio.get_running_loop().time()
+        worker, now_s = conversation.worker, asyncio.get_running_loop().time()
         book = self.books.of(worker)
         listed = self.router.workers.workers.get(worker)
-        isLost = listed is None or listed.draining or worker in ask.avoid
+        is_lost = listed is None or listed.draining or worker in ask.avoid
         if (
-            not isLost
-            and book.shunnedUntilS <= nowS
-            and not self.placement.otherWeights(worker, ask.weights)
+            not is_lost
+            and book.shunned_until_s <= now_s
+            and not self.placement.other_weights(worker, ask.weights)
         ):
             return None
         target = next((name for name in self.placement.candidates(ask) if name != worker), None)
         if target is None:
-            return NO_WORKER if isLost else None
+            return NO_WORKER if is_lost else None
         self.books.move(conversation, target)
         fresh = self.books.of(target)
         over = len(fresh.open) > fresh.cap
--- a/swiftdeck/traffic/placement.py
+++ b/swiftdeck/traffic/placement.py
@@ -22,14 +22,14 @@
         if serving != self.ring.workers:
             self.ring = Ring(serving, self.virtualPlaces)
 
-    def otherWeights(self, worker, weights) -> bool:
+    def other_weights(self, worker, weights) -> bool:
         """Whether a worker said that it has other weights loaded."""
         said = self.index.weights(worker)
         return bool(said) and said != weights
 
     def candidates(self, ask):
         """Workers in the order in which a start would take them."""
-        nowS = asyncio.get_running_loop().time()
+        now_s = asyncio.get_running_loop().time()
         places = [
             name
             for name in self.ring.walk(ask.chain[-1] + ask.group.encode())
@@ -39,7 +39,7 @@
         good = [
             name
             for name in fit
-            if self.books.of(name).shunnedUntilS <= nowS and self.index.isUp(name)
+            if self.books.of(name).shunned_until_s <= now_s and self.index.is_up(name)
         ]
         return good or fit
 
@@ -51,7 +51,7 @@
         roomy = [
             name
             for name in few
-            if self.books.of(name).hasRoom() and not len(self.books.of(name).line)
+            if self.books.of(name).has_room() and not len(self.books.of(name).line)
         ]
         places = (
             roomy
--- a/swiftdeck/traffic/prefix.py
+++ b/swiftdeck/traffic/prefix.py
@@ -5,12 +5,12 @@
 SHARED_GROUP = "shared"
 
 
-def groupOf(tenant: str, isApart: bool) -> str:
+def group_of(tenant: str, is_apart: bool) -> str:
     """The isolation group of a tenant: its own if it is kept apart, otherwise the shared one."""
-    return f"apart/{tenant}" if isApart else SHARED_GROUP
+    return f"apart/{tenant}" if is_apart else SHARED_GROUP
 
 
-def chainOf(weights: str, group: str, parts) -> list[bytes]:
+def chain_of(weights: str, group: str, parts) -> list[bytes]:
     """One digest for each part; equal only when weights, group and all parts so far are equal."""
     link = hashlib.blake2b(f"{len(weights)}:{weights}{group}".encode(), digest_size=16).digest()
     chain = []
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -8,7 +8,7 @@
 
 from swiftdeck.chain.chart import Chart
 from swiftdeck.chain.scribe import Scribe
-from swiftdeck.config.document import keyDigest
+from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
 from swiftdeck.fault import (
     BAD_METHOD,
@@ -24,7 +24,7 @@
     TOO_LARGE,
     UNKNOWN_KEY,
     UNREACHED,
-    isFault,
+    is_fault,
 )
 from swiftdeck.http.server import HttpServer
 from swiftdeck.traffic.call import Call, CallBody
@@ -54,7 +54,7 @@
     call: object
     model: str
     term: int
-    askedS: float
+    asked_s: float
 
 
 @attrs.define
@@ -63,8 +63,8 @@
 
     told: OpenConversation
     model: str
-    idleSinceS: float
-    isStart: bool = False
+    idle_since_s: float
+    is_start: bool = False
 
 
 class Router(Node):
@@ -87,22 +87,22 @@
         self.http = HttpServer(self.handle, settings.bodyBytes, note=self.board.note)
         self.keepers, self.known, self.running, self.served = {}, {}, {}, {}
         self.stopping, self.open = False, 0
-        self.news.watch("duty/keeper/", self.onKeeperNews)
-        for kind, handler, isBound in (
-            (GrantAsk, self.onGrantAsk, True),
-            (LegEnd, self.onLegEnd, False),
-            (GrantDrop, self.onGrantDrop, False),
-            (OpenAsk, self.onOpenAsk, False),
-            (Hold, self.onHold, False),
+        self.news.watch("duty/keeper/", self.on_keeper_news)
+        for kind, handler, is_bound in (
+            (GrantAsk, self.on_grant_ask, True),
+            (LegEnd, self.on_leg_end, False),
+            (GrantDrop, self.on_grant_drop, False),
+            (OpenAsk, self.on_open_ask, False),
+            (Hold, self.on_hold, False),
         ):
-            self.mesh.on(kind, handler, isBound)
+            self.mesh.on(kind, handler, is_bound)
 
     async def start(self):
         """Join the fleet and serve."""
         self.loop = asyncio.get_running_loop()
         self.decisions = Decisions(self.loop.time)
-        self.licence.watchers.append(self.onConfig)
-        await self.startNode()
+        self.licence.watchers.append(self.on_config)
+        await self.start_node()
         for part in (self.chart, self.licence, self.workers, self.claims):
             part.start()
         self.tasks = [asyncio.ensure_future(self._holding())]
@@ -114,16 +114,16 @@
         """Take no more calls, finish the open ones within the bound, hand licences and duties back."""
         self.stopping = True
         self.http.stop()
-        endS = self.loop.time() + self.settings.stopMs / 1000
-        while self.open and self.loop.time() < endS:
+        end_s = self.loop.time() + self.settings.stopMs / 1000
+        while self.open and self.loop.time() < end_s:
             await asyncio.sleep(0.05)
         await asyncio.gather(
-            self.licence.handBack(), *(keeper.duty.handBack() for keeper in self.keepers.values())
+            self.licence.hand_back(), *(keeper.duty.hand_back() for keeper in self.keepers.values())
         )
         self.board.note("router stopped", open=self.open)
         self.mesh.close()
 
-    def onConfig(self, held):
+    def on_config(self, held):
         """Keep, or stand for keeping, exactly the models of the configuration."""
         models = held.document.models
         for name in [name for name in self.keepers if name not in models]:
@@ -132,45 +132,45 @@
             self.keepers[name] = Keeper(name, self)
             self.keepers[name].start()
 
-    def onKeeperNews(self, key, stamp, body):
+    def on_keeper_news(self, key, stamp, body):
         model = key.removeprefix("duty/keeper/")
         if stamp > self.known.get(model, (0, ""))[0]:
             self.known[model] = (stamp, json.loads(body)["addr"])
         keeper = self.keepers.get(model)
         if keeper:
-            keeper.duty.seenTerm = max(keeper.duty.seenTerm, stamp)
+            keeper.duty.seen_term = max(keeper.duty.seen_term, stamp)
 
-    def keeperOf(self, model):
+    def keeper_of(self, model):
         """(term, address) of the newest keeper of a model, or None."""
         keeper = self.keepers.get(model)
-        if keeper and keeper.duty.isHeld():
+        if keeper and keeper.duty.is_held():
             return keeper.duty.term, self.me.addr
         return self.known.get(model)
 
-    async def askKeeper(self, keeper, ask, timeoutMs):
+    async def ask_keeper(self, keeper, ask, timeoutMs):
         """Ask a keeper, which may be this process."""
         if keeper[1] == self.me.addr:
-            return await self.onGrantAsk(ask, self.me.addr)
+            return await self.on_grant_ask(ask, self.me.addr)
         return await self.mesh.ask(keeper[1], ask, timeoutMs)
 
-    def tellKeeper(self, model, message):
+    def tell_keeper(self, model, message):
         """Tell the keeper of a model something."""
-        keeper = self.keeperOf(model)
+        keeper = self.keeper_of(model)
         if keeper is None:
             return
         if keeper[1] == self.me.addr:
-            {LegEnd: self.onLegEnd, GrantDrop: self.onGrantDrop}[type(message)](
+            {LegEnd: self.on_leg_end, GrantDrop: self.on_grant_drop}[type(message)](
                 message, self.me.addr
             )
         else:
             self.mesh.tell(keeper[1], message)
 
-    def takeGrant(self, call, leg, grant, askedS):
+    def take_grant(self, call, leg, grant, asked_s):
         """Note a grant, unless a newer keeper is known."""
         model = call.route.model
         if grant.term < self.known.get(model, (0, ""))[0]:
             return OLD_TERM.because(f"grant of term {grant.term}", 50)
-        self.running[call.name] = Running(call, model, grant.term, askedS)
+        self.running[call.name] = Running(call, model, grant.term, asked_s)
         told = OpenConversation(
             conversation=grant.conversation,
             tenant=call.tenant,
@@ -182,45 +182,45 @@
             weights=call.weights,
             leg=leg.number,
         )
-        self.served[grant.conversation] = Served(told, model, self.loop.time(), grant.isStart)
+        self.served[grant.conversation] = Served(told, model, self.loop.time(), grant.is_start)
         return None
 
-    def legSent(self, leg):
+    def leg_sent(self, leg):
         """A byte of a leg may have gone out: its conversation is open here, whatever the keeper knows."""
         served = self.served.get(leg.grant.conversation)
         if served:
-            served.told.isSent, served.isStart = True, False
+            served.told.is_sent, served.is_start = True, False
 
-    def isGrantValid(self, name) -> bool:
+    def is_grant_valid(self, name) -> bool:
         """Whether a grant may still be acted on: its time counts from the question, or from the newest hold."""
         running = self.running.get(name)
         return (
             running is not None
-            and self.loop.time() - running.askedS <= self.settings.grantMs / 1000
+            and self.loop.time() - running.asked_s <= self.settings.grantMs / 1000
             and running.term >= self.known.get(running.model, (0, ""))[0]
         )
 
-    def legEnded(self, call, leg):
+    def leg_ended(self, call, leg):
         """A leg is over: tell the keeper, and remember the conversation for a while."""
         del self.running[call.name]
         served = self.served.get(leg.grant.conversation)
         if served:
-            served.idleSinceS = self.loop.time()
-            if served.isStart and not leg.wasSent:
+            served.idle_since_s = self.loop.time()
+            if served.is_start and not leg.was_sent:
                 del self.served[leg.grant.conversation]
             if served.told.call == call.name:
                 served.told.call = ""
-        usage = call.usage if leg.isWhole else {}
+        usage = call.usage if leg.is_whole else {}
         hits, parts = usage.get("hitParts", 0), usage.get("parts", 0)
-        isCounted = (
+        is_counted = (
             isinstance(hits, int) and isinstance(parts, int) and 0 <= hits <= parts < 1 << 31
         )
-        isOver = (call.isLast or call.route.single) and (
-            leg.isWhole or leg.fault is None or leg.wasSent
+        is_over = (call.isLast or call.route.single) and (
+            leg.is_whole or leg.fault is None or leg.was_sent
         )
-        if isOver:
+        if is_over:
             self.served.pop(leg.grant.conversation, None)
-        self.tellKeeper(
+        self.tell_keeper(
             call.route.model,
             LegEnd(
                 router=self.me.name,
@@ -228,52 +228,52 @@
                 leg=leg.number,
                 conversation=leg.grant.conversation,
                 model=call.route.model,
-                isOver=isOver,
-                hits=hits if isCounted else 0,
-                parts=parts if isCounted else 0,
-                neverSent=not leg.wasSent,
-                isBad=leg.fault is not None and leg.fault.code == UNREACHED.code,
-                slowFrom=call.slowFrom,
+                is_over=is_over,
+                hits=hits if is_counted else 0,
+                parts=parts if is_counted else 0,
+                never_sent=not leg.was_sent,
+                is_bad=leg.fault is not None and leg.fault.code == UNREACHED.code,
+                slow_from=call.slow_from,
                 earlier=leg.grant.earlier,
             ),
         )
 
-    async def onGrantAsk(self, ask, sender):
+    async def on_grant_ask(self, ask, sender):
         keeper = self.keepers.get(ask.model)
-        if keeper is None or not keeper.duty.isHeld() and keeper.term != keeper.duty.term:
+        if keeper is None or not keeper.duty.is_held() and keeper.term != keeper.duty.term:
             return NOT_KEEPER
         if not ask.chain or not ask.talk or not ask.call:
             return BAD_REQUEST
-        return await keeper.onGrantAsk(ask, sender)
+        return await keeper.on_grant_ask(ask, sender)
 
-    def onLegEnd(self, end, sender):
+    def on_leg_end(self, end, sender):
         keeper = self.keepers.get(end.model)
-        return keeper.onLegEnd(end, sender) if keeper else None
+        return keeper.on_leg_end(end, sender) if keeper else None
 
-    def onGrantDrop(self, drop, sender):
+    def on_grant_drop(self, drop, sender):
         keeper = self.keepers.get(drop.model)
-        return keeper.onGrantDrop(drop, sender) if keeper else None
+        return keeper.on_grant_drop(drop, sender) if keeper else None
 
-    async def onHold(self, hold, sender):
+    async def on_hold(self, hold, sender):
         keeper = self.keepers.get(hold.model)
-        return await keeper.onHold(hold, sender) if keeper else NOT_KEEPER
+        return await keeper.on_hold(hold, sender) if keeper else NOT_KEEPER
 
-    def onOpenAsk(self, ask, sender):
+    def on_open_ask(self, ask, sender):
         """A new keeper gathers: what runs here, and what ran here a short while ago."""
         known = self.known.get(ask.model, (0, ""))
         if ask.term < known[0]:
             return OLD_TERM.because(f"term {known[0]} is known")
         self.known[ask.model] = (ask.term, ask.keeper)
         model = self.licence.held.document.models.get(ask.model) if self.licence.held else None
-        idleS, nowS, told = (model.idleMs / 1000 if model else 10.0), self.loop.time(), []
+        idle_s, now_s, told = (model.idleMs / 1000 if model else 10.0), self.loop.time(), []
         for name, served in list(self.served.items()):
-            if not served.told.call and nowS - served.idleSinceS > idleS + OUTAGE_S:
+            if not served.told.call and now_s - served.idle_since_s > idle_s + OUTAGE_S:
                 del self.served[name]
             elif served.model == ask.model and (
-                served.told.isSent or not served.told.call or not served.isStart
+                served.told.is_sent or not served.told.call or not served.is_start
             ):
                 served.told.idleMs = (
-                    0 if served.told.call else int((nowS - served.idleSinceS) * 1000)
+                    0 if served.told.call else int((now_s - served.idle_since_s) * 1000)
                 )
                 told.append(served.told)
         return OpenReturn(conversations=told)
@@ -281,11 +281,11 @@
     async def _holding(self):
         while True:
             await asyncio.sleep(self.settings.holdMs / 1000)
-            byModel = {}
+            by_model = {}
             for name, running in self.running.items():
-                byModel.setdefault(running.model, []).append(name)
-            for model, calls in byModel.items():
-                keeper = self.keeperOf(model)
+                by_model.setdefault(running.model, []).append(name)
+            for model, calls in by_model.items():
+                keeper = self.keeper_of(model)
                 if keeper:
                     asyncio.ensure_future(self._hold(keeper, model, calls))
             if len(self.served) > 20000:
@@ -295,18 +295,18 @@
         sentS = self.loop.time()
         hold = Hold(router=self.me.name, model=model, calls=calls, term=keeper[0])
         got = await (
-            self.onHold(hold, self.me.addr)
+            self.on_hold(hold, self.me.addr)
             if keeper[1] == self.me.addr
             else self.mesh.ask(keeper[1], hold, 1000)
         )
-        if not isFault(got):
+        if not is_fault(got):
             lost = set(got.lost) if isinstance(got, HoldReturn) else set()
             self.board.count["grantsLapsed"] += len(lost)
             for running in [
                 self.running[name] for name in calls if name in self.running and name not in lost
             ]:
-                running.askedS = (
-                    max(running.askedS, sentS) if running.term == keeper[0] else running.askedS
+                running.asked_s = (
+                    max(running.asked_s, sentS) if running.term == keeper[0] else running.asked_s
                 )
 
     async def handle(self, exchange):
@@ -339,8 +339,8 @@
             return self._refuse(BUSY)
         self.open += 1
         try:
-            call = await self._callOf(exchange)
-            return self._refuse(call) if isFault(call) else await call.serve()
+            call = await self._call_of(exchange)
+            return self._refuse(call) if is_fault(call) else await call.serve()
         finally:
             self.open -= 1
 
@@ -348,7 +348,7 @@
         self.board.count[f"faults.{fault.code}"] += 1
         return fault
 
-    async def _callOf(self, exchange):
+    async def _call_of(self, exchange):
         try:
             body = msgspec.json.decode(exchange.body, type=CallBody)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -357,13 +357,13 @@
             return TOO_LARGE.because(f"more than {self.settings.partsMost} parts")
         held = self.licence.held
         route = held.document.routes.get(body.model) if held else None
-        startS, waitS = self.loop.time(), (route.waitMs if route else 3000) / 1000
-        if not await self.licence.wait(startS + waitS):
+        start_s, wait_s = self.loop.time(), (route.waitMs if route else 3000) / 1000
+        if not await self.licence.wait(start_s + wait_s):
             return NO_LICENCE
         held = self.licence.held
         scheme, _, key = exchange.headers.get("authorization", "").partition(" ")
-        digest = keyDigest(key.strip())
-        tenant = held.tenantByKey.get(digest) if scheme.lower() == "bearer" else None
+        digest = key_digest(key.strip())
+        tenant = held.tenant_by_key.get(digest) if scheme.lower() == "bearer" else None
         if tenant is None:
             return UNKNOWN_KEY
         route = held.document.routes.get(body.model)
@@ -371,8 +371,8 @@
             return NO_ROUTE.because(body.model)
         if len(exchange.headers.get("idempotency-key", "")) > 200:
             return BAD_REQUEST.because("Idempotency-Key is over 200 characters")
-        call = Call(self, exchange, held, tenant, route, body, startS)
-        call.keyDigest = digest
+        call = Call(self, exchange, held, tenant, route, body, start_s)
+        call.key_digest = digest
         return call
 
     async def _decisions(self, exchange):
@@ -415,10 +415,10 @@
                 "voters": [ref.addr for ref in view.voters],
             },
             "version": held.version if held else 0,
-            "licence": self.licence.isHeld(),
+            "licence": self.licence.is_held(),
             "list": {
                 "ageMs": self.workers.ageMs(),
-                "fresh": self.workers.isFresh(),
+                "fresh": self.workers.is_fresh(),
                 "workers": [
                     msgspec.to_builtins(worker) for worker in self.workers.workers.values()
                 ],
@@ -426,10 +426,10 @@
             "keepers": {
                 model: {"term": term, "addr": addr} for model, (term, addr) in self.known.items()
             },
-            "keeps": [keeper.status() for keeper in self.keepers.values() if keeper.duty.isHeld()],
+            "keeps": [keeper.status() for keeper in self.keepers.values() if keeper.duty.is_held()],
             "clockMs": self.clockMs(),
             "shared": self.settings.shared(),
-            "tasks": self.taskCount(),
+            "tasks": self.task_count(),
             "open": self.open,
             "running": len(self.running),
             "neighbours": self.neighbours(),
--- a/swiftdeck/traffic/workers.py
+++ b/swiftdeck/traffic/workers.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from swiftdeck.fault import isFault
-from swiftdeck.http.client import fetchJson
+from swiftdeck.fault import is_fault
+from swiftdeck.http.client import fetch_json
 from swiftdeck.wire.messages import ListAsk, ListReturn
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -31,12 +31,12 @@
 class WorkerList:
     """Reads the list from the platform, and through neighbours when the platform is out of reach."""
 
-    def __init__(self, platform, mesh, membership, board, listMs=500, oldMs=2500):
+    def __init__(self, platform, mesh, membership, board, listMs=500, old_ms=2500):
         self.platform, self.mesh, self.membership, self.board = platform, mesh, membership, board
-        self.listMs, self.oldMs = listMs, oldMs
-        self.workers, self.readS, self.body = {}, -1e9, b""
+        self.listMs, self.old_ms = listMs, old_ms
+        self.workers, self.read_s, self.body = {}, -1e9, b""
         self.watchers = []
-        mesh.on(ListAsk, self.onListAsk)
+        mesh.on(ListAsk, self.on_list_ask)
 
     def start(self):
         """Go on reading."""
@@ -45,50 +45,50 @@
 
     def ageMs(self) -> int:
         """Time since the sending of the request that brought the list."""
-        return int((self.loop.time() - self.readS) * 1000)
+        return int((self.loop.time() - self.read_s) * 1000)
 
-    def isFresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Whether legs may be sent by the list."""
-        return self.ageMs() <= self.oldMs
+        return self.ageMs() <= self.old_ms
 
-    def mayTake(self, name) -> bool:
+    def may_take(self, name) -> bool:
         """Whether a worker is listed, not draining, and the list fresh enough to say so."""
         worker = self.workers.get(name)
-        return worker is not None and not worker.draining and self.isFresh()
+        return worker is not None and not worker.draining and self.is_fresh()
 
-    def ofModel(self, model):
+    def of_model(self, model):
         """All listed workers of a model."""
         return [worker for worker in self.workers.values() if worker.model == model]
 
-    def onListAsk(self, ask, sender):
+    def on_list_ask(self, ask, sender):
         return ListReturn(ageMs=min(self.ageMs(), 1 << 40), body=self.body)
 
     async def _reading(self):
         while True:
-            startS = self.loop.time()
+            start_s = self.loop.time()
             got = (
-                await fetchJson(self.platform, "GET", "/v1/workers", timeoutMs=1000)
+                await fetch_json(self.platform, "GET", "/v1/workers", timeoutMs=1000)
                 if self.platform
                 else None
             )
             if got and got[0] == 200:
-                self._take(msgspec.json.encode(got[1]), startS)
-            if self.ageMs() > self.oldMs / 2:
-                await self._throughOthers()
-            self.board.put("list", "fresh" if self.isFresh() else "old")
-            await asyncio.sleep(max(0.05, self.listMs / 1000 - (self.loop.time() - startS)))
+                self._take(msgspec.json.encode(got[1]), start_s)
+            if self.ageMs() > self.old_ms / 2:
+                await self._through_others()
+            self.board.put("list", "fresh" if self.is_fresh() else "old")
+            await asyncio.sleep(max(0.05, self.listMs / 1000 - (self.loop.time() - start_s)))
 
-    async def _throughOthers(self):
+    async def _through_others(self):
         others = self.membership.alive("router")
         sentS = self.loop.time()
         got = await asyncio.gather(*(self.mesh.ask(each.addr, ListAsk(), 400) for each in others))
-        heard = [each for each in got if not isFault(each)]
+        heard = [each for each in got if not is_fault(each)]
         for each in sorted(heard, key=lambda each: each.ageMs)[:1]:
-            if each.body and sentS - each.ageMs / 1000 > self.readS:
+            if each.body and sentS - each.ageMs / 1000 > self.read_s:
                 self.board.count["listsFromNeighbours"] += 1
                 self._take(each.body, sentS - each.ageMs / 1000)
 
-    def _take(self, body, readS):
+    def _take(self, body, read_s):
         try:
             listing = msgspec.json.decode(body, type=Listing)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -96,7 +96,7 @@
             self.board.put("listFault", str(error)[:200])
             return
         fresh = {worker.name: worker for worker in listing.workers}
-        self.readS, self.body = max(readS, self.readS), body
+        self.read_s, self.body = max(read_s, self.read_s), body
         if fresh != self.workers:
             self.workers = fresh
             for watch in self.watchers:
--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -12,8 +12,8 @@
     TIMED_OUT,
     UNKNOWN_KIND,
     UNREACHABLE,
-    faultOf,
-    isFault,
+    fault_of,
+    is_fault,
 )
 from swiftdeck.wire.messages import KINDS, NUMBERS, Done, FaultReturn
 
@@ -22,7 +22,7 @@
 HEAD = struct.Struct(">HQBB")
 
 
-def splitAddr(addr: str):
+def split_addr(addr: str):
     """The IP and the port of "ip:port"."""
     ip, _, port = addr.rpartition(":")
     return ip, int(port)
@@ -35,7 +35,7 @@
         self.mesh, self.addr = mesh, addr
         self.transport, self.buffer = None, bytearray()
         self.handled = {}
-        self.heardS = asyncio.get_running_loop().time()
+        self.heard_s = asyncio.get_running_loop().time()
         self.gone = False
 
     def connection_made(self, transport):
@@ -52,7 +52,7 @@
         return False
 
     def data_received(self, data):
-        self.heardS = asyncio.get_running_loop().time()
+        self.heard_s = asyncio.get_running_loop().time()
         self.buffer += data
         at = 0
         while len(self.buffer) - at >= 4:
@@ -83,8 +83,8 @@
     def connection_lost(self, error):
         self.gone = True
         self.mesh.links.pop(self, None)
-        for task, isBound in list(self.handled.values()):
-            if isBound:
+        for task, is_bound in list(self.handled.values()):
+            if is_bound:
                 task.cancel()
         if self.addr and self.mesh.dialled.get(self.addr) is self:
             del self.mesh.dialled[self.addr]
@@ -107,7 +107,7 @@
     async def start(self):
         """Listen on TCP and UDP."""
         loop = asyncio.get_running_loop()
-        ip, port = splitAddr(self.addr)
+        ip, port = split_addr(self.addr)
         self.server = await loop.create_server(lambda: Link(self), ip, port)
         self.datagrams, _ = await loop.create_datagram_endpoint(
             lambda: Datagrams(self), local_addr=(ip, port)
@@ -120,9 +120,9 @@
         for link in list(self.links):
             link.transport.abort()
 
-    def on(self, kind, handler, isBound=False):
+    def on(self, kind, handler, is_bound=False):
         """Hand messages of a kind to `handler(message, senderAddr)`; a bound one is cancelled with its link."""
-        self.handlers[kind] = (handler, isBound)
+        self.handlers[kind] = (handler, is_bound)
 
     async def _link(self, addr):
         link = self.dialled.get(addr)
@@ -134,7 +134,7 @@
 
     async def _dial(self, addr):
         try:
-            ip, port = splitAddr(addr)
+            ip, port = split_addr(addr)
             async with asyncio.timeout(1.0):
                 _, link = await asyncio.get_running_loop().create_connection(
                     lambda: Link(self, addr), ip, port
@@ -146,10 +146,10 @@
         finally:
             self.dialling.pop(addr, None)
 
-    def _envelope(self, message, exchange=0, isReturn=False):
+    def _envelope(self, message, exchange=0, is_return=False):
         sender = self.addr.encode()
         return (
-            HEAD.pack(NUMBERS[type(message)], exchange, isReturn, len(sender))
+            HEAD.pack(NUMBERS[type(message)], exchange, is_return, len(sender))
             + sender
             + bytes(message)
         )
@@ -157,13 +157,13 @@
     async def ask(self, addr, message, timeoutMs=1000):
         """Send a message and give what comes back: a message or a fault; UNREACHABLE means it was never sent."""
         loop = asyncio.get_running_loop()
-        startS = loop.time()
+        start_s = loop.time()
         self.serial += 1
         number, link, done = self.serial, None, loop.create_future()
         try:
             async with asyncio.timeout(timeoutMs / 1000):
                 link = await self._link(addr)
-                if isFault(link):
+                if is_fault(link):
                     return link
                 self.asked[number] = (link, done)
                 if not link.send(self._envelope(message, number)):
@@ -172,7 +172,7 @@
         except TimeoutError:
             if link is None:
                 return UNREACHABLE.because(f"{addr}: no connection in time")
-            if loop.time() - max(link.heardS, startS) >= min(1.0, timeoutMs / 1000):
+            if loop.time() - max(link.heard_s, start_s) >= min(1.0, timeoutMs / 1000):
                 link.transport.abort()
             return TIMED_OUT.because(f"{type(message).__name__} to {addr}")
         finally:
@@ -184,49 +184,49 @@
         if link and not link.gone:
             link.send(self._envelope(message))
         else:
-            asyncio.ensure_future(self._tellLater(addr, message))
+            asyncio.ensure_future(self._tell_later(addr, message))
 
-    async def _tellLater(self, addr, message):
+    async def _tell_later(self, addr, message):
         link = await self._link(addr)
-        if not isFault(link):
+        if not is_fault(link):
             link.send(self._envelope(message))
 
     def cast(self, addr, message):
         """Send a message as one datagram; it may be lost."""
         try:
-            self.datagrams.sendto(self._envelope(message), splitAddr(addr))
+            self.datagrams.sendto(self._envelope(message), split_addr(addr))
         except (OSError, ValueError):
             self.count["castsFailed"] += 1
 
     def take(self, frame, link):
         """Handle one arrived frame; false when it does not parse."""
         try:
-            number, exchange, isReturn, length = HEAD.unpack_from(frame)
+            number, exchange, is_return, length = HEAD.unpack_from(frame)
             sender = frame[HEAD.size : HEAD.size + length].decode("ascii")
             kind = KINDS.get(number)
             message = kind().parse(frame[HEAD.size + length :]) if kind else None
         except Exception:
             return False
-        if isReturn:
+        if is_return:
             _, done = self.asked.get(exchange, (None, None))
             if done and not done.done():
                 done.set_result(
-                    faultOf(message.code, message.reason, message.retryMs or None)
+                    fault_of(message.code, message.reason, message.retry_ms or None)
                     if isinstance(message, FaultReturn)
                     else message
                 )
             return kind is not None
-        handler, isBound = self.handlers.get(kind, (None, False))
+        handler, is_bound = self.handlers.get(kind, (None, False))
         if handler is None:
-            self._giveBack(link, exchange, UNKNOWN_KIND.because(str(number)))
+            self._give_back(link, exchange, UNKNOWN_KIND.because(str(number)))
             return exchange != 0
         if link and len(link.handled) >= OPEN_LIMIT:
-            self._giveBack(link, exchange, BUSY)
+            self._give_back(link, exchange, BUSY)
         else:
-            self._handle(handler, isBound, message, sender, exchange, link)
+            self._handle(handler, is_bound, message, sender, exchange, link)
         return True
 
-    def _handle(self, handler, isBound, message, sender, exchange, link):
+    def _handle(self, handler, is_bound, message, sender, exchange, link):
         try:
             got = handler(message, sender)
         except Exception as error:
@@ -234,10 +234,10 @@
         if inspect.iscoroutine(got):
             task = asyncio.ensure_future(self._finish(got, message, exchange, link))
             if link:
-                link.handled[id(task)] = (task, isBound)
+                link.handled[id(task)] = (task, is_bound)
                 task.add_done_callback(lambda task: link.handled.pop(id(task), None))
         else:
-            self._giveBack(link, exchange, got)
+            self._give_back(link, exchange, got)
 
     async def _finish(self, coro, message, exchange, link):
         try:
@@ -246,7 +246,7 @@
             raise
         except Exception as error:
             got = self._failed(error, message)
-        self._giveBack(link, exchange, got)
+        self._give_back(link, exchange, got)
 
     def _failed(self, error, message):
         self.count["faults.%d" % HANDLER_FAILED.code] += 1
@@ -258,11 +258,11 @@
         )
         return HANDLER_FAILED.because(type(message).__name__)
 
-    def _giveBack(self, link, exchange, got):
+    def _give_back(self, link, exchange, got):
         if link is None or not exchange:
             return
-        if isFault(got):
-            got = FaultReturn(code=got.code, reason=got.reason, retryMs=got.retryMs)
+        if is_fault(got):
+            got = FaultReturn(code=got.code, reason=got.reason, retry_ms=got.retry_ms)
         link.send(self._envelope(got if got is not None else Done(), exchange, True))
 
 
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -11,13 +11,17 @@
     __getattribute__ = object.__getattribute__
 
     def __post_init__(self):
-        fields, isEmpty = self.__dict__, True
+        fields, is_empty = self.__dict__, True
         for name, default in self.defaults:
             if fields[name] is bp.PLACEHOLDER:
                 fields[name] = default()
             else:
-                isEmpty = False
-        fields |= {"_serialized_on_wire": not isEmpty, "_unknown_fields": b"", "_group_current": {}}
+                is_empty = False
+        fields |= {
+            "_serialized_on_wire": not is_empty,
+            "_unknown_fields": b"",
+            "_group_current": {},
+        }
 
     def __setattr__(self, name, value):
         self.__dict__["_serialized_on_wire"] = True
@@ -35,7 +39,7 @@
 class FaultReturn(Wire):
     code: int = bp.uint32_field(1)
     reason: str = bp.string_field(2)
-    retryMs: int = bp.uint32_field(3)
+    retry_ms: int = bp.uint32_field(3)
 
 
 @message
@@ -49,7 +53,7 @@
     name: str = bp.string_field(2)
     role: str = bp.string_field(3)
     zone: str = bp.string_field(4)
-    httpAddr: str = bp.string_field(5)
+    http_addr: str = bp.string_field(5)
     incarnation: int = bp.uint64_field(6)
     refuted: int = bp.uint32_field(7)
     state: int = bp.uint32_field(8)
@@ -119,7 +123,7 @@
 class Promise(Wire):
     granted: bool = bp.bool_field(1)
     ballot: int = bp.uint64_field(2)
-    acceptedBallot: int = bp.uint64_field(3)
+    accepted_ballot: int = bp.uint64_field(3)
     accepted: View = bp.message_field(4)
     decided: View = bp.message_field(5)
     coreId: str = bp.string_field(6)
@@ -180,7 +184,7 @@
     view: int = bp.uint64_field(1)
     entries: list[ChainEntry] = bp.message_field(2)
     last: int = bp.uint64_field(3)
-    mustCopy: bool = bp.bool_field(4)
+    must_copy: bool = bp.bool_field(4)
 
 
 @message
@@ -249,13 +253,13 @@
     router: str = bp.string_field(1)
     addr: str = bp.string_field(2)
     held: int = bp.uint64_field(3)
-    handBack: bool = bp.bool_field(4)
+    hand_back: bool = bp.bool_field(4)
     digest: bytes = bp.bytes_field(5)
 
 
 @message
 class LicenceReturn(Wire):
-    licenceMs: int = bp.uint32_field(1)
+    licence_ms: int = bp.uint32_field(1)
     version: int = bp.uint64_field(2)
     document: bytes = bp.bytes_field(3)
     view: int = bp.uint64_field(4)
@@ -281,7 +285,7 @@
     term: int = bp.uint64_field(2)
     holder: str = bp.string_field(3)
     addr: str = bp.string_field(4)
-    licenceMs: int = bp.uint32_field(5)
+    licence_ms: int = bp.uint32_field(5)
     release: bool = bp.bool_field(6)
 
 
@@ -291,7 +295,7 @@
     term: int = bp.uint64_field(2)
     holder: str = bp.string_field(3)
     addr: str = bp.string_field(4)
-    leftMs: int = bp.uint32_field(5)
+    left_ms: int = bp.uint32_field(5)
 
 
 @message
@@ -320,7 +324,7 @@
     conversation: str = bp.string_field(11)
     waitedMs: int = bp.uint64_field(12)
     size: int = bp.uint64_field(13)
-    wasGranted: bool = bp.bool_field(14)
+    was_granted: bool = bp.bool_field(14)
     talk: list[bytes] = bp.bytes_field(15)
 
 
@@ -330,8 +334,8 @@
     worker: str = bp.string_field(2)
     url: str = bp.string_field(3)
     conversation: str = bp.string_field(4)
-    isStart: bool = bp.bool_field(5)
-    fetchFrom: str = bp.string_field(6)
+    is_start: bool = bp.bool_field(5)
+    fetch_from: str = bp.string_field(6)
     fetchMs: int = bp.uint32_field(8)
     waitedMs: int = bp.uint32_field(9)
     earlier: int = bp.uint32_field(10)
@@ -344,12 +348,12 @@
     leg: int = bp.uint32_field(3)
     conversation: str = bp.string_field(4)
     model: str = bp.string_field(5)
-    isOver: bool = bp.bool_field(6)
+    is_over: bool = bp.bool_field(6)
     hits: int = bp.uint32_field(7)
     parts: int = bp.uint32_field(8)
-    neverSent: bool = bp.bool_field(9)
-    isBad: bool = bp.bool_field(10)
-    slowFrom: str = bp.string_field(11)
+    never_sent: bool = bp.bool_field(9)
+    is_bad: bool = bp.bool_field(10)
+    slow_from: str = bp.string_field(11)
     earlier: int = bp.uint32_field(12)
 
 
@@ -373,7 +377,7 @@
     weights: str = bp.string_field(9)
     leg: int = bp.uint32_field(10)
     turns: int = bp.uint32_field(11)
-    isSent: bool = bp.bool_field(12)
+    is_sent: bool = bp.bool_field(12)
 
 
 @message
--- a/tests/bench/outer/test_listing.py
+++ b/tests/bench/outer/test_listing.py
@@ -5,7 +5,7 @@
 
 from swiftdeck.bench.outer.listing import WorkerList
 from swiftdeck.bench.record import ListRecord
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.platform.lists import PlatformList
 from swiftdeck.sim.world import World
 
@@ -47,7 +47,7 @@
         self.show(*(f"w{at}" for at in range(5)))
         self.world.run(0.5)
         self.assertEqual(len(self.names()), 5)
-        self.assertTrue(isFault(self.read()))
+        self.assertTrue(is_fault(self.read()))
         self.world.run(1)
         self.assertEqual((len(self.names()), self.list.over), (5, 1))
 
--- a/tests/bench/test_cache.py
+++ b/tests/bench/test_cache.py
@@ -6,7 +6,7 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
-    def testTheLeastRecentlyUsedLeafGoesFirst(self):
+    def test_the_least_recently_used_leaf_goes_first(self):
         cache, entry = PrefixCache(30), Entry(10, "t", "w")
         cache.keep([b"a", b"b"], [entry] * 2)
         cache.keep([b"a", b"c"], [entry] * 2)
--- a/tests/bench/test_checker.py
+++ b/tests/bench/test_checker.py
@@ -155,26 +155,26 @@
     def found(self, *lines):
         return check(sorted([*self.good(), *lines], key=lambda item: item["atMs"]), {"b"})
 
-    def testAGoodRunHasNoBreaches(self):
+    def test_a_good_run_has_no_breaches(self):
         self.assertEqual(self.found(), {})
         self.assertEqual(self.found(*self.served(1000, "2", "q-1", talk="t", turn=1)), {})
 
-    def testEachPlantedBreachIsCaught(self):
+    def test_each_planted_breach_is_caught(self):
         keys = {"tenants": {"a": {"keys": ["other"]}}}
         planted = {
-            "runsOnce": [
+            "runs_once": [
                 [self.run_(70)],
                 [self.try_(3000, "1"), self.run_(3010, run="z-1", call="z")],
             ],
-            "notRunStays": [[self.back(80, notRun=True)], [self.back(80, call="r", notRun=True)]],
-            "piecesBelong": [[self.back(80, wrong="piece of another run")]],
-            "apartStaysApart": [
+            "not_run_stays": [[self.back(80, notRun=True)], [self.back(80, call="r", notRun=True)]],
+            "pieces_belong": [[self.back(80, wrong="piece of another run")]],
+            "apart_stays_apart": [
                 [self.line(70, "w", "prefill", {"run": "r-1", "origins": [["b", "w1"]]})]
             ],
-            "weightsMatch": [
+            "weights_match": [
                 [self.line(70, "w", "prefill", {"run": "r-1", "origins": [["a", "w0"]]})]
             ],
-            "oldWeightsEnd": [
+            "old_weights_end": [
                 [
                     self.ack(100, document={"models": {"m": {"weights": "w2"}}}),
                     self.run_(15200, marker="9"),
@@ -190,11 +190,11 @@
                     self.run_(21_500, weights="w2", marker="9"),
                 ],
             ],
-            "versionsStand": [
+            "versions_stand": [
                 [self.ack(100), self.read(200)],
                 [self.ack(100), self.ack(200, answer={"version": 2, "changeId": "x"})],
             ],
-            "readBackWhole": [
+            "read_back_whole": [
                 [self.read(300, document={"models": {}})],
                 [self.ack(95_200, askedMs=95_100)],
                 [
@@ -202,14 +202,14 @@
                     self.read(300, version=2, document=self.DOCUMENT),
                 ],
             ],
-            "ackIsQuick": [
+            "ack_is_quick": [
                 [
                     self.line(0, "operator", "quiet", {"untilMs": 9000}),
                     self.ack(4000, askedMs=1900),
                 ],
                 [self.line(0, "operator", "quiet", {"untilMs": 9000}), self.ack(2000, 504)],
             ],
-            "refusedIsNotObeyed": [
+            "refused_is_not_obeyed": [
                 [
                     self.ack(100, 409, document={"tenants": {"z": {}}}),
                     self.run_(200, tenant="z", marker="9"),
@@ -225,7 +225,7 @@
                     self.run_(110, marker="9"),
                 ],
             ],
-            "drainingIsLeft": [
+            "draining_is_left": [
                 [
                     self.line(
                         100,
@@ -236,7 +236,7 @@
                     self.run_(3200, marker="9"),
                 ]
             ],
-            "notCutOff": [
+            "not_cut_off": [
                 [self.back(200, run="r-1", code=140)],
                 [self.try_(200, "2"), self.back(300, "2", status=-2)],
                 [
@@ -244,7 +244,7 @@
                     self.back(200, run="r-1", code=144),
                 ],
             ],
-            "laterCallsPass": [
+            "later_calls_pass": [
                 [
                     *self.served(1000, "2", "q-1", talk="t", turn=1)[:-1],
                     self.back(
@@ -263,7 +263,7 @@
                     self.back(1100, "2", code=110, notRun=True, retryAfter="2"),
                 ],
             ],
-            "startsWithinCap": [
+            "starts_within_cap": [
                 [
                     each
                     for at in range(3)
@@ -273,7 +273,7 @@
                     )
                 ]
             ],
-            "returnedAtOnce": [
+            "returned_at_once": [
                 [self.try_(1000, "2"), self.back(1100, "2", code=111, notRun=True)],
                 [
                     self.try_(1000, "2"),
@@ -281,36 +281,36 @@
                 ],
                 [self.back(9000, call="r", code=140)],
             ],
-            "triesAreFew": [
+            "tries_are_few": [
                 [self.run_(70 + n, run=f"x{n}-2", call=f"x{n}", marker=f"m{n}") for n in range(4)]
             ],
-            "serviceReturns": [[self.line(100, "operator", "closing", {}), self.back(12200)]],
+            "service_returns": [[self.line(100, "operator", "closing", {}), self.back(12200)]],
         }
         self.assertEqual(set(planted), set(RULES))
         for name, sets in planted.items():
             for lines in sets:
                 self.assertIn(name, self.found(*lines), (name, lines[:2]))
 
-    def testAPardonIsTiedToTheRouterAndTheWorkerOfTheRun(self):
+    def test_a_pardon_is_tied_to_the_router_and_the_worker_of_the_run(self):
         def kill(target, **more):
             return self.line(90, "operator", "kill", {"target": target, "id": 7} | more)
 
         broken = self.back(200, run="r-1", code=140)
-        for target, isPardoned in (
+        for target, is_pardoned in (
             ("w", True),
             ("v", False),
             ("router1", True),
             ("router2", False),
         ):
             self.assertEqual(
-                "notCutOff" not in self.found(kill(target), broken), isPardoned, target
+                "not_cut_off" not in self.found(kill(target), broken), is_pardoned, target
             )
         unseen = [self.try_(80, "9"), self.back(200, "9", code=140, sentTo="u")]
-        for target, isPardoned in (("u", True), ("w", False), ("router2", False)):
+        for target, is_pardoned in (("u", True), ("w", False), ("router2", False)):
             self.assertEqual(
-                "notCutOff" not in self.found(kill(target), *unseen), isPardoned, target
+                "not_cut_off" not in self.found(kill(target), *unseen), is_pardoned, target
             )
         back = self.line(95, "operator", "back", {"id": 7})
         late = [self.try_(9000, "2"), self.back(9100, "2", status=-2)]
-        self.assertIn("notCutOff", self.found(kill("router1"), back, *late))
-        self.assertNotIn("notCutOff", self.found(kill("router1"), *late))
+        self.assertIn("not_cut_off", self.found(kill("router1"), back, *late))
+        self.assertNotIn("not_cut_off", self.found(kill("router1"), *late))
--- a/tests/bench/test_measure.py
+++ b/tests/bench/test_measure.py
@@ -6,7 +6,7 @@
 
 
 class MeasureTest(unittest.TestCase):
-    def testFetchingBeatsComputingAnewAndASlowPeerCostsItsBound(self):
+    def test_fetching_beats_computing_anew_and_a_slow_peer_costs_its_bound(self):
         rows = {row["from"]: row for row in fetch(1)}
         self.assertTrue(all(row["whole"] for row in rows.values()))
         self.assertLess(rows["peer"]["turnMs"] * 2, rows["recompute"]["turnMs"])
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -17,7 +17,7 @@
         self.assertEqual(set(rows), {"head", "tail", "reader", "router"})
         routers = [fleet.up[name] for name in fleet.routers]
         self.assertTrue(
-            all(each.licence.isHeld() and len(each.roster.workers) == 45 for each in routers)
+            all(each.licence.is_held() and len(each.roster.workers) == 45 for each in routers)
         )
         self.assertTrue(all(len(each.membership.alive("router")) == 5 for each in routers))
         self.assertGreater(sum(each.board.count["starts"] for each in routers), 5)
--- a/tests/bench/test_thrash.py
+++ b/tests/bench/test_thrash.py
@@ -34,7 +34,7 @@
         thrash.run()
         return asked
 
-    def testTheSameSeedIsTheSameWorkloadHoweverMessagesAreDelayed(self):
+    def test_the_same_seed_is_the_same_workload_however_messages_are_delayed(self):
         one, other = self.asked(1, 7), self.asked(1, 8)
         self.assertEqual(set(one), set(other))
         for tenant in one:
@@ -43,7 +43,7 @@
             self.assertEqual(one[tenant][:count], other[tenant][:count])
         self.assertNotEqual(one, self.asked(2, 7))
 
-    def testACapKeepsPrefixesWhereNoneThrashes(self):
+    def test_a_cap_keeps_prefixes_where_none_thrashes(self):
         capped, other, free = (
             Thrash(cap, seed, agents=10, seconds=200.0, room=400000).run()
             for cap, seed in ((3, 1), (3, 2), (1000, 1))
--- a/tests/board/test_board.py
+++ b/tests/board/test_board.py
@@ -6,7 +6,7 @@
 
 
 class BoardTest(unittest.TestCase):
-    def testOnlyChangesAreLogged(self):
+    def test_only_changes_are_logged(self):
         lines = []
 
         class Log:
--- a/tests/board/test_owner.py
+++ b/tests/board/test_owner.py
@@ -8,7 +8,7 @@
 
 
 class OwnerTest(unittest.TestCase):
-    def testCommandsDoNotOverlap(self):
+    def test_commands_do_not_overlap(self):
         world, seen = World(), []
 
         async def slow(name):
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -24,7 +24,7 @@
         self.assertEqual(check(town.records, {town.site.apart}), {})
         self.assertEqual(town.world.faults, [])
 
-    def mostOpen(self, town, until, limitS=120):
+    def most_open(self, town, until, limit_s=120):
         """Let time pass and give the most conversations that any book had open."""
         most = 0
 
@@ -34,7 +34,7 @@
                 most = max([most, *(len(book.open) for book in town.books().values())])
             return until()
 
-        for _ in range(int(limitS / 0.05)):
+        for _ in range(int(limit_s / 0.05)):
             town.world.run(0.05)
             if look():
                 return most
@@ -43,7 +43,7 @@
     def open(self, town):
         return sum(len(book.open) for book in town.books().values())
 
-    def testStartsFromManyRoutersAtOnceNeverPassTheCap(self):
+    def test_starts_from_many_routers_at_once_never_pass_the_cap(self):
         town = self.town(cap=3)
         tenants = list(town.site.keys)
         box = [
@@ -52,13 +52,13 @@
             )
             for number in range(24)
         ]
-        self.assertEqual(self.mostOpen(town, lambda: all(box)), 3)
+        self.assertEqual(self.most_open(town, lambda: all(box)), 3)
         self.assertEqual([each[0] for each in box], [3] * 24)
         turns = [item["hitParts"] for item in town.records if item["kind"] == "prefill"]
         self.assertEqual(len(turns), 72)
         self.sound(town)
 
-    def testALaterCallOfAnAdmittedConversationNeverWaitsBehindTheLine(self):
+    def test_a_later_call_of_an_admitted_conversation_never_waits_behind_the_line(self):
         town = self.town(cap=1, pauseMs=60000, idleMs=60000)
         got = town.call("saga", "check", ["book", "mine"])
         waiting = town.spawn(lambda: town.caller.call("oita", "check", ["book", "other"]))
@@ -74,13 +74,13 @@
         self.assertTrue(waiting and waiting[0]["whole"])
         self.sound(town)
 
-    def testSharingTheLongBookIsNoContinuation(self):
+    def test_sharing_the_long_book_is_no_continuation(self):
         town = self.town(cap=8)
         for number in range(3):
             town.call("saga", "check", ["the long book", f"case {number}"])
         self.assertEqual(self.open(town), 3)
 
-    def testTheLineServesTenantsInTurn(self):
+    def test_the_line_serves_tenants_in_turn(self):
         town = self.town(cap=1, idleMs=300, pauseMs=100)
         large = [
             town.spawn(
@@ -92,15 +92,15 @@
         ]
         town.world.run(0.3)
         small = town.spawn(lambda: town.caller.call("saga", "check", ["b", "small"], isLast=True))
-        town.world.run(until=lambda: small, limitS=60)
+        town.world.run(until=lambda: small, limit_s=60)
         self.assertLessEqual(sum(bool(each) for each in large), 3)
         self.assertTrue(small[0]["whole"])
 
-    def testAFullLineAndALongWaitEndAtOnceWithATimeToComeBack(self):
+    def test_a_full_line_and_a_long_wait_end_at_once_with_a_time_to_come_back(self):
         town = self.town(cap=1, lineMax=2, idleMs=60000, pauseMs=60000)
         town.change("PATCH", {"routes": {"check": {"waitMs": 3000}}})
         town.call("saga", "check", ["b", "first"])
-        atS = town.world.now
+        at_s = town.world.now
         box = [
             town.spawn(lambda number=number: town.caller.call("oita", "check", ["b", str(number)]))
             for number in range(4)
@@ -108,29 +108,29 @@
         town.world.run(0.5)
         full = [each[0] for each in box if each]
         self.assertEqual([each["code"] for each in full], [LINE_FULL.code] * 2)
-        town.world.run(until=lambda: all(box), limitS=10)
-        self.assertLess(town.world.now - atS, 3.5)
+        town.world.run(until=lambda: all(box), limit_s=10)
+        self.assertLess(town.world.now - at_s, 3.5)
         late = [each[0] for each in box if each[0]["code"] == WAITED_OUT.code]
         self.assertEqual(len(late), 2)
         self.assertTrue(all(each["notRun"] and each["retryAfter"] for each in [*full, *late]))
         self.sound(town)
 
-    def testSlotsComeBackFromPausedAndVanishedAgents(self):
+    def test_slots_come_back_from_paused_and_vanished_agents(self):
         town = self.town(cap=2, idleMs=7500, pauseMs=3100)
         for number in range(2):
             town.call("saga", "check", ["b", str(number)])
-        atS = town.world.now
+        at_s = town.world.now
         got = town.call("oita", "check", ["b", "later"])
         self.assertTrue(got["whole"])
-        self.assertTrue(2.0 < town.world.now - atS < 5.0, town.world.now - atS)
+        self.assertTrue(2.0 < town.world.now - at_s < 5.0, town.world.now - at_s)
         town.world.run(9)
         self.assertEqual(self.open(town), 0)
         self.sound(town)
 
-    def testSlotsOfADeadRouterComeBackOnceItsLicenceHasRunOut(self):
+    def test_slots_of_a_dead_router_come_back_once_its_licence_has_run_out(self):
         town = self.town(cap=1)
         keeper = town.keeper()
-        victim = next(name for name in town.routerNames() if name != keeper)
+        victim = next(name for name in town.router_names() if name != keeper)
         town.spawn(
             lambda: town.caller.call(
                 "saga", "check", ["b", "x"], maxTokens=20000, door=town.addresses[victim]["http"]
@@ -139,16 +139,16 @@
         town.world.run(1)
         self.assertEqual(self.open(town), 1)
         town.world.kill(victim, silent=True)
-        atS = town.world.now
-        town.caller.doors = [town.addresses[name]["http"] for name in town.routerNames()]
+        at_s = town.world.now
+        town.caller.doors = [town.addresses[name]["http"] for name in town.router_names()]
         got = town.call("oita", "check", ["b", "y"])
         self.assertTrue(got["whole"], got)
-        self.assertLess(town.world.now - atS, 9)
+        self.assertLess(town.world.now - at_s, 9)
 
-    def testARouterThatIsCutOffAddsNoMoreThanWhatItRanAndOnlyUntilThatEnds(self):
+    def test_a_router_that_is_cut_off_adds_no_more_than_what_it_ran_and_only_until_that_ends(self):
         town = self.town(cap=2, routers=4, idleMs=8000, pauseMs=3000)
-        name = next(each for each in town.routerNames() if each != town.keeper())
-        doors = [town.addresses[each]["http"] for each in town.routerNames() if each != name]
+        name = next(each for each in town.router_names() if each != town.keeper())
+        doors = [town.addresses[each]["http"] for each in town.router_names() if each != name]
 
         def running():
             ended = {item["run"] for item in town.records if item["kind"] == "ran"}
@@ -190,7 +190,7 @@
             )
         )
         box = [
-            town.spawn(lambda number=number: town.caller.agents("oita", turns=(1, 3), restS=0.1))
+            town.spawn(lambda number=number: town.caller.agents("oita", turns=(1, 3), rest_s=0.1))
             for number in range(6)
         ]
         town.caller.doors, most, over = doors, 0, 0
@@ -201,11 +201,11 @@
         self.assertGreater(over, 10)
         town.world.net.heal()
         town.record("operator")("back", id=1, target=name)
-        self.assertTrue(town.world.run(until=lambda: self.open(town) > 2, limitS=3))
-        town.world.run(until=lambda: all(own), limitS=60)
+        self.assertTrue(town.world.run(until=lambda: self.open(town) > 2, limit_s=3))
+        town.world.run(until=lambda: all(own), limit_s=60)
         starts = [
             item
-            for each in town.routerNames()
+            for each in town.router_names()
             for item in town.up[each].decisions.items
             if item["kind"] == "start"
         ]
@@ -213,14 +213,14 @@
         self.assertTrue(all(each[0]["whole"] for each in own))
         self.assertTrue(cut and cut[0]["notRun"])
         town.caller.stopping = True
-        town.world.run(until=lambda: all(box), limitS=60)
+        town.world.run(until=lambda: all(box), limit_s=60)
         self.sound(town)
 
-    def testANewKeeperCountsOpenConversationsBeforeItGrantsAStart(self):
+    def test_a_new_keeper_counts_open_conversations_before_it_grants_a_start(self):
         for how in ("kill", "freeze", "cut"):
             town = self.town(cap=2, routers=4, idleMs=60000, pauseMs=60000)
             old = town.keeper()
-            doors = [town.addresses[name]["http"] for name in town.routerNames() if name != old]
+            doors = [town.addresses[name]["http"] for name in town.router_names() if name != old]
             town.caller.doors = doors
             running = [
                 town.spawn(
@@ -247,10 +247,10 @@
                 "freeze": lambda: town.world.freeze(old),
                 "cut": lambda: town.world.net.cut([ip], others),
             }[how]()
-            atS = town.world.now
+            at_s = town.world.now
             start = town.spawn(lambda: town.caller.call("oita", "check", ["b", "new"], timeoutS=5))
-            town.world.run(until=lambda: town.keeper() not in (None, old), limitS=20)
-            self.assertLess(town.world.now - atS, 12, how)
+            town.world.run(until=lambda: town.keeper() not in (None, old), limit_s=20)
+            self.assertLess(town.world.now - at_s, 12, how)
             town.world.run(1)
             self.assertEqual(self.open(town), 2, how)
             if how == "freeze":
@@ -259,20 +259,20 @@
             town.world.run(5)
             held = [
                 name
-                for name in town.routerNames()
+                for name in town.router_names()
                 for keeper in town.up[name].keepers.values()
-                if keeper.duty.isHeld()
+                if keeper.duty.is_held()
             ]
             self.assertEqual(len(held), 1, how)
             self.assertTrue(not start or not start[0]["whole"], how)
             self.assertFalse(any(running), how)
 
-    def testTheLineOfALostKeeperStandsAnewInTheOrderOfWaiting(self):
+    def test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting(self):
         for seed in (1, 2, 3):
             town = self.town(seed, cap=1, routers=4, idleMs=60000, pauseMs=60000)
             self.assertEqual(town.change("PATCH", {"routes": {"check": {"waitMs": 40000}}})[0], 200)
             old = town.keeper()
-            doors = [town.addresses[name]["http"] for name in town.routerNames() if name != old]
+            doors = [town.addresses[name]["http"] for name in town.router_names() if name != old]
             long = town.spawn(
                 lambda: town.caller.call(
                     "saga", "check", ["b", "long"], isLast=True, maxTokens=4800, door=doors[0]
@@ -291,7 +291,7 @@
             self.assertTrue(
                 town.world.run(
                     until=lambda: len([1 for item in town.records if item["kind"] == "run"]) == 7,
-                    limitS=60,
+                    limit_s=60,
                 )
             )
             self.assertTrue(long[0]["whole"])
@@ -299,10 +299,10 @@
             self.assertEqual(tenants, order)
             self.sound(town)
 
-    def testAPlaceLostBetweenTwoQuestionsIsTakenAnew(self):
+    def test_a_place_lost_between_two_questions_is_taken_anew(self):
         town = self.town(cap=1, workers=2, lineMax=1, idleMs=60000, pauseMs=60000)
         keeper = town.keeper()
-        alone = next(name for name in town.routerNames() if name != keeper)
+        alone = next(name for name in town.router_names() if name != keeper)
         doors = {"alone": town.addresses[alone]["http"], "keeper": town.addresses[keeper]["http"]}
         talks = [
             town.call("saga", "check", ["b", str(number)], door=doors["keeper"])
@@ -328,7 +328,7 @@
         )
         ips = [town.addresses[name]["inner"].rpartition(":")[0] for name in (alone, keeper)]
         town.world.net.cut(ips[:1], ips[1:])
-        town.world.run(until=lambda: not place[1].isAsking(), limitS=2)
+        town.world.run(until=lambda: not place[1].is_asking(), limit_s=2)
 
         async def leave():
             town.up["platform"].remove(place[0])
@@ -345,10 +345,10 @@
                     isLast=True,
                     door=doors["keeper"],
                 )
-        town.world.run(until=lambda: late and others[0], limitS=60)
+        town.world.run(until=lambda: late and others[0], limit_s=60)
         self.assertTrue(late[0]["whole"], late)
 
-    def testAKeeperFrozenWhileItRenewsGathersAnewWhenItWakes(self):
+    def test_a_keeper_frozen_while_it_renews_gathers_anew_when_it_wakes(self):
         town = self.town(routers=1)
         name = town.keeper()
         town.call("saga", "check", ["b", "x"])
@@ -358,23 +358,23 @@
         self.assertTrue(
             town.world.run(
                 until=lambda: sum(link.addr in town.seeds for link, _ in mesh.asked.values()) >= 3,
-                limitS=5,
+                limit_s=5,
             )
         )
-        leftS = duty.untilS - duty.loop.time()
+        left_s = duty.until_s - duty.loop.time()
         town.world.freeze(name)
-        town.world.run(leftS + 0.1)
+        town.world.run(left_s + 0.1)
         town.world.thaw(name)
-        self.assertTrue(town.world.run(until=lambda: town.keeper() == name, limitS=8))
+        self.assertTrue(town.world.run(until=lambda: town.keeper() == name, limit_s=8))
         self.assertTrue(town.call("saga", "check", ["b", "y"])["whole"])
 
-    def testARouterFrozenWithAGrantOnItsWayDoesNotActOnItLater(self):
+    def test_a_router_frozen_with_a_grant_on_its_way_does_not_act_on_it_later(self):
         town = self.town(cap=1, routers=4, idleMs=200, pauseMs=100)
         keeper = town.keeper()
         frozen, door, other = [
-            town.addresses[name]["http"] for name in town.routerNames() if name != keeper
+            town.addresses[name]["http"] for name in town.router_names() if name != keeper
         ]
-        name = next(name for name in town.routerNames() if town.addresses[name]["http"] == frozen)
+        name = next(name for name in town.router_names() if town.addresses[name]["http"] == frozen)
         first = town.spawn(
             lambda: town.caller.call(
                 "saga", "check", ["b", "x"], isLast=True, maxTokens=800, door=door
@@ -383,10 +383,10 @@
         town.world.run(0.5)
         late = town.spawn(lambda: town.caller.call("oita", "check", ["b", "y"], door=frozen))
         town.world.run(
-            until=lambda: any(len(book.line) for book in town.books().values()), limitS=5
+            until=lambda: any(len(book.line) for book in town.books().values()), limit_s=5
         )
         town.world.freeze(name)
-        town.world.run(until=lambda: first, limitS=60)
+        town.world.run(until=lambda: first, limit_s=60)
         town.world.run(5)
         long = town.spawn(
             lambda: town.caller.call("saga", "check", ["b", "z"], maxTokens=8000, door=other)
@@ -397,24 +397,24 @@
         town.world.thaw(name)
         town.world.run(2)
         self.assertEqual(len([item for item in town.records if item["kind"] == "run"]), before)
-        town.world.run(until=lambda: late and long, limitS=90)
+        town.world.run(until=lambda: late and long, limit_s=90)
         self.sound(town)
 
-    def testAGrantThatOutlivedAFreezeIsNotActedOn(self):
-        for isClaimed in (False, True):
-            self.freezeAfterAGrant(isClaimed)
+    def test_a_grant_that_outlived_a_freeze_is_not_acted_on(self):
+        for is_claimed in (False, True):
+            self.freeze_after_a_grant(is_claimed)
 
-    def freezeAfterAGrant(self, isClaimed):
+    def freeze_after_a_grant(self, is_claimed):
         town = self.town(cap=1, routers=4, idleMs=200, pauseMs=100, listOldMs=20000)
         keeper = town.keeper()
-        name, other = [each for each in town.routerNames() if each != keeper][:2]
+        name, other = [each for each in town.router_names() if each != keeper][:2]
         ask, held = Claims.claim, []
 
         def freezes(claims, *what):
             got = ask(claims, *what)
             if claims is town.up[name].claims and not held:
                 held.append(name)
-                (got.add_done_callback if isClaimed else town.world.loops[name].call_soon)(
+                (got.add_done_callback if is_claimed else town.world.loops[name].call_soon)(
                     lambda *_: town.world.freeze(name)
                 )
             return got
@@ -441,14 +441,14 @@
             )
             town.world.run(1)
             self.assertEqual(runs(), 1)
-            town.up[name].licence.untilS += 20
+            town.up[name].licence.until_s += 20
             town.world.thaw(name)
             town.world.run(1)
-            self.assertEqual(runs(), 1, isClaimed)
-            town.world.run(until=lambda: late and long, limitS=90)
+            self.assertEqual(runs(), 1, is_claimed)
+            town.world.run(until=lambda: late and long, limit_s=90)
         self.sound(town)
 
-    def testConversationsOfADrainingWorkerMoveAndKeepTheirAdmission(self):
+    def test_conversations_of_a_draining_worker_move_and_keep_their_admission(self):
         town = self.town(cap=2, workers=2, idleMs=60000, pauseMs=60000)
         talks = []
         for number in range(4):
@@ -474,7 +474,7 @@
                 for each in again
             )
         )
-        town.world.run(until=lambda: stream, limitS=60)
+        town.world.run(until=lambda: stream, limit_s=60)
         self.assertTrue(stream[0]["whole"])
         late = town.call("oita", "check", ["b", "new"])
         self.assertEqual(late["code"], WAITED_OUT.code)
@@ -482,7 +482,7 @@
         self.assertGreater(counters["movesOverCap"], 0)
         self.sound(town)
 
-    def testOnlyAdmittedConversationsFetchAndASlowLinkCostsItsBoundOnce(self):
+    def test_only_admitted_conversations_fetch_and_a_slow_link_costs_its_bound_once(self):
         town = self.town(cap=4, workers=2, idleMs=60000)
         long = "long " * 20000
         first = town.call("saga", "check", [long, "mine"])
@@ -507,19 +507,19 @@
         town.world.do("platform", swap)
         town.world.run(2)
         town.up[moved["worker"]].linkS = 30.0
-        atS = town.world.now
+        at_s = town.world.now
         back = town.call("saga", "check", [*moved["parts"], "said", "y"])
         self.assertTrue(back["whole"])
-        self.assertLess(town.world.now - atS, 1.5 + 4.0)
+        self.assertLess(town.world.now - at_s, 1.5 + 4.0)
         counters = town.up[town.keeper()].counters()
         self.assertGreaterEqual(
-            sum(town.up[name].counters().get("fetches", 0) for name in town.routerNames()),
+            sum(town.up[name].counters().get("fetches", 0) for name in town.router_names()),
             3,
             counters,
         )
         self.sound(town)
 
-    def testCacheReportsLostDoubledAndLateOnlyCostWarmth(self):
+    def test_cache_reports_lost_doubled_and_late_only_cost_warmth(self):
         for quirk in ("lose reports", "double reports", "late reports"):
             town = self.town(cap=4, workers=2)
             for worker in town.site.workers:
@@ -528,16 +528,16 @@
                 town.spawn(lambda tenant=tenant: town.caller.agent(tenant, turns=4, gap=0.1))
                 for tenant in town.site.keys
             ]
-            town.world.run(until=lambda: all(box), limitS=120)
+            town.world.run(until=lambda: all(box), limit_s=120)
             self.assertEqual([each[0] for each in box], [4] * 8, quirk)
             self.sound(town)
 
-    def testTheCapRisesWhilePrefixesSurviveAndFallsWhenTheyDoNot(self):
+    def test_the_cap_rises_while_prefixes_survive_and_falls_when_they_do_not(self):
         town = self.town(cap=8, adapts=True, capLeast=2, pauseMs=8000, idleMs=9000)
         town.up["worker1"].cache.room = 30000
         town.caller.book["check"] = "rules "
         for number in range(8):
-            town.spawn(lambda number=number: town.caller.agents("saga", turns=(10, 14), restS=0.1))
+            town.spawn(lambda number=number: town.caller.agents("saga", turns=(10, 14), rest_s=0.1))
         caps = []
         with mock.patch("swiftdeck.traffic.keeper.ADAPT_S", 5.0):
             for _ in range(25):
