--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -40,7 +40,7 @@
         self.assertEqual(check(town.records, {town.site.apart}), {})
         self.assertEqual(town.world.faults, [])
 
-    def testAOnceOnlyCallIsClaimedAcrossRouters(self):
+    def test_a_once_only_call_is_claimed_across_routers(self):
         town = self.town(routers=3)
         box = [
             town.spawn(
@@ -50,17 +50,17 @@
             )
             for node in town.site.routers
         ]
-        town.world.run(until=lambda: all(box), limitS=30)
+        town.world.run(until=lambda: all(box), limit_s=30)
         self.assertEqual(sorted(each[0]["status"] for each in box), [200, 409, 409])
         self.assertEqual({each[0]["code"] for each in box}, {0, CLAIMED.code})
         self.assertEqual(len(self.runs(town)), 1)
         self.sound(town)
 
-    def testACallerToldNotRunIsServedAtAnyRouterWithTheSameKey(self):
-        for isGranted, isCut in ((False, False), (False, True), (True, False), (True, True)):
-            town, look = self.town(routers=3, workers=1, speed=1.0), Call._mayBeSent
+    def test_a_caller_told_not_run_is_served_at_any_router_with_the_same_key(self):
+        for is_granted, is_cut in ((False, False), (False, True), (True, False), (True, True)):
+            town, look = self.town(routers=3, workers=1, speed=1.0), Call._may_be_sent
             keeper = town.keeper()
-            name = next(each for each in town.routerNames() if each != keeper)
+            name = next(each for each in town.router_names() if each != keeper)
             first, other = town.addresses[name]["http"], town.addresses[keeper]["http"]
             self.assertEqual(
                 town.change(
@@ -76,45 +76,45 @@
                     ["b", "long"],
                     isLast=True,
                     door=other,
-                    maxTokens=1 if isGranted else 300,
+                    maxTokens=1 if is_granted else 300,
                 )
             )
-            town.world.run(0.8 if isGranted else 0.3)
+            town.world.run(0.8 if is_granted else 0.3)
 
             def fails(call, leg):
                 return STALE_LIST if call.router is town.up[name] else look(call, leg)
 
-            with mock.patch.object(Call, "_mayBeSent", fails):
+            with mock.patch.object(Call, "_may_be_sent", fails):
                 box = town.spawn(
                     lambda: town.caller.call(
                         "saga", "check", ["b", "x"], idempotency="bill", door=first
                     )
                 )
                 town.world.run(0.5)
-                if isCut:
+                if is_cut:
                     ip = town.addresses[name]["inner"].rpartition(":")[0]
                     town.world.net.cut(
                         [ip], [node["inner"].rpartition(":")[0] for node in town.site.cores]
                     )
-                town.world.run(until=lambda: box, limitS=5)
+                town.world.run(until=lambda: box, limit_s=5)
             got = box[0]
-            if isCut:
+            if is_cut:
                 town.world.kill(name, silent=True)
-                town.world.run(until=lambda: busy, limitS=10)
+                town.world.run(until=lambda: busy, limit_s=10)
             back = town.call("saga", "check", ["b", "x"], idempotency="bill", door=other)
             for _ in range(10):
                 if back["code"] in (0, CLAIMED.code):
                     break
                 town.world.run(1)
                 back = town.call("saga", "check", ["b", "x"], idempotency="bill", door=other)
-            self.assertEqual(got["notRun"], not (isGranted and isCut), got)
-            self.assertEqual(got["code"] == CLAIM_LEFT.code, isGranted and isCut)
+            self.assertEqual(got["notRun"], not (is_granted and is_cut), got)
+            self.assertEqual(got["code"] == CLAIM_LEFT.code, is_granted and is_cut)
             self.assertTrue(got["retryAfter"])
             if got["notRun"]:
-                self.assertEqual((back["code"], back["whole"]), (0, True), (isGranted, isCut))
+                self.assertEqual((back["code"], back["whole"]), (0, True), (is_granted, is_cut))
             self.sound(town)
 
-    def testAWorkerThatDiesMidwayEndsAOnceOnlyStreamWithoutASecondRun(self):
+    def test_a_worker_that_dies_midway_ends_a_once_only_stream_without_a_second_run(self):
         town = self.town()
         self.quirk(town, "die midway")
         got = town.call("saga", "check", ["book", "x"], idempotency="k")
@@ -125,7 +125,7 @@
         self.assertEqual(len(self.runs(town)), 1)
         self.sound(town)
 
-    def testAReturnInOnePieceHoldsOnlyTheLastRun(self):
+    def test_a_return_in_one_piece_holds_only_the_last_run(self):
         town = self.town()
         town.world.run(11)
         warm = town.call("saga", "tag", ["book", "0"])["worker"]
@@ -139,7 +139,7 @@
         self.assertEqual([each["wrong"] for each in got if each["wrong"]], [])
         self.sound(town)
 
-    def testACallerThatHalfClosesItsConnectionGetsItsReturn(self):
+    def test_a_caller_that_half_closes_its_connection_gets_its_return(self):
         town, got = self.town(workers=1), bytearray()
 
         class Sink(asyncio.Protocol):
@@ -164,13 +164,13 @@
         )
         self.assertIn(b'"end":true', got)
         self.assertTrue(got.endswith(b"<end>"))
-        self.assertTrue(all(not town.up[name].http.open for name in town.routerNames()))
+        self.assertTrue(all(not town.up[name].http.open for name in town.router_names()))
         got.clear()
         town.world.do("callers", lambda: talk(b'{"model": '))
         self.assertIn(b'"code":100', got)
         self.sound(town)
 
-    def testMalformedForeignAndRepeatedPiecesNeverReachACaller(self):
+    def test_malformed_foreign_and_repeated_pieces_never_reach_a_caller(self):
         for quirk in ("malformed", "foreign", "repeat", "endless line"):
             town = self.town()
             self.quirk(town, quirk)
@@ -181,18 +181,18 @@
             self.assertLessEqual(got["pieces"], 3)
             self.sound(town)
 
-    def testAHangingWorkerIsGivenUpAtTheBoundWithoutAPromise(self):
+    def test_a_hanging_worker_is_given_up_at_the_bound_without_a_promise(self):
         town = self.town()
         town.change("PATCH", {"routes": {"check": {"firstPieceMs": 2000}}})
         town.world.run(11)
         self.quirk(town, "hang")
-        atS = town.world.now
+        at_s = town.world.now
         got = town.call("saga", "check", ["book", "x"], idempotency="k")
         self.assertEqual((got["code"], got["notRun"]), (WORKER_HANGS.code, False))
-        self.assertLess(town.world.now - atS, 4.0)
+        self.assertLess(town.world.now - at_s, 4.0)
         self.assertEqual(len(self.runs(town)), 1)
 
-    def testARepeatableCallGoesElsewhereWhenItsWorkerIsGone(self):
+    def test_a_repeatable_call_goes_elsewhere_when_its_worker_is_gone(self):
         town = self.town()
         for number in range(20):
             town.call("saga", "tag", ["book", str(number)])
@@ -202,7 +202,7 @@
         self.assertEqual([each["status"] for each in got], [200] * 10)
         self.sound(town)
 
-    def testAnUnreachedWorkerIsNoRunAndMayBeLeftForAnotherOnce(self):
+    def test_an_unreached_worker_is_no_run_and_may_be_left_for_another_once(self):
         town = self.town()
         town.world.run(11)
         town.world.kill("worker1")
@@ -211,13 +211,13 @@
         self.assertTrue(got["notRun"], got)
         self.assertTrue(got["retryAfter"])
         self.assertEqual(self.runs(town), [])
-        town.startWorker("worker1")
-        town.startWorker("worker2")
+        town.start_worker("worker1")
+        town.start_worker("worker2")
         town.world.run(5)
         self.assertEqual(town.call("saga", "check", ["book", "x"], idempotency="k")["status"], 200)
         self.sound(town)
 
-    def testTheBudgetBoundsExtraTriesInAnOutage(self):
+    def test_the_budget_bounds_extra_tries_in_an_outage(self):
         town = self.town(workers=3)
         self.quirk(town, "die midway")
         town.change("PATCH", {"models": {"screener": {"cap": 50}}})
@@ -230,50 +230,50 @@
             )
             for number in range(40)
         ]
-        town.world.run(until=lambda: all(box), limitS=90)
+        town.world.run(until=lambda: all(box), limit_s=90)
         tries = [item["run"] for item in self.runs(town)]
         extra = sum(not run.endswith("-1") for run in tries)
         self.assertGreater(extra, 0)
         self.assertLessEqual(extra, 40 // 5 + 3)
         self.assertEqual({each[0]["code"] for each in box}, {WORKER_LOST.code})
 
-    def testACallWaitsOnceForLicenceAndGrantTogether(self):
+    def test_a_call_waits_once_for_licence_and_grant_together(self):
         town = self.town(routers=2, workers=1)
-        for name in [*town.coreNames(), "platform"]:
+        for name in [*town.core_names(), "platform"]:
             town.world.kill(name)
         town.world.run(5)
-        startS = town.world.now
+        start_s = town.world.now
         box = town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"]))
         town.world.run(2)
         for node in town.site.cores:
-            town.startCore(node["name"])
+            town.start_core(node["name"])
         self.assertTrue(
             town.world.run(
-                until=lambda: any(town.up[name].licence.isHeld() for name in town.routerNames()),
-                limitS=8,
+                until=lambda: any(town.up[name].licence.is_held() for name in town.router_names()),
+                limit_s=8,
             )
         )
-        town.world.run(until=lambda: box, limitS=30)
+        town.world.run(until=lambda: box, limit_s=30)
         self.assertTrue(box[0]["notRun"] and box[0]["retryAfter"], box)
-        self.assertLess(town.world.now - startS, 10.5)
+        self.assertLess(town.world.now - start_s, 10.5)
 
-    def testAConversationWhoseGrantIsHandedBackAfterAChangeOfKeeperStaysOpen(self):
+    def test_a_conversation_whose_grant_is_handed_back_after_a_change_of_keeper_stays_open(self):
         town, claim = self.town(routers=4, workers=1), Claims.claim
         got = town.call("saga", "check", ["b", "x"], idempotency="1")
         old = town.keeper()
         town.world.kill(old)
-        town.caller.doors = [town.addresses[name]["http"] for name in town.routerNames()]
-        town.world.run(until=lambda: town.keeper(), limitS=20)
+        town.caller.doors = [town.addresses[name]["http"] for name in town.router_names()]
+        town.world.run(until=lambda: town.keeper(), limit_s=20)
         late = []
 
         def slow(claims, *what):
-            done, first, waitS = (
+            done, first, wait_s = (
                 claims.loop.create_future(),
                 claim(claims, *what),
                 0.0 if late else 1.0,
             )
             first.add_done_callback(
-                lambda _: claims.loop.call_later(waitS, done.set_result, first.result())
+                lambda _: claims.loop.call_later(wait_s, done.set_result, first.result())
             )
             late.append(what)
             return done
@@ -283,20 +283,20 @@
         self.assertTrue(again["whole"])
         ends = [
             item
-            for name in town.routerNames()
+            for name in town.router_names()
             for item in town.up[name].decisions.items
             if item["kind"] == "end"
         ]
         starts = [
             item
-            for name in town.routerNames()
+            for name in town.router_names()
             for item in town.up[name].decisions.items
             if item["kind"] == "start"
         ]
         self.assertEqual((ends, starts), ([], []))
 
-    def testACallCountsOnceHoweverOftenItsFirstLegIsGranted(self):
-        town, look, failures = self.town(workers=1), Call._mayBeSent, [STALE_LIST] * 5
+    def test_a_call_counts_once_however_often_its_first_leg_is_granted(self):
+        town, look, failures = self.town(workers=1), Call._may_be_sent, [STALE_LIST] * 5
 
         def fails(call, leg):
             return failures.pop() if failures else look(call, leg)
@@ -304,21 +304,21 @@
         town.world.run(11)
         budget = town.up[town.keeper()].keepers["screener"].budget
         budget.calls.clear()
-        with mock.patch.object(Call, "_mayBeSent", fails):
+        with mock.patch.object(Call, "_may_be_sent", fails):
             self.assertTrue(town.call("saga", "tag", ["book", "x"])["whole"])
         self.assertEqual((failures, len(budget.calls)), ([], 1))
 
-    def testACallWhoseGrantWasLostTakesNoSecondPlace(self):
-        town, take, lost = self.town(workers=1), Router.takeGrant, [True]
+    def test_a_call_whose_grant_was_lost_takes_no_second_place(self):
+        town, take, lost = self.town(workers=1), Router.take_grant, [True]
 
-        def loses(router, call, leg, grant, askedS):
-            return TIMED_OUT if lost and lost.pop() else take(router, call, leg, grant, askedS)
+        def loses(router, call, leg, grant, asked_s):
+            return TIMED_OUT if lost and lost.pop() else take(router, call, leg, grant, asked_s)
 
-        with mock.patch.object(Router, "takeGrant", loses):
+        with mock.patch.object(Router, "take_grant", loses):
             self.assertTrue(town.call("saga", "check", ["book", "x"], maxTokens=16)["whole"])
         self.assertEqual((lost, sum(len(book.open) for book in town.books().values())), ([], 1))
 
-    def testExtraTriesOfAllModelsTogetherStayWithinOneAllowance(self):
+    def test_extra_tries_of_all_models_together_stay_within_one_allowance(self):
         town = self.town(workers=4)
         for name in ("worker2", "worker4"):
             town.up["platform"].workers[name].update(model="other")
@@ -342,11 +342,11 @@
             )
             for route in ("tag", "ad") * 4
         ]
-        town.world.run(until=lambda: all(box), limitS=60)
+        town.world.run(until=lambda: all(box), limit_s=60)
         extra = sum(not item["run"].endswith("-1") for item in self.runs(town))
         self.assertTrue(0 < extra <= 8 // 5 + 3, extra)
 
-    def testACallerThatGoesAwayFreesItsSlotAndItsRun(self):
+    def test_a_caller_that_goes_away_frees_its_slot_and_its_run(self):
         town = self.town(workers=1)
         town.change("PATCH", {"models": {"screener": {"cap": 1, "idleMs": 500}}})
 
@@ -370,9 +370,9 @@
         self.assertEqual(sum(len(book.open) for book in town.books().values()), 0)
         ended = [item for item in town.records if item["kind"] == "ran"]
         self.assertEqual([item["whole"] for item in ended], [False])
-        self.assertTrue(all(not town.up[name].running for name in town.routerNames()))
+        self.assertTrue(all(not town.up[name].running for name in town.router_names()))
 
-    def testASlowCallerIsBoundedAndCutOff(self):
+    def test_a_slow_caller_is_bounded_and_cut_off(self):
         town = self.town(workers=1)
         held = []
 
@@ -401,11 +401,11 @@
             held[0][0].transport.pause_reading()
             town.world.run(1)
         self.assertEqual(
-            sum(town.up[name].http.count["slowCallers"] for name in town.routerNames()), 1
+            sum(town.up[name].http.count["slowCallers"] for name in town.router_names()), 1
         )
-        self.assertTrue(all(not town.up[name].open for name in town.routerNames()))
+        self.assertTrue(all(not town.up[name].open for name in town.router_names()))
 
-    def testBadInputGetsItsCode(self):
+    def test_bad_input_gets_its_code(self):
         town = self.town(bodyBytes=4096, partsMost=10)
         for body, headers, code in [
             (b"{", [], 100),
@@ -433,14 +433,14 @@
         self.assertEqual((got["status"], got["code"]), (401, UNKNOWN_KEY.code))
         self.assertEqual(town.world.faults, [])
 
-    def testNoLegGoesOutOnAnOldList(self):
+    def test_no_leg_goes_out_on_an_old_list(self):
         town = self.town(routers=3)
         platform = town.site.platform.rpartition(":")[0]
         alone = town.site.routers[0]
         ip = alone["inner"].rpartition(":")[0]
         rest = [
             town.addresses[name]["inner"].rpartition(":")[0]
-            for name in town.routerNames()
+            for name in town.router_names()
             if name != alone["name"]
         ]
         town.world.net.cut([ip], [platform])
@@ -448,14 +448,14 @@
         self.assertEqual(town.call("saga", "tag", ["a", "b"], door=alone["http"])["status"], 200)
         town.world.net.cut([ip], [platform, *rest])
         town.world.run(5)
-        self.assertFalse(town.up[alone["name"]].workers.isFresh())
+        self.assertFalse(town.up[alone["name"]].workers.is_fresh())
         town.world.net.heal()
         town.world.kill("platform")
         town.world.run(5)
-        startS = town.world.now
+        start_s = town.world.now
         got = town.call("saga", "check", ["a", "c"], idempotency="k", door=alone["http"])
         self.assertEqual((got["code"], got["notRun"]), (STALE_LIST.code, True))
-        self.assertLess(town.world.now - startS, 10.5)
+        self.assertLess(town.world.now - start_s, 10.5)
         town.world.start("platform", platform, town.up["platform"].start)
         town.world.run(2)
         self.assertEqual(
@@ -464,13 +464,15 @@
         )
         self.sound(town)
 
-    def testAMajorityBehindACutDoesNotObeyItsOldListWhileTheOthersAreShownADrain(self):
+    def test_a_majority_behind_a_cut_does_not_obey_its_old_list_while_the_others_are_shown_a_drain(
+        self,
+    ):
         town = self.town(routers=3)
         platform = town.site.platform.rpartition(":")[0]
         keeper = town.keeper()
-        seeing = next(name for name in town.routerNames() if name != keeper)
+        seeing = next(name for name in town.router_names() if name != keeper)
         ips = {
-            name: town.addresses[name]["inner"].rpartition(":")[0] for name in town.routerNames()
+            name: town.addresses[name]["inner"].rpartition(":")[0] for name in town.router_names()
         }
         blind = [ips[name] for name in ips if name != seeing]
         town.world.net.cut(blind, [platform, ips[seeing]])
@@ -488,9 +490,9 @@
         )
         self.sound(town)
 
-    def testWhatAProcessFrozenBetweenItsLookAndItsWriteSendsLaterIsNoRun(self):
-        town, look, frozen = self.town(routers=3, workers=2), Call._mayBeSent, []
-        name = next(each for each in town.routerNames() if each != town.keeper())
+    def test_what_a_process_frozen_between_its_look_and_its_write_sends_later_is_no_run(self):
+        town, look, frozen = self.town(routers=3, workers=2), Call._may_be_sent, []
+        name = next(each for each in town.router_names() if each != town.keeper())
 
         def freezes(call, leg):
             got = look(call, leg)
@@ -499,7 +501,7 @@
                 town.world.freeze(name)
             return got
 
-        with mock.patch.object(Call, "_mayBeSent", freezes):
+        with mock.patch.object(Call, "_may_be_sent", freezes):
             late = town.spawn(
                 lambda: town.caller.call(
                     "saga", "tag", ["a", "b"], door=town.addresses[name]["http"]
@@ -513,15 +515,15 @@
             town.world.do("platform", drain)
             town.world.run(8)
             town.world.thaw(name)
-            town.world.run(until=lambda: late, limitS=30)
+            town.world.run(until=lambda: late, limit_s=30)
         self.assertNotIn(frozen[0], [item["who"] for item in self.runs(town)])
         self.sound(town)
 
-    def testAFrozenRouterWakesAndSendsNothingOld(self):
+    def test_a_frozen_router_wakes_and_sends_nothing_old(self):
         town = self.town(routers=2, workers=1)
         town.change("PATCH", {"models": {"screener": {"cap": 1}}})
         keeper = town.keeper()
-        other = next(name for name in town.routerNames() if name != keeper)
+        other = next(name for name in town.router_names() if name != keeper)
         door = town.addresses[other]["http"]
         first = town.spawn(
             lambda: town.caller.call(
@@ -539,7 +541,7 @@
         town.world.run(10)
         before = len(self.runs(town))
         town.world.thaw(other)
-        town.world.run(until=lambda: first and second, limitS=60)
+        town.world.run(until=lambda: first and second, limit_s=60)
         late = [item for item in self.runs(town)[before:] if item["weights"] == "w1"]
         self.assertEqual(late, [])
         self.sound(town)
--- a/tests/cases/config.py
+++ b/tests/cases/config.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from swiftdeck.bench.checker import check
-from swiftdeck.config.document import keyDigest
+from swiftdeck.config.document import key_digest
 from swiftdeck.disk.journal import Journal
 from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, UNDECIDED
-from swiftdeck.http.client import connect, fetchJson
+from swiftdeck.http.client import connect, fetch_json
 from swiftdeck.sim.town import Town
 
 
@@ -25,38 +25,38 @@
         """Let the chain mend itself to so many members."""
         town.world.run(0.05)
 
-        def isMended():
-            cores = [town.up[name] for name in town.coreNames()]
+        def is_mended():
+            cores = [town.up[name] for name in town.core_names()]
             return all(
                 len(core.agreement.decided.members) == members
-                and core.chain.isWhole()
+                and core.chain.is_whole()
                 and core.agreement.mayServe()
                 for core in cores
                 if core.agreement.position() >= 0
             ) and any(core.agreement.position() >= 0 for core in cores)
 
-        self.assertTrue(town.world.run(until=isMended, limitS=40), "chain was not mended")
+        self.assertTrue(town.world.run(until=is_mended, limit_s=40), "chain was not mended")
 
     def cap(self, number):
         return {"models": {"screener": {"cap": number}}}
 
     def insist(self, town, number, name=None):
         """Send one change again and again under one id until it is acknowledged; gives how long that took."""
-        base, startS = town.version, town.world.now
+        base, start_s = town.version, town.world.now
         for _ in range(10):
             got = town.change("PATCH", self.cap(number), base, name, changeId=f"insist-{number}")
             if got and got[0] == 200:
-                return town.world.now - startS
+                return town.world.now - start_s
             self.assertNotIn(got[0] if got else 0, (409, 422), got)
         self.fail(f"never acknowledged: {got}")
 
     def member(self, town, position):
         """The name of the core at a place of the chain."""
         return next(
-            name for name in town.coreNames() if town.up[name].agreement.position() == position
+            name for name in town.core_names() if town.up[name].agreement.position() == position
         )
 
-    def testRefusalsHaveCodesAndChangeNothing(self):
+    def test_refusals_have_codes_and_change_nothing(self):
         town = self.town()
         self.assertEqual(town.change("PATCH", self.cap(9), base=0)[1]["code"], LOST_RACE.code)
         invalid = town.change("PATCH", {"routes": {"check": {"model": "nobody"}}})
@@ -72,7 +72,7 @@
         )
         self.assertEqual((version, document["models"]["screener"]["cap"]), (2, 7))
 
-    def testAStreamOfChangesHasAnAnswerEach(self):
+    def test_a_stream_of_changes_has_an_answer_each(self):
         town = self.town()
         lines = [
             {"id": "a", "op": "patch", "base": 1, "document": self.cap(5)},
@@ -89,7 +89,7 @@
 
         self.assertEqual(town.world.do("operator", send), [0, 100, 200, 100])
 
-    def testChangesGoInAndAnswersComeOutOfOneOpenStream(self):
+    def test_changes_go_in_and_answers_come_out_of_one_open_stream(self):
         town, got = self.town(), bytearray()
 
         class Sink(asyncio.Protocol):
@@ -115,36 +115,38 @@
             transport.write(b"0\r\n\r\nGET /v1/counters HTTP/1.1\r\nHost: x\r\n\r\n")
             await asyncio.sleep(1)
 
-        town.world.do("operator", talk, limitS=30)
+        town.world.do("operator", talk, limit_s=30)
         self.assertEqual((got.count(b'"code":0'), got.count(b"HTTP/1.1 200")), (3, 2))
         self.assertEqual(town.ask("GET", "/v1/config")[1]["version"], 4)
 
-    def testEachMemberMayBeKilledInTurn(self):
+    def test_each_member_may_be_killed_in_turn(self):
         town = self.town()
         for position in (2, 0, 1):
             self.settle(town)
             name = self.member(town, position)
             town.world.kill(name)
-            town.folders[name].losePower()
+            town.folders[name].lose_power()
             self.assertLess(self.insist(town, 10 + position), 12)
-            town.startCore(name)
+            town.start_core(name)
         self.settle(town)
-        self.assertEqual(len({town.up[name].chain.state.toBytes() for name in town.coreNames()}), 1)
+        self.assertEqual(
+            len({town.up[name].chain.state.to_bytes() for name in town.core_names()}), 1
+        )
 
-    def testAllCoresLosePowerAndTheConfigurationIsReadBackWhole(self):
+    def test_all_cores_lose_power_and_the_configuration_is_read_back_whole(self):
         town = self.town()
         town.change("PATCH", self.cap(11))
-        names = town.coreNames()
+        names = town.core_names()
         for name in names:
             town.world.kill(name)
         for name in names:
-            town.folders[name].losePower(torn=5)
-            town.startCore(name)
+            town.folders[name].lose_power(torn=5)
+            town.start_core(name)
         self.settle(town)
         got = town.ask("GET", "/v1/config")[1]
         self.assertEqual((got["version"], got["document"]["models"]["screener"]["cap"]), (2, 11))
 
-    def testALostDiskAfterAnAckLosesNothing(self):
+    def test_a_lost_disk_after_an_ack_loses_nothing(self):
         town = self.town()
         for position in (0, 2):
             self.settle(town)
@@ -153,7 +155,7 @@
             town.world.kill(name)
             town.folders[name].wipe()
             town.world.run(1)
-            town.startCore(name)
+            town.start_core(name)
             town.world.run(8)
             got = town.ask("GET", "/v1/config", name=name)[1]
             self.assertEqual(
@@ -162,7 +164,9 @@
             )
         self.settle(town)
 
-    def testAnEmptiedCoreAtANewAddressTakesTheLostPlaceAndTheSeedsAreExchanged(self):
+    def test_an_emptied_core_at_a_new_address_takes_the_lost_place_and_the_seeds_are_exchanged(
+        self,
+    ):
         town = self.town()
         town.world.kill("core1")
         node = town.addresses["core1"]
@@ -170,9 +174,9 @@
         town.folders["core1"].wipe()
         town.seeds = [core["inner"] for core in town.site.cores]
         for name in ("core2", "core3", "router1", "router2"):
-            town.up[name].membership.setSeeds(town.seeds)
+            town.up[name].membership.set_seeds(town.seeds)
         town.world.run(3)
-        town.startCore("core1")
+        town.start_core("core1")
         self.settle(town)
         voters = {ref.addr for ref in town.up["core2"].agreement.decided.voters}
         self.assertIn(node["inner"], voters)
@@ -183,7 +187,7 @@
             3,
         )
 
-    def testAnOldCoreAtANewAddressIsTheSameOne(self):
+    def test_an_old_core_at_a_new_address_is_the_same_one(self):
         town = self.town()
         for position in (0, 1):
             name = self.member(town, position)
@@ -195,22 +199,22 @@
             }
             town.seeds = [core["inner"] for core in town.site.cores]
             coreId = town.up[name].agreement.coreId
-            town.startCore(name)
+            town.start_core(name)
             town.world.run(1)
             self.insist(
-                town, 30 + position, next(other for other in town.coreNames() if other != name)
+                town, 30 + position, next(other for other in town.core_names() if other != name)
             )
             self.settle(town)
             members = {ref.coreId: ref.addr for ref in town.up[name].agreement.decided.members}
             self.assertEqual(members[coreId], town.addresses[name]["inner"])
 
-    def testTwoOperatorsWritingAtOnceNeverBothWin(self):
+    def test_two_operators_writing_at_once_never_both_win(self):
         town = self.town()
         for round_ in range(5):
             base = town.version
             box = [
                 town.spawn(
-                    lambda name=name, number=number: fetchJson(
+                    lambda name=name, number=number: fetch_json(
                         town.addresses[name]["http"],
                         "PATCH",
                         f"/v1/config?base={base}",
@@ -220,11 +224,11 @@
                 )
                 for number, name in ((5, "core1"), (6, "core2"), (7, "core3"))
             ]
-            town.world.run(until=lambda: all(box), limitS=20)
+            town.world.run(until=lambda: all(box), limit_s=20)
             self.assertEqual(sorted(each[0][0] for each in box), [200, 409, 409])
             town.version += 1
 
-    def testACutCoreServesNothingOldAndComesBack(self):
+    def test_a_cut_core_serves_nothing_old_and_comes_back(self):
         town = self.town()
         tail = self.member(town, 2)
         others = [
@@ -235,26 +239,26 @@
         alone = town.addresses[tail]["inner"].rpartition(":")[0]
         town.world.net.cut([alone], others)
         town.world.run(8)
-        near = next(name for name in town.coreNames() if name != tail)
+        near = next(name for name in town.core_names() if name != tail)
         self.assertEqual(town.change("PATCH", self.cap(13), name=near)[0], 200)
         self.assertNotEqual(town.ask("GET", "/v1/config", name=tail)[0], 200)
-        self.assertFalse(town.up[tail].chain.mayTell())
+        self.assertFalse(town.up[tail].chain.may_tell())
         town.world.net.heal()
         self.settle(town)
         self.assertEqual(town.ask("GET", "/v1/config", name=tail)[1]["version"], town.version)
 
-    def testAFrozenTailWakesHoldingNothing(self):
+    def test_a_frozen_tail_wakes_holding_nothing(self):
         town = self.town()
         tail = self.member(town, 2)
         town.world.freeze(tail)
-        near = next(name for name in town.coreNames() if name != tail)
+        near = next(name for name in town.core_names() if name != tail)
         self.insist(town, 14, near)
-        self.assertFalse(town.up[tail].chain.mayTell())
+        self.assertFalse(town.up[tail].chain.may_tell())
         town.world.thaw(tail)
-        self.assertFalse(town.up[tail].chain.mayTell())
+        self.assertFalse(town.up[tail].chain.may_tell())
         self.settle(town)
 
-    def testAFullDiskRefusesAndAStalledOneLeavesTheChain(self):
+    def test_a_full_disk_refuses_and_a_stalled_one_leaves_the_chain(self):
         town = self.town()
         head = self.member(town, 0)
         town.folders[head].full = True
@@ -271,7 +275,9 @@
         self.settle(town)
         self.assertEqual(check(town.records), {})
 
-    def testWhatTheTailAnsweredWithOutlastsAHeadThatLosesPowerBeforeItsSlowDiskHasSynced(self):
+    def test_what_the_tail_answered_with_outlasts_a_head_that_loses_power_before_its_slow_disk_has_synced(
+        self,
+    ):
         for kind in ("configuration", "claim"):
             town = self.town()
             town.world.run(3)
@@ -283,7 +289,7 @@
                 )
             else:
                 town.spawn(
-                    lambda: fetchJson(
+                    lambda: fetch_json(
                         town.addresses[tail]["http"], "PATCH", "/v1/config?base=1", self.cap(9)
                     )
                 )
@@ -291,28 +297,28 @@
             known = town.up[tail].chain
             seen = (known.state.stored.version, len(known.state.stored.claims), known.serial)
             town.world.kill(head)
-            town.folders[head].losePower()
+            town.folders[head].lose_power()
             town.folders[head].stallS = 0.0
-            town.startCore(head)
+            town.start_core(head)
             town.world.run(3)
             self.settle(town)
-            for name in town.coreNames():
+            for name in town.core_names():
                 stored, serial = town.up[name].chain.state.stored, town.up[name].chain.serial
                 self.assertGreaterEqual(
                     (stored.version, len(stored.claims), serial), seen, (kind, name)
                 )
 
-    def testADamagedLastRecordIsNotTakenForATornOne(self):
+    def test_a_damaged_last_record_is_not_taken_for_a_torn_one(self):
         for at in (-1, -20):
             town = self.town()
             self.assertEqual(town.change("PATCH", self.cap(9))[0], 200)
             head = self.member(town, 0)
             town.world.kill(head)
-            town.folders[head].losePower()
+            town.folders[head].lose_power()
             records = Journal(town.folders[head], "chain.log").load()
             starts = len(town.folders[head].read("chain.log")) - len(Journal.frame(records[-1]))
             town.folders[head].written["chain.log"][at if at == -1 else starts + 1] ^= 255
-            town.startCore(head)
+            town.start_core(head)
             town.world.run(0.5)
             near = self.member(town, 1)
             town.change("PATCH", self.cap(10), base=2, name=near)
@@ -322,7 +328,7 @@
             self.assertGreaterEqual(got["version"], 2, at)
             self.assertIn(got["document"]["models"]["screener"]["cap"], (9, 10))
 
-    def testAHeadThatLostTheEndOfItsFileCopiesFromTheLongerOne(self):
+    def test_a_head_that_lost_the_end_of_its_file_copies_from_the_longer_one(self):
         town = self.town()
         head = self.member(town, 0)
         town.world.run(2)
@@ -330,14 +336,14 @@
         self.assertEqual(town.change("PATCH", self.cap(9))[0], 200)
         town.world.kill(head)
         town.folders[head].written["chain.log"] = bytearray(short)
-        town.startCore(head)
+        town.start_core(head)
         town.world.run(3)
         self.settle(town)
         self.assertEqual(
-            {town.up[name].chain.state.stored.version for name in town.coreNames()}, {2}
+            {town.up[name].chain.state.stored.version for name in town.core_names()}, {2}
         )
 
-    def testAColdStartServesWithinTwelveSecondsEmptyAndWithItsData(self):
+    def test_a_cold_start_serves_within_twelve_seconds_empty_and_with_its_data(self):
         for site in ("hinokuni", "serraria"):
             town = Town(3, site, routers=9, workers=None).start()
             self.assertTrue(
@@ -352,30 +358,30 @@
                 if name not in ("operator", "callers"):
                     town.world.kill(name)
             for folder in town.folders.values():
-                folder.losePower(torn=7)
-            startS = town.world.now
+                folder.lose_power(torn=7)
+            start_s = town.world.now
             for node in town.site.cores:
-                town.startCore(node["name"])
+                town.start_core(node["name"])
             town.world.start(
                 "platform", town.site.platform.rpartition(":")[0], town.up["platform"].start
             )
-            town.startStore()
+            town.start_store()
             for worker in town.site.workers:
-                town.startWorker(worker["name"])
+                town.start_worker(worker["name"])
             for node in town.site.routers:
-                town.startRouter(node["name"])
+                town.start_router(node["name"])
             got = {"whole": False}
-            while not got["whole"] and town.world.now < startS + 30:
+            while not got["whole"] and town.world.now < start_s + 30:
                 got = town.call(
                     "saga" if site == "hinokuni" else "ipe",
                     "check",
                     ["b", "y"],
                     idempotency="again",
                 )
-            self.assertLess(town.world.now - startS, 12, site)
+            self.assertLess(town.world.now - start_s, 12, site)
             self.assertEqual(town.ask("GET", "/v1/config")[1]["version"], version)
 
-    def testDamageOnDiskIsRefusedAndMendedByCopying(self):
+    def test_damage_on_disk_is_refused_and_mended_by_copying(self):
         town = self.town()
         for number in range(4):
             town.change("PATCH", self.cap(20 + number))
@@ -383,13 +389,13 @@
         town.world.kill(name)
         data = town.folders[name].written["chain.log"]
         data[len(data) // 2] ^= 255
-        town.startCore(name)
+        town.start_core(name)
         town.world.run(5)
         self.settle(town)
         self.assertEqual(town.up[name].board.count["copies"], 1)
         self.assertEqual(town.up[name].chain.state.stored.version, town.version)
 
-    def testASweepMendsDamageBeforeAnyRestartMeetsIt(self):
+    def test_a_sweep_mends_damage_before_any_restart_meets_it(self):
         town = self.town()
         for number in range(4):
             town.change("PATCH", self.cap(20 + number))
@@ -401,35 +407,35 @@
         town.world.run(90)
         coreId = town.up[name].agreement.coreId
         town.world.kill(name)
-        town.startCore(name)
+        town.start_core(name)
         town.world.run(3)
         self.settle(town)
         self.assertEqual(
             (town.up[name].agreement.coreId, town.up[name].board.count["copies"]), (coreId, 0)
         )
 
-    def testAckMeansInForceAtEveryRouterThatStillServes(self):
+    def test_ack_means_in_force_at_every_router_that_still_serves(self):
         town = self.town(routers=3)
         town.world.freeze("router2")
-        atS = town.world.now
+        at_s = town.world.now
         self.assertEqual(town.change("PATCH", self.cap(17))[0], 200)
-        self.assertGreater(town.world.now - atS, 2.5)
-        served = [name for name in town.routerNames() if town.up[name].licence.isHeld()]
+        self.assertGreater(town.world.now - at_s, 2.5)
+        served = [name for name in town.router_names() if town.up[name].licence.is_held()]
         self.assertTrue(all(town.up[name].licence.held.version == town.version for name in served))
         self.assertNotIn("router2", served)
         town.world.thaw("router2")
-        atS = town.world.now
+        at_s = town.world.now
         town.world.run(2)
         self.assertEqual(town.change("PATCH", self.cap(18))[0], 200)
-        self.assertLess(town.world.now - atS, 4.0)
+        self.assertLess(town.world.now - at_s, 4.0)
 
-    def testAnUnknownOutcomeIsUndecidedAndSettlesOnce(self):
+    def test_an_unknown_outcome_is_undecided_and_settles_once(self):
         town = self.town()
-        lost = [town.addresses[name]["inner"].rpartition(":")[0] for name in town.coreNames()]
+        lost = [town.addresses[name]["inner"].rpartition(":")[0] for name in town.core_names()]
         head = self.member(town, 0)
-        door = next(name for name in town.coreNames() if name != head)
-        headIp = town.addresses[head]["inner"].rpartition(":")[0]
-        town.world.net.cut([headIp], [ip for ip in lost if ip != headIp], both=False)
+        door = next(name for name in town.core_names() if name != head)
+        head_ip = town.addresses[head]["inner"].rpartition(":")[0]
+        town.world.net.cut([head_ip], [ip for ip in lost if ip != head_ip], both=False)
         got = town.change("PATCH", self.cap(19), name=door, changeId="late")
         town.world.net.heal()
         town.world.run(6)
@@ -438,7 +444,7 @@
             self.assertEqual(got[1]["code"], UNDECIDED.code)
         self.assertEqual((again[0], again[1]["version"]), (200, 2))
 
-    def testManyRoutesAreCarriedToAll(self):
+    def test_many_routes_are_carried_to_all(self):
         town = self.town()
         routes = {
             f"route-{number}": {"model": "screener", "repeatable": True} for number in range(3000)
@@ -447,12 +453,12 @@
         self.assertTrue(
             all(
                 len(town.up[name].licence.held.document.routes) == 3002
-                for name in town.routerNames()
+                for name in town.router_names()
             )
         )
         self.assertEqual(town.call("saga", "route-2999", ["a", "b"])["status"], 200)
 
-    def testAChangeTravelsAsAChangeAndTheWholeOnlyOnAMismatch(self):
+    def test_a_change_travels_as_a_change_and_the_whole_only_on_a_mismatch(self):
         town = self.town()
         routes = {f"route-{number}": {"model": "screener"} for number in range(2000)}
         self.assertEqual(town.change("PATCH", {"routes": routes})[0], 200)
@@ -474,7 +480,7 @@
         licence.held = attrs.evolve(licence.held, config=wrong)
         self.assertEqual(town.change("PATCH", self.cap(9))[0], 200)
         town.world.run(1)
-        held = {town.up[name].licence.held.config.digest() for name in town.routerNames()}
+        held = {town.up[name].licence.held.config.digest() for name in town.router_names()}
         self.assertEqual((len(held), town.counters()["wholesSent"] - wholes), (1, 1))
         self.assertEqual(
             town.call("saga", "tag", ["a", "b"], door=town.addresses["router2"]["http"])["status"],
@@ -482,12 +488,12 @@
         )
         sizes = {
             len(entry)
-            for name in town.coreNames()
+            for name in town.core_names()
             for entry in town.up[name].chain.entries.values()
         }
         self.assertLess(sorted(sizes)[-2], 2000)
 
-    def testAConfigurationBeyondItsBoundIsRefusedWithItsCode(self):
+    def test_a_configuration_beyond_its_bound_is_refused_with_its_code(self):
         town = self.town(bodyBytes=8 << 20)
         routes = {
             f"route-{number}": {"model": "screener", "tenants": ["saga"] * 200}
@@ -503,22 +509,22 @@
         self.assertIn("bytes", got[1]["reason"])
         self.assertEqual(town.call("saga", "tag", ["a", "b"])["status"], 200)
 
-    def testARouterCutFromTheCoresHoldsItsLicenceThroughANeighbour(self):
+    def test_a_router_cut_from_the_cores_holds_its_licence_through_a_neighbour(self):
         town = self.town(routers=3)
         ip = town.addresses["router1"]["inner"].rpartition(":")[0]
-        cores = [town.addresses[name]["inner"].rpartition(":")[0] for name in town.coreNames()]
+        cores = [town.addresses[name]["inner"].rpartition(":")[0] for name in town.core_names()]
         town.world.net.cut([ip], cores)
         town.world.run(6)
-        atS = town.world.now
+        at_s = town.world.now
         self.assertEqual(
-            town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200
+            town.change("PATCH", {"tenants": {"saga": {"keys": [key_digest("other")]}}})[0], 200
         )
-        self.assertLess(town.world.now - atS, 2.0)
+        self.assertLess(town.world.now - at_s, 2.0)
         door = town.addresses["router1"]["http"]
         self.assertEqual(town.call("saga", "tag", ["a", "b"], door=door)["status"], 401)
         self.assertEqual(town.call("oita", "tag", ["a", "b"], door=door)["status"], 200)
 
-    def testAKeyThatIsTakenWhileItsCallWaitsEndsTheCallAtOnce(self):
+    def test_a_key_that_is_taken_while_its_call_waits_ends_the_call_at_once(self):
         town = self.town(routers=2, workers=1)
         self.assertEqual(town.change("PATCH", self.cap(1))[0], 200)
         town.spawn(lambda: town.caller.call("oita", "check", ["b", "long"], maxTokens=6400))
@@ -526,12 +532,12 @@
         box = town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"]))
         town.world.run(1)
         self.assertEqual(
-            town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200
+            town.change("PATCH", {"tenants": {"saga": {"keys": [key_digest("other")]}}})[0], 200
         )
-        town.world.run(until=lambda: box, limitS=1.5)
+        town.world.run(until=lambda: box, limit_s=1.5)
         self.assertTrue(box and box[0]["status"] == 401 and box[0]["notRun"], box)
 
-    def testChangesAreInForceWithinTwoSecondsWhileNothingFails(self):
+    def test_changes_are_in_force_within_two_seconds_while_nothing_fails(self):
         town = self.town(routers=9)
         town.record("operator")("quiet", untilMs=int(town.world.now * 1000) + 60000)
         for number in range(4):
@@ -540,7 +546,7 @@
         for number in range(3):
             key = f"key-{number}"
             self.assertEqual(
-                town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest(key)]}}})[0], 200
+                town.change("PATCH", {"tenants": {"saga": {"keys": [key_digest(key)]}}})[0], 200
             )
             got = [
                 town.call("saga", "tag", ["a", "b"], key=old, door=node["http"])["status"]
@@ -551,7 +557,7 @@
             town.world.run(0.37)
         self.assertEqual(check(town.records), {})
 
-    def testARevokedKeyIsRefusedOnAKeptAliveConnection(self):
+    def test_a_revoked_key_is_refused_on_a_kept_alive_connection(self):
         town = self.town()
         bodies = msgspec.json.encode({"model": "tag", "parts": ["a"], "stream": False})
 
@@ -571,7 +577,7 @@
         box = town.spawn(talk)
         town.world.run(1)
         self.assertEqual(
-            town.change("PATCH", {"tenants": {"saga": {"keys": [keyDigest("other")]}}})[0], 200
+            town.change("PATCH", {"tenants": {"saga": {"keys": [key_digest("other")]}}})[0], 200
         )
-        town.world.run(until=lambda: box, limitS=10)
+        town.world.run(until=lambda: box, limit_s=10)
         self.assertEqual(box, [[200, 401]])
--- a/tests/cases/cores.py
+++ b/tests/cases/cores.py
@@ -4,7 +4,7 @@
 
 from swiftdeck.bench.checker import check
 from swiftdeck.chain.agreement import ids
-from swiftdeck.http.client import fetchJson
+from swiftdeck.http.client import fetch_json
 from swiftdeck.sim.town import Town
 
 
@@ -25,12 +25,12 @@
 
     def is_settled(self, town, names=None):
         """Whether these cores are the members and the voters, whole and serving."""
-        cores = [town.up[name] for name in names or town.coreNames()]
+        cores = [town.up[name] for name in names or town.core_names()]
         wanted = {core.agreement.coreId for core in cores}
         return all(
             set(ids(core.agreement.decided.members)) == wanted
-            and core.agreement.isVoter()
-            and core.chain.isWhole()
+            and core.agreement.is_voter()
+            and core.chain.is_whole()
             and core.agreement.mayServe()
             for core in cores
         )
@@ -40,7 +40,7 @@
         start_s = town.world.now
         town.world.run(0.01)
         self.assertTrue(
-            town.world.run(until=lambda: self.is_settled(town, names), limitS=limit_s),
+            town.world.run(until=lambda: self.is_settled(town, names), limit_s=limit_s),
             self.told(town),
         )
         return town.world.now - start_s
@@ -51,12 +51,12 @@
                 name,
                 core.agreement.decided.number,
                 core.agreement.position(),
-                core.agreement.isVoter(),
-                core.chain.isWhole(),
+                core.agreement.is_voter(),
+                core.chain.is_whole(),
                 core.agreement.mayServe(),
             )
             for name, core in town.up.items()
-            if name in town.coreNames()
+            if name in town.core_names()
         ]
 
     def cap(self, number):
@@ -85,64 +85,64 @@
     def lose(self, town, names, wiped=False):
         for name in names:
             town.world.kill(name, silent=True)
-            town.folders[name].losePower()
+            town.folders[name].lose_power()
             if wiped:
                 town.folders[name].wipe()
 
     def voters_known(self, town):
-        return {name: len(town.up[name].agreement.decided.voters) for name in town.coreNames()}
+        return {name: len(town.up[name].agreement.decided.voters) for name in town.core_names()}
 
-    def testFiveCoresAreFoundedByThreeAndAllJoinAndVote(self):
+    def test_five_cores_are_founded_by_three_and_all_join_and_vote(self):
         town = self.town()
         for name in ("core1", "core2"):
-            town.startCore(name)
+            town.start_core(name)
         town.world.run(3)
         self.assertEqual(
             {town.up[name].agreement.decided.number for name in ("core1", "core2")}, {0}
         )
         for name in ("core3", "core4", "core5"):
-            town.startCore(name)
+            town.start_core(name)
         town.world.run(0.01)
         self.assertTrue(
-            town.world.run(until=lambda: self.is_settled(town), limitS=8), self.told(town)
+            town.world.run(until=lambda: self.is_settled(town), limit_s=8), self.told(town)
         )
         self.assertEqual(set(self.voters_known(town).values()), {5})
 
-    def testTwoOfFiveAreLostAtOnceInAnyPlacesAndComeBackWithTheirDisks(self):
+    def test_two_of_five_are_lost_at_once_in_any_places_and_come_back_with_their_disks(self):
         for seed, places in enumerate([(0, 1), (0, 4), (3, 4), (1, 3)], 1):
             town = self.started(seed=seed)
             order = [
-                next(name for name in town.coreNames() if town.up[name].agreement.position() == at)
+                next(name for name in town.core_names() if town.up[name].agreement.position() == at)
                 for at in range(5)
             ]
             lost = [order[at] for at in places]
             self.assertEqual(town.change("PATCH", self.cap(7))[0], 200)
             self.lose(town, lost)
-            near = town.coreNames()[0]
+            near = town.core_names()[0]
             self.assertLess(self.insist(town, 8, near), 7)
             self.assertTrue(town.call("saga", "check", ["b", "x"])["whole"])
             for name in lost:
-                town.startCore(name)
+                town.start_core(name)
             self.settle(town)
             self.assertEqual(self.read(town, lost[0]), (town.version, 8))
             self.assertEqual(check(town.records), {})
 
-    def testTwoOfFiveAreWipedAtOnceAndTheirPlacesAreTakenInTime(self):
+    def test_two_of_five_are_wiped_at_once_and_their_places_are_taken_in_time(self):
         for seed in (1, 2):
             town = self.started(seed=seed)
             self.assertEqual(town.change("PATCH", self.cap(7))[0], 200)
             lost = ["core1", "core4"] if seed == 1 else ["core2", "core3"]
             self.lose(town, lost, wiped=True)
-            near = town.coreNames()[0]
+            near = town.core_names()[0]
             town.world.run(0.3 if seed == 1 else 5)
             for name in lost:
-                town.startCore(name)
+                town.start_core(name)
             self.assertLess(self.joined(town, lost), 4)
-            others = [name for name in town.coreNames() if name not in lost][:2]
+            others = [name for name in town.core_names() if name not in lost][:2]
             self.lose(town, others, wiped=True)
             self.assertLess(self.insist(town, 9, lost[0]), 7)
             self.assertEqual(self.read(town, lost[0]), (town.version, 9))
-            self.assertNotIn(near if near in others else "", town.coreNames())
+            self.assertNotIn(near if near in others else "", town.core_names())
 
     def joined(self, town, names):
         """How long until these cores are whole members and voters."""
@@ -150,23 +150,25 @@
 
         def is_in(core):
             return (
-                core.agreement.position() >= 0 and core.agreement.isVoter() and core.chain.isWhole()
+                core.agreement.position() >= 0
+                and core.agreement.is_voter()
+                and core.chain.is_whole()
             )
 
         town.world.run(0.01)
         self.assertTrue(
-            town.world.run(until=lambda: all(is_in(town.up[name]) for name in names), limitS=30),
+            town.world.run(until=lambda: all(is_in(town.up[name]) for name in names), limit_s=30),
             self.told(town),
         )
         return town.world.now - start_s
 
-    def testAWipedCoreJoinsInTimeAlsoWhenAnotherIsJustLost(self):
+    def test_a_wiped_core_joins_in_time_also_when_another_is_just_lost(self):
         for cores, seed in ((3, 1), (3, 2), (5, 1), (5, 2)):
             for delay_s in (0.05, 1.0, 4.0):
                 town = self.started(cores, seed)
                 self.lose(town, ["core1"], wiped=True)
                 town.world.run(delay_s)
-                town.startCore("core1")
+                town.start_core("core1")
                 if cores == 5:
                     self.lose(town, ["core2"])
                 self.assertLess(self.joined(town, ["core1"]), 4, (cores, seed, delay_s))
@@ -175,62 +177,62 @@
                     town.up["core3"].agreement.decided.number,
                 )
 
-    def testACutOfTwoFromThreeLeavesTheThreeServing(self):
+    def test_a_cut_of_two_from_three_leaves_the_three_serving(self):
         town = self.started(routers=3)
         far, near = ["core1", "core2"], ["core3", "core4", "core5"]
         rest = [name for name in town.addresses if name not in far]
         town.world.net.cut(self.ips(town, far), self.ips(town, rest))
         self.assertLess(self.insist(town, 9, "core3"), 8)
         for name in far:
-            self.assertFalse(town.up[name].chain.mayTell())
+            self.assertFalse(town.up[name].chain.may_tell())
         town.world.net.heal()
         self.settle(town)
         self.assertEqual(self.read(town, "core1"), (town.version, 9))
         town.world.net.cut(self.ips(town, near), self.ips(town, far))
         town.world.run(10)
         self.assertEqual(
-            [name for name in town.coreNames() if town.up[name].chain.mayTell()],
+            [name for name in town.core_names() if town.up[name].chain.may_tell()],
             [name for name in near if town.up[name].chain.isLast()],
         )
         town.world.net.heal()
         self.settle(town)
 
-    def testAllAreKilledAndAllLosePower(self):
+    def test_all_are_killed_and_all_lose_power(self):
         for cores in (3, 5):
             for torn in (None, 5):
                 town = self.started(cores)
                 self.assertEqual(town.change("PATCH", self.cap(11))[0], 200)
-                names = town.coreNames()
+                names = town.core_names()
                 for name in names:
                     town.world.kill(name)
                 for name in names:
                     if torn:
-                        town.folders[name].losePower(torn=torn)
-                    town.startCore(name)
+                        town.folders[name].lose_power(torn=torn)
+                    town.start_core(name)
                 self.settle(town)
                 self.assertEqual(self.read(town), (town.version, 11))
 
-    def testFewerMembersThanLossesBorneAndOneAcknowledgeNothing(self):
+    def test_fewer_members_than_losses_borne_and_one_acknowledge_nothing(self):
         town = self.started()
         self.lose(town, ["core3", "core4", "core5"])
         self.assertNotEqual(
             town.change("PATCH", self.cap(10), name="core1", changeId="insist-10")[0], 200
         )
         for name in ("core3", "core4"):
-            town.startCore(name)
+            town.start_core(name)
         self.insist(town, 10, "core1")
         self.assertEqual(self.read(town), (town.version, 10))
 
-    def testOneCoreFoundsAndServesAndKeepsItsState(self):
+    def test_one_core_founds_and_serves_and_keeps_its_state(self):
         town = self.town(1).start()
         self.assertEqual(town.change("PATCH", self.cap(9))[0], 200)
         town.world.kill("core1")
-        town.folders["core1"].losePower()
-        town.startCore("core1")
+        town.folders["core1"].lose_power()
+        town.start_core("core1")
         self.insist(town, 10)
         self.assertEqual(self.read(town), (town.version, 10))
 
-    def testASeedMachineIsReplacedAtANewAddressAndTheSeedsAreExchanged(self):
+    def test_a_seed_machine_is_replaced_at_a_new_address_and_the_seeds_are_exchanged(self):
         for name in ("core1", "core3"):
             town = self.started(3)
             self.assertEqual(town.change("PATCH", self.cap(9))[0], 200)
@@ -240,10 +242,10 @@
                 "http": f"{town.ip('fresh')}:8000",
             }
             town.seeds = [core["inner"] for core in town.site.cores]
-            town.startCore(name)
+            town.start_core(name)
             for other in ("core1", "core2", "core3", "router1", "router2"):
                 if other != name:
-                    town.up[other].membership.setSeeds(town.seeds)
+                    town.up[other].membership.set_seeds(town.seeds)
             self.assertLess(self.joined(town, [name]), 4)
             self.settle(town)
             town.world.run(4)
@@ -251,28 +253,28 @@
             self.insist(town, 10, name)
             self.assertEqual(self.read(town, name), (town.version, 10))
 
-    def testWipedRightAfterAnAcknowledgementWhileTheOthersLosePower(self):
+    def test_wiped_right_after_an_acknowledgement_while_the_others_lose_power(self):
         for cores in (3, 5):
             for place in range(cores):
                 town = self.started(cores)
                 self.assertEqual(town.change("PATCH", self.cap(12))[0], 200)
                 names = sorted(
-                    town.coreNames(), key=lambda name: town.up[name].agreement.position()
+                    town.core_names(), key=lambda name: town.up[name].agreement.position()
                 )
                 for name in names:
                     town.world.kill(name)
-                    town.folders[name].losePower(torn=3)
+                    town.folders[name].lose_power(torn=3)
                 town.folders[names[place]].wipe()
                 if cores == 5:
                     town.folders[names[(place + 2) % 5]].wipe()
                 for name in names:
-                    town.startCore(name)
+                    town.start_core(name)
                 self.settle(town)
                 self.assertEqual(self.read(town), (town.version, 12), (cores, place))
 
-    def testAnAnswerOfTheTailWaitsForItsOwnDisk(self):
+    def test_an_answer_of_the_tail_waits_for_its_own_disk(self):
         town = self.started(3)
-        names = sorted(town.coreNames(), key=lambda name: town.up[name].agreement.position())
+        names = sorted(town.core_names(), key=lambda name: town.up[name].agreement.position())
         town.folders[names[2]].stallS = 0.9
         at_s = town.world.now
         self.assertEqual(town.change("PATCH", self.cap(13), name=names[0])[0], 200)
@@ -282,7 +284,7 @@
         """Change the configuration through a head while the tail's disk is slow; gives the newest version told meanwhile."""
         town.folders[tail].stallS = 0.9
         town.spawn(
-            lambda: fetchJson(
+            lambda: fetch_json(
                 town.addresses[head]["http"],
                 "PATCH",
                 f"/v1/config?base={town.version}",
@@ -294,30 +296,32 @@
         for _ in range(7):
             town.world.run(0.1)
             told.append(self.read(town, tail)[0])
-        return max(*told, *(town.up[name].licence.held.version for name in town.routerNames()))
+        return max(*told, *(town.up[name].licence.held.version for name in town.router_names()))
 
     def serves_again(self, town):
         """Whether all routers hold a licence once more within the time that they need for one."""
         return town.world.run(
-            until=lambda: all(town.up[name].licence.isHeld() for name in town.routerNames()),
-            limitS=10,
+            until=lambda: all(town.up[name].licence.is_held() for name in town.router_names()),
+            limit_s=10,
         )
 
-    def testACoreAloneTellsNoVersionThatThePowerMayTakeBack(self):
+    def test_a_core_alone_tells_no_version_that_the_power_may_take_back(self):
         town = self.started(1)
         told = self.tells_while_tail_syncs(town, "core1", "core1")
         town.world.kill("core1")
-        town.folders["core1"].losePower()
+        town.folders["core1"].lose_power()
         town.folders["core1"].stallS = 0.0
-        town.startCore("core1")
+        town.start_core("core1")
         town.world.run(5)
         self.assertTrue(self.serves_again(town))
         self.assertLessEqual(told, self.read(town)[0])
 
-    def testTheTailOfTwoTellsNoVersionThatItsPowerMayTakeBackWithTheOtherWiped(self):
+    def test_the_tail_of_two_tells_no_version_that_its_power_may_take_back_with_the_other_wiped(
+        self,
+    ):
         town = self.started(3)
         head, other, tail = sorted(
-            town.coreNames(), key=lambda name: town.up[name].agreement.position()
+            town.core_names(), key=lambda name: town.up[name].agreement.position()
         )
         self.lose(town, [other])
         self.settle(town, [head, tail])
@@ -326,95 +330,97 @@
         self.lose(town, [tail])
         town.folders[tail].stallS = 0.0
         for name in (head, other, tail):
-            town.startCore(name)
+            town.start_core(name)
         town.world.run(5)
         self.assertTrue(self.serves_again(town))
         self.assertLessEqual(told, self.read(town)[0])
 
-    def testACoreAloneAcknowledgesAfterTheSetTimeToo(self):
+    def test_a_core_alone_acknowledges_after_the_set_time_too(self):
         town = self.started(1, ackWaitMs=300)
         town.world.freeze("router2")
         self.assertLess(self.insist(town, 11), 0.6)
 
-    def testACoreKilledBeforeTheFirstViewStillFounds(self):
+    def test_a_core_killed_before_the_first_view_still_founds(self):
         town = self.town(3)
         for name in ("core1", "core2"):
-            town.startCore(name)
+            town.start_core(name)
         town.world.run(2)
         town.world.kill("core1")
         town.is_first_start = False
-        town.startCore("core1")
+        town.start_core("core1")
         town.world.run(1)
         town.is_first_start = True
-        town.startCore("core3")
+        town.start_core("core3")
         self.settle(town)
 
-    def testAFounderThatIsReplacedBeforeTheFirstViewHoldsNobodyUp(self):
+    def test_a_founder_that_is_replaced_before_the_first_view_holds_nobody_up(self):
         town = self.town(3)
         for name in ("core1", "core2"):
-            town.startCore(name)
+            town.start_core(name)
         town.world.run(2)
         town.is_first_start = False
-        town.startCore("core3")
+        town.start_core("core3")
         self.settle(town)
 
-    def testFreshCoresThatMayNotFoundNeverDo(self):
+    def test_fresh_cores_that_may_not_found_never_do(self):
         town = self.town(3)
         town.is_first_start = False
         for node in town.site.cores:
-            town.startCore(node["name"])
+            town.start_core(node["name"])
         town.world.run(20)
-        self.assertEqual({town.up[name].agreement.decided.number for name in town.coreNames()}, {0})
+        self.assertEqual(
+            {town.up[name].agreement.decided.number for name in town.core_names()}, {0}
+        )
 
-    def testAWipedCoreHelpsNoneThatMissedTheFirstViewToFoundAnother(self):
+    def test_a_wiped_core_helps_none_that_missed_the_first_view_to_found_another(self):
         town = self.town(3)
         for name in ("core1", "core2", "core3"):
-            town.startCore(name)
+            town.start_core(name)
         town.world.run(0.02)
-        agreements = [town.up[name].agreement for name in town.coreNames()]
-        town.world.run(until=lambda: any(each.decided.number for each in agreements), limitS=10)
-        knowing = next(name for name in town.coreNames() if town.up[name].agreement.decided.number)
+        agreements = [town.up[name].agreement for name in town.core_names()]
+        town.world.run(until=lambda: any(each.decided.number for each in agreements), limit_s=10)
+        knowing = next(name for name in town.core_names() if town.up[name].agreement.decided.number)
         unknowing = [
-            name for name in town.coreNames() if not town.up[name].agreement.decided.number
+            name for name in town.core_names() if not town.up[name].agreement.decided.number
         ]
         town.is_first_start = False
-        for name in town.coreNames():
+        for name in town.core_names():
             town.world.kill(name)
         if unknowing:
             for name in [knowing, *unknowing[1:]]:
                 town.folders[name].wipe()
-                town.startCore(name)
-            town.startCore(unknowing[0])
+                town.start_core(name)
+            town.start_core(unknowing[0])
             town.world.run(15)
             founded = {
-                tuple(ids(town.up[name].agreement.decided.members)) for name in town.coreNames()
+                tuple(ids(town.up[name].agreement.decided.members)) for name in town.core_names()
             }
             self.assertLessEqual(len(founded - {()}), 1)
 
-    def testASpareMemberTakesALostVotersPlace(self):
+    def test_a_spare_member_takes_a_lost_voters_place(self):
         town = self.town(4, lossesBorne=1).start()
         self.assertTrue(
             town.world.run(
                 until=lambda: all(
-                    len(town.up[name].agreement.decided.members) == 4 for name in town.coreNames()
+                    len(town.up[name].agreement.decided.members) == 4 for name in town.core_names()
                 ),
-                limitS=10,
+                limit_s=10,
             )
         )
         self.assertEqual(set(self.voters_known(town).values()), {3})
         voters = [ref.coreId for ref in town.up["core1"].agreement.decided.voters]
-        name = next(name for name in town.coreNames() if town.up[name].agreement.coreId in voters)
+        name = next(name for name in town.core_names() if town.up[name].agreement.coreId in voters)
         self.lose(town, [name])
         town.world.run(12)
-        self.assertTrue(all(town.up[name].agreement.isVoter() for name in town.coreNames()))
+        self.assertTrue(all(town.up[name].agreement.is_voter() for name in town.core_names()))
 
-    def testAFrozenCoreIsLeftOutAndComesBack(self):
+    def test_a_frozen_core_is_left_out_and_comes_back(self):
         for place in (0, 1, 2):
             town = self.started(3)
             name = next(
-                name for name in town.coreNames() if town.up[name].agreement.position() == place
+                name for name in town.core_names() if town.up[name].agreement.position() == place
             )
-            near = next(other for other in town.coreNames() if other != name)
+            near = next(other for other in town.core_names() if other != name)
             town.world.freeze(name)
             town.world.at(3.0, lambda: town.world.thaw(name))
             self.assertLess(self.insist(town, 5, near), 6.5 if place == 2 else 2.5)
--- a/tests/cases/doctor.py
+++ b/tests/cases/doctor.py
@@ -18,14 +18,16 @@
         client = OperatorClient(town.addresses[core]["http"])
         return {
             each["code"]
-            for each in town.world.do("operator", lambda: examine(client, seeds, folder), limitS=60)
+            for each in town.world.do(
+                "operator", lambda: examine(client, seeds, folder), limit_s=60
+            )
         }
 
-    def testASoundSiteHasNoFindings(self):
+    def test_a_sound_site_has_no_findings(self):
         town = self.town()
         self.assertEqual(self.codes(town, seeds=town.seeds), set())
 
-    def testASilentCoreAndAnUnreachedSeedAreFound(self):
+    def test_a_silent_core_and_an_unreached_seed_are_found(self):
         town = self.town()
         town.world.kill("core3")
         found = self.codes(town, seeds=town.seeds)
@@ -37,7 +39,7 @@
         town.world.run(8)
         self.assertLessEqual({707, 708}, self.codes(town, "core2"))
 
-    def testDisksAreFound(self):
+    def test_disks_are_found(self):
         town = self.town()
         town.folders["core2"].full = True
         town.change("PATCH", {"models": {"screener": {"cap": 3}}})
@@ -45,7 +47,7 @@
         self.assertLessEqual({703, 705}, self.codes(town))
         self.assertIn(704, self.codes(town, folder="/nonexistent"))
 
-    def testAnOldListASilentWorkerAndAWildClockAreFound(self):
+    def test_an_old_list_a_silent_worker_and_a_wild_clock_are_found(self):
         town = self.town()
         ip = town.addresses["router1"]["inner"].rpartition(":")[0]
         others = [
@@ -58,7 +60,7 @@
         town.world.run(4)
         self.assertLessEqual({709, 712, 715}, self.codes(town))
 
-    def testEveryFindingThatStatusesShowIsMade(self):
+    def test_every_finding_that_statuses_show_is_made(self):
         town = self.town()
         statuses = {name: town.ask("GET", "/v1/status", name=name)[1] for name in town.addresses}
         self.assertEqual(diagnose(statuses), [])
@@ -95,7 +97,7 @@
             for book in keeps["books"].values()
         )
 
-    def testOperatorsWatchAndExplainDecisions(self):
+    def test_operators_watch_and_explain_decisions(self):
         town, lines = self.town(), []
         town.change("PATCH", {"models": {"screener": {"cap": 1, "pauseMs": 1000}}})
         town.call("saga", "check", ["b", "x"])
--- a/tests/cases/input.py
+++ b/tests/cases/input.py
@@ -124,7 +124,7 @@
             + bytes(message)
         )
 
-    def testNoiseAtEveryDoorHarmsNothing(self):
+    def test_noise_at_every_door_harms_nothing(self):
         town, rng = Town(5, routers=2, workers=1).start(), random.Random(5)
         inner, outer = self.doors(town)
 
@@ -148,7 +148,7 @@
                 if rng.random() < 0.7:
                     link.close()
 
-        town.world.do("operator", throw, limitS=120)
+        town.world.do("operator", throw, limit_s=120)
         town.world.run(20)
         self.assertEqual(town.world.faults, [])
         failed = {
@@ -158,9 +158,9 @@
         self.assertEqual(set(failed.values()), {0}, failed)
         self.assertEqual(town.change("PATCH", {"models": {"screener": {"cap": 5}}})[0], 200)
         self.assertTrue(town.call("saga", "tag", ["a", "b"])["whole"])
-        self.assertTrue(all(not town.up[name].open for name in town.routerNames()))
+        self.assertTrue(all(not town.up[name].open for name in town.router_names()))
 
-    def testMalformedListsWorkersAndStoresAreFaultsNotTracebacks(self):
+    def test_malformed_lists_workers_and_stores_are_faults_not_tracebacks(self):
         town, rng = Town(6, routers=2, workers=2).start(), random.Random(6)
 
         def garbage(part):
@@ -198,6 +198,6 @@
         self.assertEqual(town.world.faults, [])
         failed = [
             town.up[name].http.count.get(f"faults.{HANDLER_FAILED.code}", 0)
-            for name in town.routerNames()
+            for name in town.router_names()
         ]
         self.assertEqual(set(failed), {0})
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -21,7 +21,7 @@
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
 from swiftdeck.traffic.keeper import Keeper
-from swiftdeck.traffic.ledger import Ledger, Move, nextMove
+from swiftdeck.traffic.ledger import Ledger, Move, next_move
 from swiftdeck.traffic.licence import ConfigLicence
 from swiftdeck.traffic.line import Line
 from swiftdeck.traffic.moves import Moves
@@ -31,7 +31,7 @@
 from tests.cases import admission, calls, config, weights
 
 
-async def _claimed(self, key, run, digest, untilS):
+async def _claimed(self, key, run, digest, until_s):
     return True
 
 
@@ -43,7 +43,7 @@
     )
 
 
-async def _gathersNothing(self, addr, term):
+async def _gathers_nothing(self, addr, term):
     return True
 
 
@@ -51,7 +51,7 @@
     return self.decided.number > 0
 
 
-def _takesFirstTenant(self):
+def _takes_first_tenant(self):
     tenant = next(iter(self.tenants))
     first = self.tenants[tenant].popleft()
     if not self.tenants[tenant]:
@@ -59,12 +59,12 @@
     return first
 
 
-async def _syncsNothing(self):
+async def _syncs_nothing(self):
     return None
 
 
-async def _copiesNothingFromBehind(self, addr, above=-1, copyFrom=Chain._copyFrom):
-    return OLD_VIEW if above >= 0 else await copyFrom(self, addr)
+async def _copies_nothing_from_behind(self, addr, above=-1, copy_from=Chain._copy_from):
+    return OLD_VIEW if above >= 0 else await copy_from(self, addr)
 
 
 class _Endless:
@@ -77,53 +77,53 @@
         pass
 
 
-def _forgetsGrants(**fields):
-    return GrantAsk(**fields | {"wasGranted": False})
+def _forgets_grants(**fields):
+    return GrantAsk(**fields | {"was_granted": False})
 
 
-async def _asIs(self, fault):
+async def _as_is(self, fault):
     return fault
 
 
-async def _polls(self, sinceS, waitS):
-    endS = self.loop.time() + waitS
-    while not self.host.isReady() and self.loop.time() < endS:
+async def _polls(self, since_s, wait_s):
+    end_s = self.loop.time() + wait_s
+    while not self.host.is_ready() and self.loop.time() < end_s:
         await asyncio.sleep(0.05)
-    return self.host.isReady()
+    return self.host.is_ready()
 
 
-def _namedByWeights(**fields):
+def _named_by_weights(**fields):
     return GrantAsk(**fields | {"talk": fields["chain"]})
 
 
-def _untilTheHorizon(ledger, nowMs):
-    move, fault = nextMove(ledger, nowMs)
+def _until_the_horizon(ledger, now_ms):
+    move, fault = next_move(ledger, now_ms)
     return (
         (Move.NOMINATE, None)
-        if move is Move.GIVE_UP and fault.notRun and nowMs < ledger.horizonMs
+        if move is Move.GIVE_UP and fault.notRun and now_ms < ledger.horizonMs
         else (move, fault)
     )
 
 
-def _waitsAnew(self, router, exchange, held, tenant, route, body, startS, init=Call.__init__):
+def _waits_anew(self, router, exchange, held, tenant, route, body, start_s, init=Call.__init__):
     init(self, router, exchange, held, tenant, route, body, router.loop.time())
 
 
-def _keepsItsKeys(self, got, install=ConfigLicence._install):
+def _keeps_its_keys(self, got, install=ConfigLicence._install):
     old = self.held
     done = install(self, got)
-    if old and old.tenantByKey:
-        self.held = attrs.evolve(self.held, tenantByKey=old.tenantByKey)
+    if old and old.tenant_by_key:
+        self.held = attrs.evolve(self.held, tenant_by_key=old.tenant_by_key)
     return done
 
 
-def _anyBase(self, change, examine=ChainState.examine):
+def _any_base(self, change, examine=ChainState.examine):
     return examine(
         self, change | ({"base": self.stored.version} if change["t"] == "config" else {})
     )
 
 
-def _oldGroup(tenant, isApart):
+def _old_group(tenant, is_apart):
     return "shared"
 
 
@@ -131,7 +131,7 @@
     return self.held is not None
 
 
-async def _noNeighbour(self, ask):
+async def _no_neighbour(self, ask):
     return NO_LICENCE
 
 
@@ -139,12 +139,12 @@
     return WAITED_OUT
 
 
-def _again(ledger, nowMs):
-    move, fault = nextMove(ledger, nowMs)
+def _again(ledger, now_ms):
+    move, fault = next_move(ledger, now_ms)
     last = ledger.legs[-1] if ledger.legs else None
     return (
         (Move.NOMINATE, None)
-        if move is Move.GIVE_UP and last and last.wasSent and len(ledger.legs) < 3
+        if move is Move.GIVE_UP and last and last.was_sent and len(ledger.legs) < 3
         else (move, fault)
     )
 
@@ -153,136 +153,136 @@
     (
         "claims in the chain",
         calls.CallsCase,
-        "testAOnceOnlyCallIsClaimedAcrossRouters",
+        "test_a_once_only_call_is_claimed_across_routers",
         [(Claims, "claim", _claimed)],
     ),
     (
         "once-only legs",
         calls.CallsCase,
-        "testAHangingWorkerIsGivenUpAtTheBoundWithoutAPromise",
-        [("swiftdeck.traffic.call", "nextMove", _again)],
+        "test_a_hanging_worker_is_given_up_at_the_bound_without_a_promise",
+        [("swiftdeck.traffic.call", "next_move", _again)],
     ),
     (
         "promise only when nothing was sent",
         calls.CallsCase,
-        "testAHangingWorkerIsGivenUpAtTheBoundWithoutAPromise",
+        "test_a_hanging_worker_is_given_up_at_the_bound_without_a_promise",
         [(Ledger, "verdict", _promises)],
     ),
     (
         "pieces checked by run and number",
         calls.CallsCase,
-        "testMalformedForeignAndRepeatedPiecesNeverReachACaller",
+        "test_malformed_foreign_and_repeated_pieces_never_reach_a_caller",
         [(Call, "_read", _believes)],
     ),
     (
         "group of a tenant kept apart",
         weights.WeightsCase,
-        "testATenantKeptApartSharesNothing",
-        [("swiftdeck.traffic.call", "groupOf", _oldGroup)],
+        "test_a_tenant_kept_apart_shares_nothing",
+        [("swiftdeck.traffic.call", "group_of", _old_group)],
     ),
     (
         "licence before a leg",
         config.ConfigCase,
-        "testARouterCutFromTheCoresHoldsItsLicenceThroughANeighbour",
-        [(ConfigLicence, "isHeld", _holds), (ConfigLicence, "_throughOthers", _noNeighbour)],
+        "test_a_router_cut_from_the_cores_holds_its_licence_through_a_neighbour",
+        [(ConfigLicence, "is_held", _holds), (ConfigLicence, "_through_others", _no_neighbour)],
     ),
     (
         "weights that a worker said",
         weights.WeightsCase,
-        "testAWorkerBackWithOldWeightsGetsNothingUntilItHasLoaded",
+        "test_a_worker_back_with_old_weights_gets_nothing_until_it_has_loaded",
         [("swiftdeck.traffic.index.PrefixIndex", "weights", lambda self, worker: "")],
     ),
     (
         "in force before an ack",
         config.ConfigCase,
-        "testAckMeansInForceAtEveryRouterThatStillServes",
-        [(Chain, "isInForce", lambda self, version: True)],
+        "test_ack_means_in_force_at_every_router_that_still_serves",
+        [(Chain, "is_in_force", lambda self, version: True)],
     ),
     (
         "view licence",
         config.ConfigCase,
-        "testAFrozenTailWakesHoldingNothing",
+        "test_a_frozen_tail_wakes_holding_nothing",
         [(Agreement, "mayServe", _serves)],
     ),
     (
         "base version compared",
         config.ConfigCase,
-        "testTwoOperatorsWritingAtOnceNeverBothWin",
-        [(ChainState, "examine", _anyBase)],
+        "test_two_operators_writing_at_once_never_both_win",
+        [(ChainState, "examine", _any_base)],
     ),
     (
         "sync before an ack",
         config.ConfigCase,
-        "testAllCoresLosePowerAndTheConfigurationIsReadBackWhole",
-        [(Journal, "sync", _syncsNothing)],
+        "test_all_cores_lose_power_and_the_configuration_is_read_back_whole",
+        [(Journal, "sync", _syncs_nothing)],
     ),
     (
         "only synced entries are passed on",
         config.ConfigCase,
-        "testWhatTheTailAnsweredWithOutlastsAHeadThatLosesPowerBeforeItsSlowDiskHasSynced",
+        "test_what_the_tail_answered_with_outlasts_a_head_that_loses_power_before_its_slow_disk_has_synced",
         [
-            (Chain, "lastToPass", lambda self: self.serial),
-            (Chain, "_copyFrom", _copiesNothingFromBehind),
+            (Chain, "last_to_pass", lambda self: self.serial),
+            (Chain, "_copy_from", _copies_nothing_from_behind),
         ],
     ),
     (
         "damage told from a torn record",
         config.ConfigCase,
-        "testADamagedLastRecordIsNotTakenForATornOne",
+        "test_a_damaged_last_record_is_not_taken_for_a_torn_one",
         [
-            (Journal, "_isTorn", staticmethod(lambda data, at: True)),
-            (Chain, "_copyFrom", _copiesNothingFromBehind),
+            (Journal, "_is_torn", staticmethod(lambda data, at: True)),
+            (Chain, "_copy_from", _copies_nothing_from_behind),
         ],
     ),
     (
         "the shorter log copies from the longer",
         config.ConfigCase,
-        "testAHeadThatLostTheEndOfItsFileCopiesFromTheLongerOne",
-        [(Chain, "_copyFrom", _copiesNothingFromBehind)],
+        "test_a_head_that_lost_the_end_of_its_file_copies_from_the_longer_one",
+        [(Chain, "_copy_from", _copies_nothing_from_behind)],
     ),
     (
         "key on each request",
         config.ConfigCase,
-        "testARevokedKeyIsRefusedOnAKeptAliveConnection",
-        [(ConfigLicence, "_install", _keepsItsKeys)],
+        "test_a_revoked_key_is_refused_on_a_kept_alive_connection",
+        [(ConfigLicence, "_install", _keeps_its_keys)],
     ),
     (
         "no call to a draining worker",
         admission.AdmissionCase,
-        "testConversationsOfADrainingWorkerMoveAndKeepTheirAdmission",
+        "test_conversations_of_a_draining_worker_move_and_keep_their_admission",
         [
-            (WorkerList, "mayTake", lambda self, name: name in self.workers),
-            (Keeper, "onWorkers", lambda self: None),
+            (WorkerList, "may_take", lambda self, name: name in self.workers),
+            (Keeper, "on_workers", lambda self: None),
         ],
     ),
     (
         "an old list stands for nobody",
         calls.CallsCase,
-        "testAMajorityBehindACutDoesNotObeyItsOldListWhileTheOthersAreShownADrain",
-        [(WorkerList, "isFresh", lambda self: bool(self.body))],
+        "test_a_majority_behind_a_cut_does_not_obey_its_old_list_while_the_others_are_shown_a_drain",
+        [(WorkerList, "is_fresh", lambda self: bool(self.body))],
     ),
     (
         "claims in their own time",
         calls.CallsCase,
-        "testACallerToldNotRunIsServedAtAnyRouterWithTheSameKey",
-        [(Call, "_promised", _asIs)],
+        "test_a_caller_told_not_run_is_served_at_any_router_with_the_same_key",
+        [(Call, "_promised", _as_is)],
     ),
     (
         "who waited longest before a new keeper",
         admission.AdmissionCase,
-        "testTheLineOfALostKeeperStandsAnewInTheOrderOfWaiting",
+        "test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting",
         [(Takeover, "gathered", _polls)],
     ),
     (
         "age of a grant",
         admission.AdmissionCase,
-        "testAGrantThatOutlivedAFreezeIsNotActedOn",
-        [("swiftdeck.traffic.router.Router", "isGrantValid", lambda self, name: True)],
+        "test_a_grant_that_outlived_a_freeze_is_not_acted_on",
+        [("swiftdeck.traffic.router.Router", "is_grant_valid", lambda self, name: True)],
     ),
     (
         "a lapsed grant is not revived by a hold",
         admission.AdmissionCase,
-        "testAGrantThatOutlivedAFreezeIsNotActedOn",
+        "test_a_grant_that_outlived_a_freeze_is_not_acted_on",
         [
             (
                 "swiftdeck.traffic.keeper.HoldReturn",
@@ -294,39 +294,39 @@
     (
         "late requests at a worker",
         calls.CallsCase,
-        "testWhatAProcessFrozenBetweenItsLookAndItsWriteSendsLaterIsNoRun",
+        "test_what_a_process_frozen_between_its_look_and_its_write_sends_later_is_no_run",
         [("swiftdeck.bench.worker", "LATE_MS", 60000)],
     ),
     (
         "later calls pass the line",
         admission.AdmissionCase,
-        "testALaterCallOfAnAdmittedConversationNeverWaitsBehindTheLine",
+        "test_a_later_call_of_an_admitted_conversation_never_waits_behind_the_line",
         [(Books, "continued", lambda self, ask: None)],
     ),
     (
         "conversations known without their weights",
         weights.WeightsCase,
-        "testAnOpenConversationKeepsItsAdmissionUnderNewWeights",
-        [("swiftdeck.traffic.call", "GrantAsk", _namedByWeights)],
+        "test_an_open_conversation_keeps_its_admission_under_new_weights",
+        [("swiftdeck.traffic.call", "GrantAsk", _named_by_weights)],
     ),
     (
         "conversations of a draining worker move",
         admission.AdmissionCase,
-        "testConversationsOfADrainingWorkerMoveAndKeepTheirAdmission",
+        "test_conversations_of_a_draining_worker_move_and_keep_their_admission",
         [(Moves, "settle", lambda self, conversation, ask: None)],
     ),
     (
         "the view is mended",
         config.ConfigCase,
-        "testEachMemberMayBeKilledInTurn",
-        [(Mender, "_mend", _syncsNothing)],
+        "test_each_member_may_be_killed_in_turn",
+        [(Mender, "_mend", _syncs_nothing)],
     ),
     (
         "routers renew often and are nudged",
         config.ConfigCase,
-        "testChangesAreInForceWithinTwoSecondsWhileNothingFails",
+        "test_changes_are_in_force_within_two_seconds_while_nothing_fails",
         [
-            (ConfigLicence, "onNudge", lambda self, nudge, sender: None),
+            (ConfigLicence, "on_nudge", lambda self, nudge, sender: None),
             (
                 "swiftdeck.traffic.licence.ConfigLicence",
                 "renewMs",
@@ -337,23 +337,23 @@
     (
         "given up at once",
         admission.AdmissionCase,
-        "testAFullLineAndALongWaitEndAtOnceWithATimeToComeBack",
-        [("swiftdeck.traffic.call", "nextMove", _untilTheHorizon)],
+        "test_a_full_line_and_a_long_wait_end_at_once_with_a_time_to_come_back",
+        [("swiftdeck.traffic.call", "next_move", _until_the_horizon)],
     ),
     (
         "a worker's refusal is no run",
         weights.WeightsCase,
-        "testASwitchUnderLoadEndsTheOldWeights",
+        "test_a_switch_under_load_ends_the_old_weights",
         [("swiftdeck.traffic.call", "OTHER_WEIGHTS", NO_LICENCE)],
     ),
     (
         "what was served stays open",
         calls.CallsCase,
-        "testAConversationWhoseGrantIsHandedBackAfterAChangeOfKeeperStaysOpen",
+        "test_a_conversation_whose_grant_is_handed_back_after_a_change_of_keeper_stays_open",
         [
             (
                 "swiftdeck.traffic.book.Conversation",
-                "isServed",
+                "is_served",
                 property(lambda self: False, lambda self, value: None),
             )
         ],
@@ -361,76 +361,76 @@
     (
         "one wait for a whole call",
         calls.CallsCase,
-        "testACallWaitsOnceForLicenceAndGrantTogether",
-        [("swiftdeck.traffic.router.Call", "__init__", _waitsAnew)],
+        "test_a_call_waits_once_for_licence_and_grant_together",
+        [("swiftdeck.traffic.router.Call", "__init__", _waits_anew)],
     ),
     (
         "cap",
         admission.AdmissionCase,
-        "testStartsFromManyRoutersAtOnceNeverPassTheCap",
-        [(Book, "hasRoom", lambda self: True)],
+        "test_starts_from_many_routers_at_once_never_pass_the_cap",
+        [(Book, "has_room", lambda self: True)],
     ),
     (
         "open conversations gathered",
         admission.AdmissionCase,
-        "testANewKeeperCountsOpenConversationsBeforeItGrantsAStart",
-        [(Takeover, "gather", _gathersNothing)],
+        "test_a_new_keeper_counts_open_conversations_before_it_grants_a_start",
+        [(Takeover, "gather", _gathers_nothing)],
     ),
     (
         "tenants in turn",
         admission.AdmissionCase,
-        "testTheLineServesTenantsInTurn",
+        "test_the_line_serves_tenants_in_turn",
         [
-            (Line, "take", _takesFirstTenant),
+            (Line, "take", _takes_first_tenant),
             (Line, "first", lambda self: next((line[0] for line in self.tenants.values()), None)),
         ],
     ),
     (
         "silent routers' slots",
         admission.AdmissionCase,
-        "testSlotsOfADeadRouterComeBackOnceItsLicenceHasRunOut",
+        "test_slots_of_a_dead_router_come_back_once_its_licence_has_run_out",
         [(Books, "seen", lambda self, addr: None)],
     ),
     (
         "budget",
         calls.CallsCase,
-        "testTheBudgetBoundsExtraTriesInAnOutage",
-        [(Budget, "draw", lambda self, nowS, extra: True)],
+        "test_the_budget_bounds_extra_tries_in_an_outage",
+        [(Budget, "draw", lambda self, now_s, extra: True)],
     ),
     (
         "a call counts once",
         calls.CallsCase,
-        "testACallCountsOnceHoweverOftenItsFirstLegIsGranted",
-        [("swiftdeck.traffic.call", "GrantAsk", _forgetsGrants)],
+        "test_a_call_counts_once_however_often_its_first_leg_is_granted",
+        [("swiftdeck.traffic.call", "GrantAsk", _forgets_grants)],
     ),
     (
         "one allowance for all models",
         calls.CallsCase,
-        "testExtraTriesOfAllModelsTogetherStayWithinOneAllowance",
+        "test_extra_tries_of_all_models_together_stay_within_one_allowance",
         [(Keeper, "_allowance", lambda self: self.settings.budgetExtra)],
     ),
     (
         "text of the last run alone",
         calls.CallsCase,
-        "testAReturnInOnePieceHoldsOnlyTheLastRun",
+        "test_a_return_in_one_piece_holds_only_the_last_run",
         [("swiftdeck.traffic.call.Call", "pieces", _Endless())],
     ),
     (
         "half-closed callers",
         calls.CallsCase,
-        "testACallerThatHalfClosesItsConnectionGetsItsReturn",
+        "test_a_caller_that_half_closes_its_connection_gets_its_return",
         [(HttpConversation, "eof_received", lambda self: False)],
     ),
     (
         "slow callers",
         calls.CallsCase,
-        "testASlowCallerIsBoundedAndCutOff",
-        [(HttpConversation, "writable", _syncsNothing)],
+        "test_a_slow_caller_is_bounded_and_cut_off",
+        [(HttpConversation, "writable", _syncs_nothing)],
     ),
 ]
 
 
-def runWithout(changes, case, name) -> bool:
+def run_without(changes, case, name) -> bool:
     """Whether a case passes with these parts replaced."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, other in changes:
@@ -446,7 +446,7 @@
 
 
 class MutationsTest(unittest.TestCase):
-    def testEachMechanismIsMissedByItsCase(self):
+    def test_each_mechanism_is_missed_by_its_case(self):
         for what, case, name, changes in MUTATIONS:
             with self.subTest(what):
-                self.assertFalse(runWithout(changes, case, name), f"{name} passes without: {what}")
+                self.assertFalse(run_without(changes, case, name), f"{name} passes without: {what}")
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -9,10 +9,10 @@
 class WeightsCase(unittest.TestCase):
     """Prefixes made under other weights, or by tenants kept apart, are never read."""
 
-    def testASwitchUnderLoadEndsTheOldWeights(self):
+    def test_a_switch_under_load_ends_the_old_weights(self):
         town = Town(1, routers=3, workers=3).start(cap=4)
         box = [
-            town.spawn(lambda tenant=tenant: town.caller.agents(tenant, restS=0.1))
+            town.spawn(lambda tenant=tenant: town.caller.agents(tenant, rest_s=0.1))
             for tenant in town.site.keys
         ]
         town.world.run(6)
@@ -29,7 +29,7 @@
         self.assertEqual(check(town.records, {town.site.apart}), {})
         self.assertEqual(town.world.faults, [])
 
-    def testAnOpenConversationKeepsItsAdmissionUnderNewWeights(self):
+    def test_an_open_conversation_keeps_its_admission_under_new_weights(self):
         town = Town(1, routers=3, workers=1).start(cap=1, idleMs=60000, pauseMs=60000)
         got = town.call("saga", "check", ["b", "mine"])
         waiting = town.spawn(lambda: town.caller.call("oita", "check", ["b", "other"]))
@@ -46,10 +46,10 @@
         )
         self.assertEqual(check(town.records, {town.site.apart}), {})
 
-    def testARouterCutOffAtTheMomentOfTheSwitchStartsNothingOld(self):
+    def test_a_router_cut_off_at_the_moment_of_the_switch_starts_nothing_old(self):
         town = Town(2, routers=3, workers=2).start(cap=4)
         keeper = town.keeper()
-        alone = next(name for name in town.routerNames() if name != keeper)
+        alone = next(name for name in town.router_names() if name != keeper)
         ip = town.addresses[alone]["inner"].rpartition(":")[0]
         rest = [
             node["inner"].rpartition(":")[0]
@@ -67,7 +67,7 @@
         ]
         self.assertEqual(town.change("PATCH", {"models": {"screener": {"weights": "w2"}}})[0], 200)
         ackMs = town.world.now * 1000
-        town.world.run(until=lambda: all(late), limitS=30)
+        town.world.run(until=lambda: all(late), limit_s=30)
         self.assertTrue(all(each[0]["notRun"] for each in late))
         town.world.net.heal()
         town.world.run(5)
@@ -83,7 +83,7 @@
         )
         self.assertEqual(check(town.records, {town.site.apart}), {})
 
-    def testATenantKeptApartSharesNothing(self):
+    def test_a_tenant_kept_apart_shares_nothing(self):
         town = Town(3, routers=2, workers=1).start(cap=8)
         apart, others = (
             town.site.apart,
@@ -108,13 +108,13 @@
             check([item for item in town.records if item["kind"] != "change"], set()), {}
         )
 
-    def testAWorkerBackWithOldWeightsGetsNothingUntilItHasLoaded(self):
+    def test_a_worker_back_with_old_weights_gets_nothing_until_it_has_loaded(self):
         town = Town(4, routers=2, workers=2).start(cap=4)
         self.assertEqual(town.change("PATCH", {"models": {"screener": {"weights": "w2"}}})[0], 200)
         town.world.run(5)
         town.world.kill("worker1")
         town.world.run(1)
-        town.startWorker("worker1", weights="w1", loadS=4.0)
+        town.start_worker("worker1", weights="w1", load_s=4.0)
         got = []
         for number in range(20):
             got.append(town.call("saga", "check", ["b", str(number)], isLast=True))
--- a/tests/chain/test_agreement.py
+++ b/tests/chain/test_agreement.py
@@ -9,7 +9,7 @@
 
 
 class AgreementTest(unittest.TestCase):
-    def testPromisesOutlastARestart(self):
+    def test_promises_outlast_a_restart(self):
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
@@ -23,16 +23,16 @@
 
             return main
 
-        world.start("a", "10.0.0.1", process(lambda a: a.onPrepare(Prepare(slot=1, ballot=9), "")))
+        world.start("a", "10.0.0.1", process(lambda a: a.on_prepare(Prepare(slot=1, ballot=9), "")))
         world.run(1)
         world.kill("a")
-        folder.losePower()
-        world.start("a", "10.0.0.1", process(lambda a: a.onPrepare(Prepare(slot=1, ballot=8), "")))
+        folder.lose_power()
+        world.start("a", "10.0.0.1", process(lambda a: a.on_prepare(Prepare(slot=1, ballot=8), "")))
         world.run(1)
         self.assertEqual(box[0][0], box[1][0])
         self.assertEqual([each[1].granted for each in box], [True, False])
 
-    def testAViewThatAddsDoesNotForgetTheWaitOfOneThatDropped(self):
+    def test_a_view_that_adds_does_not_forget_the_wait_of_one_that_dropped(self):
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
@@ -45,7 +45,7 @@
 
             async def learn(number, members):
                 await agreement.learn(View(number=number, members=members, voters=refs))
-                agreement.licenceUntilS = agreement.loop.time() + 10
+                agreement.licence_until_s = agreement.loop.time() + 10
                 served.append(agreement.mayServe())
 
             await asyncio.sleep(5)
--- a/tests/chain/test_editions.py
+++ b/tests/chain/test_editions.py
@@ -6,7 +6,7 @@
 
 from swiftdeck.chain.state import ChainState
 from swiftdeck.config.configuration import Configuration
-from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, isFault
+from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, is_fault
 
 PATH = {"host": "h", "prefix": "/", "services": [{"service": "s", "share": 1}], "timeoutMs": 5}
 
@@ -44,7 +44,7 @@
 
     def take(self, change):
         entry = self.state.examine({"t": "config"} | change)
-        if entry is not None and not isFault(entry):
+        if entry is not None and not is_fault(entry):
             entry = msgspec.msgpack.decode(msgspec.msgpack.encode(entry))
             self.entries.append(entry)
             self.state.apply(entry)
@@ -131,9 +131,9 @@
         for delta in self.state.since(0, router.digest()):
             router = router.apply(msgspec.msgpack.decode(delta))
         copied = ChainState()
-        copied.fromBytes(self.state.toBytes())
-        self.assertTrue(follower.isTrue)
-        self.assertEqual((follower.toBytes(), copied.toBytes()), (self.state.toBytes(),) * 2)
+        copied.from_bytes(self.state.to_bytes())
+        self.assertTrue(follower.is_true)
+        self.assertEqual((follower.to_bytes(), copied.to_bytes()), (self.state.to_bytes(),) * 2)
         self.assertEqual(
             (router.digest(), router.raws, router.document),
             (self.state.config.digest(), self.state.config.raws, self.state.config.document),
@@ -194,7 +194,7 @@
             )
         self.assertTrue(
             all(
-                isFault(self.change("x", "replace", document, 9, 4))
+                is_fault(self.change("x", "replace", document, 9, 4))
                 for document in ({"paths": None}, {"paths": {"a": None}}, {"services": {}})
             )
         )
--- a/tests/chain/test_founding.py
+++ b/tests/chain/test_founding.py
@@ -25,19 +25,19 @@
         world.run(30)
         return box[0]
 
-    def testAWipedCorePromisesAndAcceptsNothingForTheFirstView(self):
+    def test_a_wiped_core_promises_and_accepts_nothing_for_the_first_view(self):
         view = View(number=1, members=[CoreRef(coreId="a", addr="10.0.0.1:1")])
 
         async def act(agreement):
             return [
-                await agreement.onPrepare(Prepare(slot=1, ballot=9), ""),
-                await agreement.onAccept(Accept(slot=1, ballot=9, view=view), ""),
+                await agreement.on_prepare(Prepare(slot=1, ballot=9), ""),
+                await agreement.on_accept(Accept(slot=1, ballot=9, view=view), ""),
             ]
 
         self.assertFalse(any(self.ask(SimFolder(), act, may_found=False)))
         self.assertTrue(all(self.ask(SimFolder(), act, may_found=True)))
 
-    def testTheRecordOfTheIdentityKeepsWhoMayFound(self):
+    def test_the_record_of_the_identity_keeps_who_may_found(self):
         async def kept(agreement):
             return agreement.may_found, agreement.founders
 
@@ -47,7 +47,7 @@
             got = self.ask(folder, kept, may_found=not may_found, founders=["10.0.0.9:1"])
             self.assertEqual(got, (may_found, ["10.0.0.1:1"]))
 
-    def testAVoterTellsHowLongItsLicencesToADroppedMemberLast(self):
+    def test_a_voter_tells_how_long_its_licences_to_a_dropped_member_last(self):
         refs = [CoreRef(coreId=name, addr=f"10.0.0.{at + 2}:1") for at, name in enumerate("bc")]
 
         async def act(agreement):
@@ -55,16 +55,16 @@
             await asyncio.sleep(5)
             await agreement.learn(View(number=1, members=[me, *refs], voters=[me, *refs]))
             never = (
-                await agreement.onAccept(
+                await agreement.on_accept(
                     Accept(slot=2, ballot=1, view=View(number=2, members=[me, refs[0]])), ""
                 )
             ).left_ms
             agreement.slot.accepted = None
-            agreement.onLicenceAsk(ViewLicenceAsk(number=1, coreId="c"), "")
+            agreement.on_licence_ask(ViewLicenceAsk(number=1, coreId="c"), "")
             await asyncio.sleep(1)
             got = [
                 (
-                    await agreement.onAccept(
+                    await agreement.on_accept(
                         Accept(slot=2, ballot=ballot, view=View(number=2, members=members)), ""
                     )
                 ).left_ms
@@ -76,7 +76,7 @@
         self.assertEqual((never, other), (0, 0))
         self.assertAlmostEqual(given, 1100, delta=2)
 
-    def testAViewThatDropsSoonAfterAnotherWaitsOutTheLicencesOfBoth(self):
+    def test_a_view_that_drops_soon_after_another_waits_out_the_licences_of_both(self):
         refs = [CoreRef(coreId=name, addr=f"{name}:1") for name in "abcd"]
 
         async def act(agreement):
@@ -89,7 +89,7 @@
                 (4, refs[2:], 0),
             ):
                 await agreement.learn(View(number=number, members=members, voters=refs), 100)
-                waits.append(round(agreement.waitUntilS - agreement.loop.time(), 2))
+                waits.append(round(agreement.wait_until_s - agreement.loop.time(), 2))
                 await asyncio.sleep(pause_s)
             return waits
 
--- a/tests/chain/test_nudges.py
+++ b/tests/chain/test_nudges.py
@@ -10,7 +10,7 @@
     def test_each_router_is_told_of_a_version_once(self):
         town = Town(4, routers=6).start()
         told = []
-        for name in town.coreNames():
+        for name in town.core_names():
             mesh, tell = town.up[name].mesh, town.up[name].mesh.tell
             mesh.tell = lambda addr, message, tell=tell: (
                 told.append((addr, message.version)) if isinstance(message, Nudge) else None,
@@ -23,5 +23,5 @@
         self.assertEqual(len(told), len(set(told)))
         self.assertEqual(len(told), 18)
         self.assertEqual(
-            {town.up[name].licence.held.version for name in town.routerNames()}, {town.version}
+            {town.up[name].licence.held.version for name in town.router_names()}, {town.version}
         )
--- a/tests/chain/test_state.py
+++ b/tests/chain/test_state.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from swiftdeck.chain.state import CLAIM, FINISH, FULL, HELD, OVER, RELEASE, WITHDRAWN, ChainState
-from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, isFault
+from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, is_fault
 
 
 class ChainStateTest(unittest.TestCase):
-    def testAClaimIsRememberedForAWholeDay(self):
+    def test_a_claim_is_remembered_for_a_whole_day(self):
         state, day = ChainState(), 24 * 3600 * 1000
 
         def batch(name, elapsedMs, *ops):
@@ -34,11 +34,11 @@
 
     def change(self, state, **fields):
         entry = state.examine({"t": "config", "op": "put", "author": "x"} | fields)
-        if entry and not isFault(entry):
+        if entry and not is_fault(entry):
             state.apply(entry)
         return entry
 
-    def testChangesBuildOnVersionsAndIdsCountOnce(self):
+    def test_changes_build_on_versions_and_ids_count_once(self):
         state = ChainState()
         whole = {"models": {"m": {"weights": "w1"}}}
         self.assertEqual(self.change(state, id="a", base=0, document=whole)["version"], 1)
@@ -57,10 +57,10 @@
             state, id="d", base=1, op="patch", document={"models": {"m": {"weights": "w2"}}}
         )
         copy = ChainState()
-        copy.fromBytes(state.toBytes())
+        copy.from_bytes(state.to_bytes())
         self.assertEqual((copy.stored.version, copy.config.document.models["m"].weights), (2, "w2"))
         self.assertEqual(
-            (copy.config.digest(), copy.toBytes()), (state.config.digest(), state.toBytes())
+            (copy.config.digest(), copy.to_bytes()), (state.config.digest(), state.to_bytes())
         )
         first = state.since(1, ChainState().config.digest())
         self.assertIsNone(first)
@@ -80,7 +80,7 @@
             old.config.apply(msgspec.msgpack.decode(last[0])).digest(), state.config.digest()
         )
 
-    def testAClaimIsHeldByOneRunUntilItsTimeIsCountedOut(self):
+    def test_a_claim_is_held_by_one_run_until_its_time_is_counted_out(self):
         state = ChainState(keepMs=100, claimsMost=2)
 
         def batch(name, elapsedMs, *ops):
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -6,7 +6,7 @@
 
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.config.document import merge
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 
 
 class ConfigurationTest(unittest.TestCase):
@@ -15,7 +15,7 @@
         "routes": {"r": {"model": "m"}, "s": {"model": "m", "single": True}},
     }
 
-    def testAChangeGivesWhatReadingTheWholeGives(self):
+    def test_a_change_gives_what_reading_the_whole_gives(self):
         held = Configuration.read(msgspec.json.encode(self.WHOLE))
         for patch in (
             {"models": {"m": {"cap": 3}}},
@@ -35,7 +35,7 @@
             )
             self.assertEqual(held.bytes(), msgspec.json.encode(whole))
 
-    def testPuttingAWholeDocumentChangesOnlyWhatDiffers(self):
+    def test_putting_a_whole_document_changes_only_what_differs(self):
         held = Configuration.read(msgspec.json.encode(self.WHOLE))
         fresh = self.WHOLE | {"routes": {"r": {"model": "m"}, "u": {"model": "m"}}}
         delta = held.put(fresh)
@@ -45,7 +45,7 @@
         )
         self.assertNotEqual(held.digest(), held.apply(delta).digest())
 
-    def testFaultsNameThePath(self):
+    def test_faults_name_the_path(self):
         held = Configuration.read(msgspec.json.encode(self.WHOLE))
         for patch, path in [
             ({"routes": {"r": {"model": "x"}}}, "$.routes.r.model"),
@@ -58,11 +58,11 @@
             ({"routes": {"r": 3}}, "$.routes.r"),
         ]:
             fault = held.patch(patch)
-            self.assertTrue(isFault(fault), patch)
+            self.assertTrue(is_fault(fault), patch)
             self.assertTrue(fault.reason.startswith(path), fault.reason)
         self.assertTrue(
             all(
-                isFault(held.put(wrong))
+                is_fault(held.put(wrong))
                 for wrong in ([], {"routes": None}, {"routes": {"r": None}})
             )
         )
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -3,11 +3,11 @@
 import unittest
 
 from swiftdeck.config.document import merge
-from swiftdeck.fault import INVALID, isFault
+from swiftdeck.fault import INVALID, is_fault
 
 
 class DocumentTest(unittest.TestCase):
-    def testMergePatchAsTheRfcSays(self):
+    def test_merge_patch_as_the_rfc_says(self):
         for target, patch, result in [
             ({"a": "b"}, {"a": None}, {}),
             ({"a": [1]}, {"a": {"b": None}}, {"a": {}}),
@@ -18,7 +18,7 @@
             self.assertEqual(merge(target, patch), result)
         self.assertEqual(list(merge({"a": 1, "b": 2}, {"a": 3, "c": 4})), ["a", "b", "c"])
 
-    def testFaultsNameThePath(self):
+    def test_faults_name_the_path(self):
         from swiftdeck.config.configuration import Configuration
 
         model = '"models":{"m":{"weights":"w"}}'
@@ -34,7 +34,7 @@
             ("{", ""),
         ]:
             fault = Configuration.read(text.encode())
-            self.assertTrue(isFault(fault))
+            self.assertTrue(is_fault(fault))
             self.assertEqual(
                 (fault.code, fault.reason.startswith(path)), (INVALID.code, True), fault.reason
             )
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -5,14 +5,14 @@
 
 import msgspec
 
-from swiftdeck.config.settings import Settings, readSettings
-from swiftdeck.fault import isFault
+from swiftdeck.config.settings import Settings, read_settings
+from swiftdeck.fault import is_fault
 
 
 class SettingsTest(unittest.TestCase):
-    def testEachFaultIsNamed(self):
+    def test_each_fault_is_named(self):
         good = {"name": "r1", "inner": "127.0.0.1:7000", "http": "127.0.0.1:8000"}
-        self.assertEqual(readSettings(flags=good).configLicenceMs, 4000)
+        self.assertEqual(read_settings(flags=good).configLicenceMs, 4000)
         for wrong, word in [
             ({"inner": "localhost:1"}, "inner"),
             ({"seeds": ["127.0.0.1"]}, "seeds[0]"),
@@ -21,11 +21,11 @@
             ({"http": "127.0.0.1:7000"}, "http"),
             ({"configLicenceMs": 1000}, "configLicenceMs"),
         ]:
-            fault = readSettings(flags=good | wrong)
-            self.assertTrue(isFault(fault))
+            fault = read_settings(flags=good | wrong)
+            self.assertTrue(is_fault(fault))
             self.assertIn(word, fault.reason)
 
-    def testEachSettingAndItsDefaultStandInTheDocs(self):
+    def test_each_setting_and_its_default_stand_in_the_docs(self):
         path = Path(__file__).resolve().parent.parent.parent / "docs" / "operations.md"
         if not path.exists():
             self.skipTest("the docs are not installed with the package")
--- a/tests/control/test_archive.py
+++ b/tests/control/test_archive.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from swiftdeck.control.archive import Archive
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 
 
 class ArchiveTest(unittest.TestCase):
-    def testVersionsAreCommitsAndADamagedStoreHarmsNobody(self):
+    def test_versions_are_commits_and_a_damaged_store_harms_nobody(self):
         from swiftdeck.board.board import Board
         from swiftdeck.chain.state import ChainState
         from swiftdeck.config.configuration import Configuration
@@ -38,7 +38,7 @@
                 [(2, "c2", "ana  x"), (1, "c1", "ana  x")],
             )
             self.assertEqual(msgspec.json.decode(archive.document(1)), {"models": {}})
-            self.assertTrue(isFault(archive.document(9)))
+            self.assertTrue(is_fault(archive.document(9)))
             for each in Path(path, "history").rglob("*"):
                 if each.is_file():
                     each.write_bytes(b"damage")
--- a/tests/disk/test_folder.py
+++ b/tests/disk/test_folder.py
@@ -8,7 +8,7 @@
 
 
 class DataFolderTest(unittest.TestCase):
-    def testReplaceThenAppendGoesToTheNewFile(self):
+    def test_replace_then_append_goes_to_the_new_file(self):
         with tempfile.TemporaryDirectory() as path:
             folder = DataFolder(path)
 
--- a/tests/disk/test_journal.py
+++ b/tests/disk/test_journal.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from swiftdeck.disk.journal import HEADER, OLD_MARK, SECTOR, Journal
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.sim.folder import SimFolder
 
 
@@ -16,7 +16,7 @@
         Journal(folder, "j").append({"n": 1}, {"n": 2, "x": b"\xd5" * 40}, {"n": 3})
         return folder
 
-    def testTornLastRecordIsCutOff(self):
+    def test_torn_last_record_is_cut_off(self):
         folder = self.build()
         del folder.written["j"][-1:]
         journal = Journal(folder, "j")
@@ -24,28 +24,28 @@
         journal.append({"n": 4})
         self.assertEqual([record["n"] for record in Journal(folder, "j").load()], [1, 2, 4])
 
-    def testASweepSeesDamage(self):
+    def test_a_sweep_sees_damage(self):
         folder = self.build()
         journal = Journal(folder, "j")
         journal.load()
-        self.assertTrue(journal.isSound())
+        self.assertTrue(journal.is_sound())
         folder.written["j"][HEADER.size + 1] ^= 1
-        self.assertFalse(journal.isSound())
+        self.assertFalse(journal.is_sound())
 
-    def testDamageAnywhereIsRefused(self):
+    def test_damage_anywhere_is_refused(self):
         for at in range(len(self.build().written["j"])):
             folder = self.build()
             folder.written["j"][at] ^= 1
-            self.assertTrue(isFault(Journal(folder, "j").load()), at)
+            self.assertTrue(is_fault(Journal(folder, "j").load()), at)
 
-    def testARecordCutAnywhereIsTorn(self):
+    def test_a_record_cut_anywhere_is_torn(self):
         size = len(self.build().written["j"])
         for cut in range(1, len(Journal.frame({"n": 3}))):
             folder = self.build()
             del folder.written["j"][size - cut :]
             self.assertEqual([record["n"] for record in Journal(folder, "j").load()], [1, 2])
 
-    def testSectorsThatWereNeverWrittenAreTorn(self):
+    def test_sectors_that_were_never_written_are_torn(self):
         folder = self.build()
         size = len(folder.written["j"])
         Journal(folder, "j").append({"n": 4, "x": bytes(range(1, 256)) * 8})
@@ -56,7 +56,7 @@
             self.assertEqual([record["n"] for record in Journal(cut, "j").load()], [1, 2, 3], start)
             self.assertEqual(len(cut.written["j"]), size)
 
-    def testRecordsOfTheEarlierFormStillRead(self):
+    def test_records_of_the_earlier_form_still_read(self):
         folder, body = SimFolder(), msgspec.msgpack.encode({"n": 0})
         folder.append("j", HEADER.pack(len(body), zlib.crc32(body), OLD_MARK) + body)
         Journal(folder, "j").append({"n": 1})
--- a/tests/duty/test_ballots.py
+++ b/tests/duty/test_ballots.py
@@ -8,7 +8,7 @@
 
 
 class BallotsTest(unittest.TestCase):
-    def testOneHolderAtATimeAndSilenceAfterAStart(self):
+    def test_one_holder_at_a_time_and_silence_after_a_start(self):
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
@@ -18,7 +18,7 @@
             decided, watchers = View(number=1), []
             slot = type("Slot", (), {"accepted": None})
 
-            def isVoter(self):
+            def is_voter(self):
                 return True
 
         async def main():
@@ -26,7 +26,7 @@
             ballots.start()
 
             def ask(holder, term, view=1):
-                vote = ballots.onNominate(
+                vote = ballots.on_nominate(
                     Nominate(duty="keeper/m", holder=holder, term=term, view=view), ""
                 )
                 got.append(getattr(vote, "granted", None))
--- a/tests/gateway/case.py
+++ b/tests/gateway/case.py
@@ -14,14 +14,14 @@
         town.world.run(1)
         return town
 
-    def assertKept(self, town, share=1.0):
+    def assert_kept(self, town, share=1.0):
         """No rule is broken, no process failed, and at least such a share of the requests was served."""
         self.assertEqual(town.breaches(), {})
         self.assertEqual(town.world.faults, [])
         served, count = town.served()
         self.assertGreaterEqual(served, share * count)
 
-    def assertFallsWithout(self, patch, case, *rules):
+    def assert_falls_without(self, patch, case, *rules):
         """With a mechanism taken out, a run of a town is caught: by these rules, or else by what the case asserts."""
         with patch:
             town = case()
--- a/tests/gateway/cases/calm.py
+++ b/tests/gateway/cases/calm.py
@@ -21,7 +21,7 @@
     def test_a_calm_day_serves_all(self):
         town = self.town(1)
         town.world.run(8)
-        self.assertKept(town)
+        self.assert_kept(town)
         self.assertEqual(
             (town.count("reportsFailed"), town.count("connectionsCapped"), town.up["list"].over),
             (0, 0, 0),
@@ -35,7 +35,7 @@
             item["atMs"] - sent[item["id"]] for item in town.records if item["kind"] == "result"
         )
         self.assertLess(took[len(took) * 95 // 100], 700)
-        self.assertKept(town)
+        self.assert_kept(town)
 
     def test_no_memory_crosses_the_wall_of_a_tenant_or_new_weights(self):
         def day():
@@ -45,9 +45,9 @@
             town.world.run(4)
             return town
 
-        self.assertKept(day())
-        self.assertFallsWithout(salt_by(True, False), day, "WALL")
-        self.assertFallsWithout(salt_by(False, True), day, "STALE")
+        self.assert_kept(day())
+        self.assert_falls_without(salt_by(True, False), day, "WALL")
+        self.assert_falls_without(salt_by(False, True), day, "STALE")
 
     def test_requests_that_no_route_or_key_allows_never_reach_a_worker(self):
         town = PlatformTown(4).start()
--- a/tests/gateway/cases/operator.py
+++ b/tests/gateway/cases/operator.py
@@ -27,7 +27,7 @@
             self.assertEqual(town.operate(lambda: town.operator.name(MODEL, 2)), 200)
             town.world.run(6)
             self.assertEqual(self.versions(town), {2})
-            self.assertKept(town)
+            self.assert_kept(town)
             self.assertEqual(town.count("turnedAway.503"), 0)
             self.assertEqual(
                 sorted(self.orders(town)),
@@ -53,9 +53,9 @@
             return town
 
         with mock.patch.object(Gateway, "on_swap_news", lambda self, news, sender: None):
-            self.assertKept(day(), 0.9)
+            self.assert_kept(day(), 0.9)
             eligible = Gateway.eligible
-            self.assertFallsWithout(
+            self.assert_falls_without(
                 mock.patch.object(
                     Gateway, "eligible", lambda self, service, model: eligible(self, service, "")
                 ),
@@ -78,7 +78,7 @@
         town, head = self.naming_at_a_frozen_head()
         self.assertEqual(self.versions(town), {2})
         self.assertNotEqual(town.head(), head)
-        self.assertKept(town)
+        self.assert_kept(town)
         self.assertTrue(all(status != 412 for *_, status in self.orders(town)))
 
     def test_two_holders_lie_apart(self):
@@ -106,8 +106,8 @@
             town.world.run(9)
             return town
 
-        self.assertKept(killed())
-        self.assertFallsWithout(mock.patch.object(Swaps, "fence", hasty), killed, "ONE")
+        self.assert_kept(killed())
+        self.assert_falls_without(mock.patch.object(Swaps, "fence", hasty), killed, "ONE")
 
     def test_weights_are_named_while_the_head_dies(self):
         for seed in (6, 7):
@@ -116,11 +116,11 @@
             task = town.beside(lambda: town.operator.name(MODEL, 2))
             town.world.run(0.004 * (seed - 5))
             town.kill(town.head(), back_s=0.5)
-            town.world.run(until=task.done, limitS=30)
+            town.world.run(until=task.done, limit_s=30)
             self.assertEqual(task.result(), 200)
             town.world.run(9)
             self.assertEqual(self.versions(town), {2})
-            self.assertKept(town)
+            self.assert_kept(town)
 
     def test_a_head_that_starts_again_under_its_view_does_not_sit_its_pause_out_again(self):
         def day():
@@ -133,7 +133,7 @@
             begun_ms = town.world.now * 1000
             town.world.run(9)
             same = town.up[head].agreement.decided.number == view
-            self.assertKept(town)
+            self.assert_kept(town)
             return same, [
                 item["atMs"] - begun_ms for item in town.records if item["kind"] == "order"
             ]
@@ -154,12 +154,12 @@
             town.world.run(0.003 * (seed - 7))
             town.kill(town.head(), back_s=2)
             begun_s = town.world.now
-            self.assertTrue(town.world.run(until=task.done, limitS=30))
+            self.assertTrue(town.world.run(until=task.done, limit_s=30))
             self.assertEqual(task.result(), 200)
             self.assertLess(town.world.now - begun_s, 8)
             town.world.run(3)
             self.assertEqual(town.ask("none", start="/new/")["status"], 200)
-            self.assertKept(town)
+            self.assert_kept(town)
 
     def test_all_cores_are_killed_and_come_back_while_routers_serve_on(self):
         town = self.town(11)
@@ -168,7 +168,7 @@
         )
         for name in town.cores():
             town.kill(name, back_s=1)
-            town.folders[name].losePower()
+            town.folders[name].lose_power()
         town.world.run(8)
         self.assertIsNotNone(town.head())
         self.assertEqual(
@@ -176,7 +176,7 @@
         )
         town.world.run(2.5)
         self.assertEqual(town.ask("none", start="/new/")["status"], 404)
-        self.assertKept(town, 0.95)
+        self.assert_kept(town, 0.95)
 
     def change(self, town, version):
         """Add a route, and give the seconds until it is acknowledged."""
@@ -194,7 +194,7 @@
             )
             for name in town.cores() if all_lose_power else [lost]:
                 town.kill(name, back_s=0.8)
-                (town.folders[name].wipe if name == lost else town.folders[name].losePower)()
+                (town.folders[name].wipe if name == lost else town.folders[name].lose_power)()
             town.world.run(1)
             self.assertLess(self.change(town, 7), 4)
             town.world.run(2.1)
@@ -202,7 +202,7 @@
                 [town.ask("none", start=f"/v{version}/")["status"] for version in (5, 7)],
                 [200, 200],
             )
-            self.assertKept(town)
+            self.assert_kept(town)
 
     def test_the_heads_disk_is_full_or_fails(self):
         for field in ("full", "failing"):
@@ -213,7 +213,7 @@
             setattr(disk, field, False)
             town.world.run(3)
             self.assertLess(self.change(town, 7), 4)
-            self.assertKept(town)
+            self.assert_kept(town)
 
     def test_a_key_that_is_taken_away_is_refused_everywhere_and_its_tenant_goes_on_with_another(
         self,
@@ -259,7 +259,7 @@
             town.ask("r-safe")
             return town
 
-        self.assertFallsWithout(
+        self.assert_falls_without(
             mock.patch.object(Gateway, "on_config", keeps_keys), asked, "CONFIG"
         )
 
@@ -271,7 +271,7 @@
                 town.beside(lambda: town.operator.patch(number, put=change))
                 for number in (version, version + 1)
             )
-            town.world.run(until=lambda: one.done() and two.done(), limitS=20)
+            town.world.run(until=lambda: one.done() and two.done(), limit_s=20)
             self.assertEqual(sorted((one.result(), two.result())), [200, 412])
             town.world.run(0.4)
         bad = document() | {"routes": [route("r-safe") | {"backend": "gone"}]}
@@ -285,4 +285,4 @@
             },
             {200},
         )
-        self.assertKept(town)
+        self.assert_kept(town)
--- a/tests/gateway/cases/routers.py
+++ b/tests/gateway/cases/routers.py
@@ -19,14 +19,14 @@
         town = self.town(1)
         town.kill("router1", back_s=3)
         town.world.run(8)
-        self.assertKept(town, 0.93)
+        self.assert_kept(town, 0.93)
         self.assertTrue(town.up["router1"].is_ready())
 
     def test_a_router_is_gone_for_good_and_its_places_come_back(self):
         town = self.town(2, rate=12)
         town.kill("router2", silent=True)
         town.world.run(10)
-        self.assertKept(town, 0.93)
+        self.assert_kept(town, 0.93)
         books = [
             book
             for name in town.routers()
@@ -40,7 +40,7 @@
         town.world.run(4)
         town.freeze("router2", 4)
         town.world.run(7)
-        self.assertKept(town, 0.9)
+        self.assert_kept(town, 0.9)
 
     def test_a_router_that_is_cut_off_from_all_others_serves_on(self):
         town = self.town(5)
@@ -53,13 +53,13 @@
         )
         town.world.net.heal()
         town.world.run(3)
-        self.assertKept(town)
+        self.assert_kept(town)
 
     def test_routers_that_are_stopped_in_turn_lose_nothing(self):
         town = self.town(6, rate=10)
         for name in town.routers():
             task = town.beside(town.up[name].stop, name)
-            self.assertTrue(town.world.run(until=task.done, limitS=8))
+            self.assertTrue(town.world.run(until=task.done, limit_s=8))
             town.world.kill(name)
             town.world.run(0.3)
             town.start_router(name)
@@ -73,7 +73,7 @@
             ],
             [],
         )
-        self.assertKept(town)
+        self.assert_kept(town)
 
     def test_a_long_stream_is_finished_by_a_router_that_stops(self):
         def events():
@@ -83,9 +83,9 @@
             )
             town.world.run(0.5)
             stopping = town.beside(town.up["router1"].stop, "router1")
-            town.world.run(until=stopping.done, limitS=8)
+            town.world.run(until=stopping.done, limit_s=8)
             town.world.kill("router1")
-            town.world.run(until=task.done, limitS=8)
+            town.world.run(until=task.done, limit_s=8)
             self.assertEqual(town.breaches(), {})
             return len(task.result()["events"])
 
@@ -106,7 +106,7 @@
     def test_a_router_that_starts_while_no_lease_is_to_be_had_takes_what_a_tail_has_synced(self):
         town = self.begin_without_lease()
         self.assertEqual(
-            (town.up["router1"].is_ready(), town.up["router1"].licence.isHeld()), (True, False)
+            (town.up["router1"].is_ready(), town.up["router1"].licence.is_held()), (True, False)
         )
         self.assertEqual(
             [town.ask(name, door="router1")["status"] for name in ("r-safe", "r-resume")],
@@ -116,8 +116,8 @@
         for name in ("core1", "core2"):
             town.start_core(name)
         town.world.run(8)
-        self.assertTrue(town.up["router1"].licence.isHeld())
-        self.assertKept(town, 0.95)
+        self.assertTrue(town.up["router1"].licence.is_held())
+        self.assert_kept(town, 0.95)
 
         async def peeks_at_nothing(self):
             return None
--- a/tests/gateway/cases/workers.py
+++ b/tests/gateway/cases/workers.py
@@ -54,7 +54,7 @@
         ):
             with self.subTest(quirks):
                 town = self.quirky(quirks)
-                self.assertKept(town, 0.85)
+                self.assert_kept(town, 0.85)
                 last, tries = (
                     town.results(),
                     {item["root"]: item for item in town.records if item["kind"] == "try"},
@@ -71,21 +71,21 @@
 
     def test_late_answers_belong_to_no_request(self):
         town = self.quirky(("surplus",) * 3, 4, 1.0)
-        self.assertKept(town)
+        self.assert_kept(town)
         self.assertGreater(town.count("surplusAnswers") + town.count("surplusBytes"), 10)
 
         def day():
             return self.quirky(("surplus",) * 3, 4, 1.0)
 
         with mock.patch.object(WorkerConnection, "data_received", hears_idle_bytes):
-            self.assertKept(day())
-            self.assertFallsWithout(mock.patch.object(Workers, "verdict", believes), day, "MIXED")
+            self.assert_kept(day())
+            self.assert_falls_without(mock.patch.object(Workers, "verdict", believes), day, "MIXED")
 
     def test_a_once_only_request_does_not_run_twice_and_the_budget_holds(self):
         def day():
             return self.quirky(("reset",), 2, 0.8)
 
-        self.assertKept(day(), 0.1)
+        self.assert_kept(day(), 0.1)
         make = Passage.__init__
 
         def careless(self, *args):
@@ -96,7 +96,7 @@
             mock.patch.object(BudgetShare, "draw", lambda self, service: True),
             mock.patch.object(Judge, "shun", lambda *_: None),
         ):
-            self.assertFallsWithout(
+            self.assert_falls_without(
                 mock.patch.object(Passage, "__init__", careless), day, "TWICE", "BUDGET"
             )
 
@@ -114,7 +114,7 @@
         return town
 
     def test_workers_crash_and_come_back(self):
-        self.assertKept(self.crash(), 0.95)
+        self.assert_kept(self.crash(), 0.95)
 
     def test_an_address_goes_to_a_worker_of_another_service(self):
         town = self.town(6)
@@ -124,7 +124,7 @@
         town.world.run(2)
         town.forget("app1")
         town.world.run(3)
-        self.assertKept(town, 0.95)
+        self.assert_kept(town, 0.95)
         self.assertIn(
             ("i-lm9-1", 421),
             {
@@ -147,8 +147,8 @@
         return town
 
     def test_workers_leave_and_nothing_is_lost(self):
-        self.assertKept(self.leave())
-        self.assertFallsWithout(
+        self.assert_kept(self.leave())
+        self.assert_falls_without(
             mock.patch.object(Roster, "serving", serves_all), self.leave, "DRAIN"
         )
 
@@ -159,7 +159,7 @@
         town.world.run(3)
         town.start_store()
         town.world.run(3)
-        self.assertKept(town)
+        self.assert_kept(town)
         self.assertGreater(len(town.up["store"].cache.held), 0)
 
     def test_reports_are_late_and_lost(self):
@@ -168,4 +168,4 @@
             cache = town.up[name].cache
             cache.lost_share, cache.late_s, cache.room = 0.4, 1.5, 40000
         town.world.run(8)
-        self.assertKept(town)
+        self.assert_kept(town)
--- a/tests/gateway/storm.py
+++ b/tests/gateway/storm.py
@@ -33,7 +33,7 @@
     def calm_down(self):
         """Let all come back, and give what is wrong after it."""
         town = self.town
-        town.world.run(until=lambda: all(task.done() for task in self.tasks), limitS=45)
+        town.world.run(until=lambda: all(task.done() for task in self.tasks), limit_s=45)
         town.world.run(9)
         found = [f"{rule}: {breaches}" for rule, breaches in town.breaches().items()]
         town.world.run(1)
@@ -62,7 +62,7 @@
         books = gateway.admission.books.status()
         states = {
             "not ready": not gateway.is_ready(),
-            "without lease": not gateway.licence.isHeld(),
+            "without lease": not gateway.licence.is_held(),
             "requests open": gateway.open,
             "places taken": sum(book["open"] + book["line"] for book in books.values()),
             "calls counted": sum(
@@ -130,7 +130,7 @@
         running = self._running("core")
         for name in running if len(running) == 3 else ():
             self.town.kill(name, back_s=self.rng.uniform(0.3, 1))
-            self.town.folders[name].losePower()
+            self.town.folders[name].lose_power()
 
     def on_crash(self):
         name, town = self._worker(), self.town
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from swiftdeck.fault import NO_CONNECTION, UNREACHED, isFault
+from swiftdeck.fault import NO_CONNECTION, UNREACHED, is_fault
 from swiftdeck.gateway.pool import KEEP_S, SPARE_S, Pool
 from tests.gateway.parts import SimCase, roster
 
@@ -57,9 +57,9 @@
         async def main():
             head = await link.event()
             event = head
-            while not isFault(event) and not isinstance(event, h11.EndOfMessage):
+            while not is_fault(event) and not isinstance(event, h11.EndOfMessage):
                 event = await link.event()
-            return event if isFault(event) else dict(head.headers)[b"request"].decode()
+            return event if is_fault(event) else dict(head.headers)[b"request"].decode()
 
         return self.do(main)
 
@@ -123,7 +123,7 @@
             self.script.append(script)
             self.ask(link, "r1")
             self.seen[-1].transport.loop.call_later(0.01, self.seen[-1].transport.abort)
-            self.assertTrue(isFault(self.answer(link)))
+            self.assertTrue(is_fault(self.answer(link)))
             self.give(link)
             self.assertIsNot(self.take(), link)
         link = self.take()
@@ -145,7 +145,7 @@
         self.seen[0].transport.close()
         self.world.run(0.1)
         self.assertIsNot(self.take(), link)
-        self.assertTrue(isFault(self.ask(link, "r2")))
+        self.assertTrue(is_fault(self.ask(link, "r2")))
 
     def test_connections_are_capped_and_a_lost_one_frees_its_place(self):
         self.pool.most = lambda worker: 2
@@ -153,7 +153,7 @@
         self.assertEqual(self.take().code, NO_CONNECTION.code)
         self.within(one.close)
         self.world.run(0.01)
-        self.assertFalse(isFault(self.take()))
+        self.assertFalse(is_fault(self.take()))
         self.assertEqual(self.board.count["connectionsCapped"], 1)
         self.assertEqual(self.take().code, NO_CONNECTION.code)
         self.give(self.exchange("r1", two))
@@ -169,7 +169,7 @@
             self.assertEqual(self.take().code, UNREACHED.code)
             self.assertAlmostEqual(self.world.now - begun_s, 0.3, delta=0.01)
         self.world.net.heal()
-        self.assertFalse(isFault(self.take()))
+        self.assertFalse(is_fault(self.take()))
 
     def test_connections_to_a_life_that_is_gone_are_closed_and_never_serve_the_next_at_its_address(
         self,
--- a/tests/gateway/town.py
+++ b/tests/gateway/town.py
@@ -13,7 +13,7 @@
 from swiftdeck.bench.outer.store import PartStore
 from swiftdeck.bench.outer.worker import PlatformWorker
 from swiftdeck.bench.record import ListRecord
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.gateway.gateway import Gateway
 from swiftdeck.gateway.swap import SwapCore
 from swiftdeck.platform.caches import PlatformCaches
@@ -190,7 +190,7 @@
             path = Path(folder) / "settings.toml"
             path.write_text("\n".join(lines))
             place = read_place(role, str(path))
-        assert not isFault(place), place
+        assert not is_fault(place), place
         return place
 
     def start_core(self, name):
@@ -308,7 +308,7 @@
         self.world.start("balancer", "10.9.0.5", self.balancer.run)
         assert self.operate(lambda: self.operator.put(document(), 3)) == 200
         assert self.world.run(
-            until=lambda: all(self.up[name].is_ready() for name in self.routers()), limitS=20
+            until=lambda: all(self.up[name].is_ready() for name in self.routers()), limit_s=20
         )
         self.world.run(1.5)
         return self
@@ -349,7 +349,7 @@
 
     def operate(self, make, limit_s=60):
         """One call of the operator, to its end."""
-        return self.world.do("operator", make, limitS=limit_s)
+        return self.world.do("operator", make, limit_s=limit_s)
 
     def beside(self, make, name="operator"):
         """Begin a coroutine beside all else; gives its task."""
@@ -360,7 +360,7 @@
     def ask(self, name="r-safe", path="1", tenant="nowu640", door=None, **more):
         """One request of a client to a route, to its end."""
         return self.world.do(
-            "clients", lambda: self._asking(name, path, tenant, door, **more), limitS=60
+            "clients", lambda: self._asking(name, path, tenant, door, **more), limit_s=60
         )
 
     def _asking(self, name, path="1", tenant="nowu640", door=None, **more):
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -31,11 +31,11 @@
         self.assertEqual(world.faults, [])
         return bytes(got)
 
-    def testKeptAliveConnectionServesPipelinedRequests(self):
+    def test_kept_alive_connection_serves_pipelined_requests(self):
         got = self.talk(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual((got.count(b"200"), got.index(b'"/a"') < got.index(b'"/b"')), (2, True))
 
-    def testBadInputGetsANumberedCodeAndNeverHangs(self):
+    def test_bad_input_gets_a_numbered_code_and_never_hangs(self):
         self.assertIn(b'"code":100', self.talk(b"NONSENSE\r\n\r\n"))
         self.assertIn(b'"code":100', self.talk(b"GET / HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 40000))
         self.assertIn(
@@ -45,7 +45,7 @@
             b'"code":103',
             self.talk(
                 b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n" + b"a" * 99,
-                bodyLimit=50,
+                body_limit=50,
             ),
         )
         self.assertIn(b'"code":100', self.talk(b"GET / HTTP/1.1\r\n\r\n"))
--- a/tests/member/test_membership.py
+++ b/tests/member/test_membership.py
@@ -32,7 +32,7 @@
             world.start(f"n{number}", f"10.0.0.{number + 1}", process(number))
         return world, found, process
 
-    def testAllFindEachOtherAndACrashIsSeenByAll(self):
+    def test_all_find_each_other_and_a_crash_is_seen_by_all(self):
         world, found, _ = self.build(6)
         world.run(5)
         self.assertEqual([len(each.alive()) for each in found.values()], [5] * 6)
@@ -40,7 +40,7 @@
         world.run(8)
         self.assertEqual([len(found[number].alive()) for number in range(5)], [4] * 5)
 
-    def testAHealedCutIsFoundAgainAndANewStartTakesTheOldPlace(self):
+    def test_a_healed_cut_is_found_again_and_a_new_start_takes_the_old_place(self):
         world, found, process = self.build(5)
         world.run(4)
         far, near = [f"10.0.0.{n}" for n in (4, 5)], [f"10.0.0.{n}" for n in (1, 2, 3)]
--- a/tests/member/test_news.py
+++ b/tests/member/test_news.py
@@ -6,7 +6,7 @@
 
 
 class NewsTest(unittest.TestCase):
-    def testHigherStampStandsAndAMissedOneIsMended(self):
+    def test_higher_stamp_stands_and_a_missed_one_is_mended(self):
         from tests.member.test_membership import MembershipTest
 
         world, found, _ = MembershipTest.build(self, 5)
--- a/tests/platform/test_caches.py
+++ b/tests/platform/test_caches.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.gateway.seams import Kept, Reports
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.caches import PlatformCaches
@@ -75,9 +75,9 @@
             (500, b"oops"),
         ):
             self.answer = bad
-            self.assertTrue(isFault(self.reports()), bad)
+            self.assertTrue(is_fault(self.reports()), bad)
             self.answer = (200, TOLD)
-            self.assertFalse(isFault(self.reports()), bad)
+            self.assertFalse(is_fault(self.reports()), bad)
 
     def test_calls_go_over_one_connection_until_it_is_closed(self):
         for _ in range(3):
@@ -89,7 +89,7 @@
 
     def test_a_cache_that_says_nothing_or_is_gone_is_a_fault(self):
         self.answer, begun_s = None, self.world.now
-        self.assertTrue(isFault(self.reports(wait_ms=500)))
+        self.assertTrue(is_fault(self.reports(wait_ms=500)))
         self.assertTrue(0.5 < self.world.now - begun_s < 2.1)
         self.world.kill("cache")
-        self.assertTrue(isFault(self.reports()))
+        self.assertTrue(is_fault(self.reports()))
--- a/tests/platform/test_configs.py
+++ b/tests/platform/test_configs.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from swiftdeck.chain.state import ChainState
-from swiftdeck.config.document import keyDigest
-from swiftdeck.fault import INVALID, LOST_RACE, isFault
+from swiftdeck.config.document import key_digest
+from swiftdeck.fault import INVALID, LOST_RACE, is_fault
 from swiftdeck.platform import configs
 
 ROUTES = [
@@ -125,15 +125,15 @@
     def take(self, translate, body, *base):
         """Put a call of the operator through a chain's state: a fault, or none."""
         got = translate(body if isinstance(body, bytes) else msgspec.json.encode(body), *base)
-        if isFault(got):
+        if is_fault(got):
             return got
         change_id, change = got
         entry = self.state.examine(
             msgspec.msgpack.decode(msgspec.msgpack.encode(change | {"id": change_id}))
         )
-        if entry is not None and not isFault(entry):
+        if entry is not None and not is_fault(entry):
             self.state.apply(msgspec.msgpack.decode(msgspec.msgpack.encode(entry)))
-        return entry if isFault(entry) else None
+        return entry if is_fault(entry) else None
 
     def shown(self):
         return configs.shown(msgspec.json.decode(self.state.config.bytes()))
@@ -150,7 +150,7 @@
         self.assertIsNone(self.take(configs.whole, other, 7))
         self.assertEqual(self.shown(), other)
         copied = ChainState()
-        copied.fromBytes(self.state.toBytes())
+        copied.from_bytes(self.state.to_bytes())
         self.assertEqual(configs.shown(msgspec.json.decode(copied.config.bytes())), other)
         self.assertEqual(copied.config.digest(), self.state.config.digest())
 
@@ -198,7 +198,7 @@
         tenant = document.tenants["nowu640"]
         self.assertEqual(
             (tenant.apart, tenant.urgency, tenant.keys[0]),
-            (True, 1, keyDigest("3d3zji9n73hh2b9wu3fe")),
+            (True, 1, key_digest("3d3zji9n73hh2b9wu3fe")),
         )
         self.assertEqual(
             (
@@ -326,7 +326,7 @@
         ]:
             whole = changed(["version"], 9) if path != ["version"] else WHOLE
             fault = self.take(configs.whole, changed(path, value, whole), 7)
-            self.assertTrue(isFault(fault), path)
+            self.assertTrue(is_fault(fault), path)
             self.assertEqual(
                 (fault.code, word in fault.reason), (INVALID.code, True), f"{path} {fault.reason}"
             )
@@ -373,7 +373,7 @@
             ({"version": None}, "$.version"),
         ]:
             fault = self.take(configs.items, {"version": 9} | more, 7)
-            self.assertTrue(isFault(fault), more)
+            self.assertTrue(is_fault(fault), more)
             self.assertEqual(
                 (fault.code, word in fault.reason), (INVALID.code, True), f"{more} {fault.reason}"
             )
--- a/tests/platform/test_lists.py
+++ b/tests/platform/test_lists.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.fault import BAD_RETURN, isFault
+from swiftdeck.fault import BAD_RETURN, is_fault
 from swiftdeck.gateway.seams import Listed
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.lists import PlatformList
@@ -100,11 +100,11 @@
             [Listed("i-1", "10.1.1.1:80", "b", "", 1, True, {}, 12)],
         )
         for name in bare:
-            self.assertFault({each: bare[each] for each in bare if each != name})
+            self.assert_fault({each: bare[each] for each in bare if each != name})
 
-    def assertFault(self, entry):
+    def assert_fault(self, entry):
         got = self.read([ENTRY], [entry])
-        self.assertTrue(isFault(got) and got.code == BAD_RETURN.code, got)
+        self.assertTrue(is_fault(got) and got.code == BAD_RETURN.code, got)
 
     def test_entries_of_the_wrong_type_make_the_reading_fail(self):
         for field, value in (
@@ -115,7 +115,7 @@
             ("models", [{"version": 1}]),
             ("zone", []),
         ):
-            self.assertFault(ENTRY | {field: value})
+            self.assert_fault(ENTRY | {field: value})
 
     def test_a_list_that_goes_round_in_circles_is_a_fault(self):
         self.pages = {
@@ -137,8 +137,8 @@
             (200, {"app-servers": {}}),
         ):
             self.pages = {"": good, "p": bad}
-            self.assertTrue(isFault(self.reading()), bad)
+            self.assertTrue(is_fault(self.reading()), bad)
 
     def test_nobody_there_is_a_fault(self):
         self.world.kill("platform")
-        self.assertTrue(isFault(self.reading()))
+        self.assertTrue(is_fault(self.reading()))
--- a/tests/platform/test_operator_door.py
+++ b/tests/platform/test_operator_door.py
@@ -4,7 +4,7 @@
 import unittest
 
 from swiftdeck.control.core import Core
-from swiftdeck.http.client import fetchJson
+from swiftdeck.http.client import fetch_json
 from swiftdeck.platform.operator_door import (
     ANSWER_WITHIN_MS,
     CONFIG_PATH,
@@ -19,7 +19,7 @@
 class DoorTown(Town):
     """A site whose cores have the platform's door."""
 
-    def startCore(self, name):
+    def start_core(self, name):
         node = self.addresses[name]
         folder = self.folders.setdefault(name, SimFolder())
 
@@ -44,11 +44,11 @@
         )
         return got[0] if got else 0
 
-    def insist(self, method, body, base=None, path=CONFIG_PATH, limitS=20):
+    def insist(self, method, body, base=None, path=CONFIG_PATH, limit_s=20):
         """Send one call unchanged to one core after the other until it has a clear answer."""
-        untilS, turn = self.world.now + limitS, 0
-        while self.world.now < untilS:
-            names = self.coreNames()
+        until_s, turn = self.world.now + limit_s, 0
+        while self.world.now < until_s:
+            names = self.core_names()
             status, turn = self.send(method, body, base, names[turn % len(names)], path), turn + 1
             if 200 <= status < 500:
                 return status
@@ -58,7 +58,7 @@
     def together(self, *calls):
         """Statuses of calls sent at once, each (method, body, base, name)."""
         boxes = [self.beside(*call) for call in calls]
-        self.world.run(until=lambda: all(boxes), limitS=10)
+        self.world.run(until=lambda: all(boxes), limit_s=10)
         return [box[0][0] if box[0] else 0 for box in boxes]
 
     def beside(self, method, body, base, name):
@@ -66,7 +66,7 @@
 
         async def main():
             box.append(
-                await fetchJson(
+                await fetch_json(
                     self.addresses[name]["http"],
                     method,
                     CONFIG_PATH,
@@ -87,7 +87,7 @@
     def member(self, position):
         """The name of the core at a place of the chain."""
         return next(
-            name for name in self.coreNames() if self.up[name].agreement.position() == position
+            name for name in self.core_names() if self.up[name].agreement.position() == position
         )
 
 
@@ -98,7 +98,7 @@
     def test_the_first_configuration_its_repeat_and_what_is_read_back(self):
         town = self.town()
         self.assertEqual(town.shown(), {"version": 0, "routes": [], "backends": []})
-        for name in town.coreNames():
+        for name in town.core_names():
             self.assertEqual(town.send("PUT", WHOLE, 0, name), 200)
             self.assertEqual(town.shown(name), WHOLE)
         self.assertEqual(town.send("PUT", changed(["version"], 9), 7), 200)
@@ -119,14 +119,14 @@
             "remove-names": {"routes": ["r-a9rgy35"]},
         }
         self.assertEqual(town.send("PATCH", change, 6), 412)
-        for name in town.coreNames():
+        for name in town.core_names():
             self.assertEqual(town.send("PATCH", change, 7, name), 200)
         self.assertEqual(
             town.shown(),
             WHOLE | {"version": 12, "routes": [ROUTES[1] | {"timeout-ms": 9}, ROUTES[2]]},
         )
         self.assertTrue(
-            all(len(town.up[name].licence.held.document.paths) == 2 for name in town.routerNames())
+            all(len(town.up[name].licence.held.document.paths) == 2 for name in town.router_names())
         )
 
     def test_what_is_refused_changes_nothing(self):
@@ -164,7 +164,7 @@
         for seed in range(1, 5):
             town = self.town(seed)
             town.send("PUT", WHOLE, 0)
-            names = town.coreNames()
+            names = town.core_names()
             statuses = town.together(
                 ("PUT", changed(["version"], 9), 7, names[0]),
                 ("PUT", changed(["version"], 11), 7, names[2]),
@@ -192,27 +192,27 @@
     def test_a_router_out_of_touch_holds_an_acknowledgement_up_no_longer_than_set(self):
         town = self.town()
         town.world.freeze("router1")
-        startS = town.world.now
+        start_s = town.world.now
         self.assertEqual(town.send("PUT", WHOLE, 0), 200)
-        self.assertLess(town.world.now - startS, 0.45)
+        self.assertLess(town.world.now - start_s, 0.45)
 
     def test_a_new_tail_holds_an_acknowledgement_up_no_longer_than_set(self):
         town = self.town()
         town.world.freeze("router1")
         town.world.kill(town.member(2))
-        town.world.run(until=lambda: not town.coresServe(), limitS=20)
-        town.world.run(until=town.coresServe, limitS=20)
-        startS = town.world.now
+        town.world.run(until=lambda: not town.cores_serve(), limit_s=20)
+        town.world.run(until=town.cores_serve, limit_s=20)
+        start_s = town.world.now
         self.assertEqual(town.send("PUT", WHOLE, 0), 200)
-        self.assertLess(town.world.now - startS, 0.45)
+        self.assertLess(town.world.now - start_s, 0.45)
 
     def test_an_answer_comes_in_time_and_the_repeat_picks_the_outcome_up(self):
         town = self.town(ackWaitMs=0)
         town.world.freeze("router1")
-        startS = town.world.now
+        start_s = town.world.now
         got = town.ask("PUT", CONFIG_PATH, WHOLE, "core1", [("If-Match", "0")])
         self.assertEqual(got[0], 503)
-        self.assertAlmostEqual(town.world.now - startS, ANSWER_WITHIN_MS / 1000, delta=0.05)
+        self.assertAlmostEqual(town.world.now - start_s, ANSWER_WITHIN_MS / 1000, delta=0.05)
         self.assertEqual(
             (town.send("PUT", WHOLE, 0, "core1"), town.send("PUT", WHOLE, 0, "core2")), (503, 503)
         )
@@ -224,15 +224,15 @@
             town = self.town(seed)
             town.send("PUT", WHOLE, 0)
             killed = town.member(position)
-            door = next(name for name in town.coreNames() if name != killed)
+            door = next(name for name in town.core_names() if name != killed)
             box = town.beside("PUT", changed(["version"], 9), 7, door)
             town.world.run(0.004 * seed)
             town.world.kill(killed)
-            town.folders[killed].losePower()
-            town.world.run(until=lambda: bool(box), limitS=3)
+            town.folders[killed].lose_power()
+            town.world.run(until=lambda: bool(box), limit_s=3)
             self.assertIn(box[0][0] if box[0] else 0, (0, 200, 503))
             self.assertEqual(town.insist("PUT", changed(["version"], 9), 7), 200)
-            town.startCore(killed)
+            town.start_core(killed)
             self.assertEqual(
                 town.insist("POST", {"model": "daka510000", "version": 2}, path=WEIGHTS_PATH), 200
             )
@@ -245,13 +245,13 @@
         self.assertEqual(
             town.insist("POST", {"model": "daka510000", "version": 4}, path=WEIGHTS_PATH), 200
         )
-        names = town.coreNames()
+        names = town.core_names()
         for name in names:
             town.world.kill(name)
         for name in names:
-            town.folders[name].losePower(torn=5)
-            town.startCore(name)
-        town.world.run(until=town.coresServe, limitS=20)
+            town.folders[name].lose_power(torn=5)
+            town.start_core(name)
+        town.world.run(until=town.cores_serve, limit_s=20)
         self.assertEqual(
             town.insist("PATCH", {"version": 8, "remove-names": {"routes": ["r-a9rgy35"]}}, 7), 200
         )
@@ -263,7 +263,7 @@
 
     def test_a_core_that_is_cut_off_says_that_it_is_not_able_now(self):
         town = self.town()
-        for name in town.coreNames()[1:]:
+        for name in town.core_names()[1:]:
             town.world.kill(name)
         town.world.run(6)
         self.assertEqual(
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.fault import isFault
+from swiftdeck.fault import is_fault
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.orders import PlatformOrders
 from swiftdeck.sim.world import World
@@ -80,9 +80,9 @@
 
     def test_an_order_without_a_clear_answer_is_a_fault(self):
         self.answer = None
-        self.assertTrue(isFault(self.order()))
+        self.assertTrue(is_fault(self.order()))
         self.world.kill("worker")
-        self.assertTrue(isFault(self.order()))
+        self.assertTrue(is_fault(self.order()))
 
     def test_a_report_tells_versions_and_whether_an_order_is_under_way(self):
         for report, wanted in (
@@ -102,4 +102,4 @@
     def test_a_report_that_cannot_be_read_is_a_fault(self):
         for bad in ((503, {}), (200, []), (200, b"{"), (200, b""), (200, 7)):
             self.answer = bad
-            self.assertTrue(isFault(self.versions()), bad)
+            self.assertTrue(is_fault(self.versions()), bad)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from swiftdeck.fault import BAD_SETTING, isFault
+from swiftdeck.fault import BAD_SETTING, is_fault
 from swiftdeck.platform.settings import read_place
 
 ROUTER = """
@@ -78,19 +78,19 @@
             self.read(ROUTER).settings,
         )
 
-    def assertBad(self, got):
-        self.assertTrue(isFault(got) and got.code == BAD_SETTING.code, got)
+    def assert_bad(self, got):
+        self.assertTrue(is_fault(got) and got.code == BAD_SETTING.code, got)
 
     def test_a_file_that_is_not_there(self):
-        self.assertBad(read_place("router", str(self.path)))
+        self.assert_bad(read_place("router", str(self.path)))
 
     def test_what_is_no_toml(self):
         for text in ("node-name = ", "[[[", b"\xff\xfe"):
-            self.assertBad(self.read(text))
+            self.assert_bad(self.read(text))
 
     def test_fields_that_are_missing(self):
         for line in ROUTER.strip().splitlines()[:5] + ['address = "10.0.0.99:80"']:
-            self.assertBad(self.read(ROUTER.replace(line, "")))
+            self.assert_bad(self.read(ROUTER.replace(line, "")))
 
     def test_values_of_the_wrong_type_or_out_of_range(self):
         for old, new in (
@@ -106,4 +106,4 @@
             ('"node-3"', '""'),
             ('"10.0.0.3:8080"', '"10.0.0.3:7000"'),
         ):
-            self.assertBad(self.read(ROUTER.replace(old, new)))
+            self.assert_bad(self.read(ROUTER.replace(old, new)))
--- a/tests/platform/test_speech.py
+++ b/tests/platform/test_speech.py
@@ -14,7 +14,7 @@
     UNKNOWN_KEY,
     WORKER_HANGS,
     WORKER_LOST,
-    isFault,
+    is_fault,
 )
 from swiftdeck.gateway.seams import Errand, Part, Verdict
 from swiftdeck.platform.speech import FOREVER_MS, Callers, Workers, parts_of
@@ -83,7 +83,7 @@
     def test_a_request_without_an_id_is_refused(self):
         for value in (None, b"", b"  "):
             got = self.read(changed(SENT, b"swiftdeck-request-id", value))
-            self.assertTrue(isFault(got) and got.code == BAD_REQUEST.code, value)
+            self.assertTrue(is_fault(got) and got.code == BAD_REQUEST.code, value)
 
     def test_what_cannot_be_read_is_left_out(self):
         for name, value, field, wanted in [
@@ -126,7 +126,7 @@
             named = dict(headers)
             self.assertEqual(
                 (got, named["Swiftdeck-Request-Id"], "Retry-After" in named),
-                (status, request.name, bool(fault.retryMs) and status in (429, 503)),
+                (status, request.name, bool(fault.retry_ms) and status in (429, 503)),
                 fault,
             )
             self.assertIn(b'"code":%d' % fault.code, body)
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -13,7 +13,7 @@
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.started, self.red, self.skippedIds = [], set(), set()
+        self.started, self.red, self.skipped_ids = [], set(), set()
 
     @staticmethod
     def _id(test):
@@ -42,10 +42,10 @@
 
     def addSkip(self, test, reason):
         super().addSkip(test, reason)
-        self.skippedIds.add(self._id(test))
+        self.skipped_ids.add(self._id(test))
 
 
-def readKnown(text: str) -> tuple[dict[str, str], list[str]]:
+def read_known(text: str) -> tuple[dict[str, str], list[str]]:
     """The tests listed as known to fail, with cause and issue, and what is wrong with the list itself."""
     known, wrong = {}, []
     for number, line in enumerate(text.splitlines(), 1):
@@ -64,12 +64,12 @@
     return known, wrong
 
 
-def idsOf(suite) -> set[str]:
+def ids_of(suite) -> set[str]:
     """The ids of all tests of a suite."""
     return {
         name
         for each in suite
-        for name in (idsOf(each) if isinstance(each, unittest.TestSuite) else [each.id()])
+        for name in (ids_of(each) if isinstance(each, unittest.TestSuite) else [each.id()])
     }
 
 
@@ -77,10 +77,10 @@
     """Run a suite under a list of tests known to fail; gives how many passed and failed. `every` are the ids of all tests there
     are, if the suite is a part of them.
     """
-    known, wrong = readKnown(text)
-    every = idsOf(suite) if every is None else every
+    known, wrong = read_known(text)
+    every = ids_of(suite) if every is None else every
     got = unittest.TextTestRunner(stream=stream, verbosity=1, resultclass=Result).run(suite)
-    passed = set(got.started) - got.red - got.skippedIds
+    passed = set(got.started) - got.red - got.skipped_ids
     wrong += [f"no such test: {name}" for name in known if name not in every]
     wrong += [f"passes, so its line must go: {name}" for name in known if name in passed]
     for name in sorted(got.red & set(known)):
@@ -90,17 +90,36 @@
     return len(passed - set(known)), len(got.red - set(known)) + len(wrong)
 
 
+def leaves(suite) -> list:
+    """All tests of a suite, in its order."""
+    return [
+        test
+        for item in suite
+        for test in (leaves(item) if isinstance(item, unittest.TestSuite) else [item])
+    ]
+
+
+def shard(suite, number: int, count: int):
+    """One of several parts of a suite that are about as long; together they are the suite."""
+    tests = sorted(leaves(suite), key=lambda test: test.id())
+    return unittest.TestSuite(tests[number::count])
+
+
 def discover(pattern="*.py"):
     """The tests in files of such a name."""
     return unittest.TestLoader().discover(str(TOP), pattern=pattern, top_level_dir=str(TOP.parent))
 
 
 def main() -> int:
-    """Run the test files, or those that match a pattern; gives the exit status."""
-    every = idsOf(discover())
+    """Run the test files, or those that match a pattern, or a shard of all as `--shard 2/8`."""
+    everything = discover()
     text = KNOWN_RED.read_text() if KNOWN_RED.exists() else ""
-    suite = discover(*sys.argv[1:2])
-    passed, failed = judge(suite, text, every)
+    if sys.argv[1:2] == ["--shard"]:
+        number, _, count = sys.argv[2].partition("/")
+        suite = shard(everything, int(number), int(count))
+    else:
+        suite = discover(*sys.argv[1:2])
+    passed, failed = judge(suite, text, ids_of(everything))
     print(f"{passed} passed, {failed} failed", flush=True)
     return 1 if failed or not suite.countTestCases() else 0
 
--- a/tests/sim/test_folder.py
+++ b/tests/sim/test_folder.py
@@ -7,7 +7,7 @@
 
 
 class SimFolderTest(unittest.TestCase):
-    def testOnlySyncedBytesOutlastPower(self):
+    def test_only_synced_bytes_outlast_power(self):
         world, folder = World(), SimFolder()
 
         async def main():
@@ -17,5 +17,5 @@
 
         world.start("a", "10.0.0.1", main)
         world.run(1)
-        folder.losePower(torn=1)
+        folder.lose_power(torn=1)
         self.assertEqual(folder.read("f"), b"onet")
--- a/tests/sim/test_net.py
+++ b/tests/sim/test_net.py
@@ -7,7 +7,7 @@
 
 
 class SimNetTest(unittest.TestCase):
-    def testStreamsKeepOrderAcrossACut(self):
+    def test_streams_keep_order_across_a_cut(self):
         world, got = World(), []
 
         class Sink(asyncio.Protocol):
--- a/tests/sim/test_storm.py
+++ b/tests/sim/test_storm.py
@@ -6,15 +6,15 @@
 
 
 class StormTest(unittest.TestCase):
-    def testAScenarioThatDoesNotBiteIsFound(self):
+    def test_a_scenario_that_does_not_bite_is_found(self):
         self.assertEqual(set(BITES), set(SCENARIOS))
         self.assertEqual(idle("routers", {"takeovers": 3, "legsReclaimed": 0}), ["legsReclaimed"])
 
-    def testASeedGivesTheSameTraceEachTime(self):
+    def test_a_seed_gives_the_same_trace_each_time(self):
         got = [Storm("mix", 5, 8.0, routers=3).run() for _ in range(2)]
         self.assertEqual(got[0], got[1])
 
-    def testEachRouteIsAskedAfterTheClosingFaultAlsoWhenItsAgentsRest(self):
+    def test_each_route_is_asked_after_the_closing_fault_also_when_its_agents_rest(self):
         class Rest(Storm):
             def closing(self):
                 super().closing()
--- a/tests/sim/test_world.py
+++ b/tests/sim/test_world.py
@@ -7,7 +7,7 @@
 
 
 class WorldTest(unittest.TestCase):
-    def testTimeIsVirtualAndFreezeHoldsCallbacks(self):
+    def test_time_is_virtual_and_freeze_holds_callbacks(self):
         world, seen = World(), []
 
         async def beat():
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -7,19 +7,19 @@
 
 
 class FaultTest(unittest.TestCase):
-    def testFaultIsFalseAndKeepsItsCode(self):
+    def test_fault_is_false_and_keeps_its_code(self):
         fault = LOST_RACE.because("base 3, newest 4")
         self.assertFalse(fault)
         self.assertEqual(
-            fault.asBody(),
+            fault.as_body(),
             {"code": 200, "fault": "base version is not the newest", "reason": "base 3, newest 4"},
         )
 
-    def testOnlyFaultsBeforeDispatchPromiseNotRun(self):
+    def test_only_faults_before_dispatch_promise_not_run(self):
         self.assertTrue(all(not fault.notRun for code, fault in TABLE.items() if 130 <= code < 150))
         self.assertTrue(all(fault.notRun for code, fault in TABLE.items() if 100 <= code < 130))
 
-    def testTheTableInTheDocsIsThisOne(self):
+    def test_the_table_in_the_docs_is_this_one(self):
         path = Path(__file__).resolve().parent.parent / "docs" / "codes.md"
         if not path.exists():
             self.skipTest("the docs are not installed with the package")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -32,7 +32,7 @@
 
 
 class LayoutTest(unittest.TestCase):
-    def testNoModuleOfTheSystemImportsTestsTheSimulatorOrTheBench(self):
+    def test_no_module_of_the_system_imports_tests_the_simulator_or_the_bench(self):
         found, count = {}, 0
         for path in sorted(PACKAGE.rglob("*.py")):
             name = path.relative_to(PACKAGE).as_posix()
@@ -47,7 +47,7 @@
         self.assertEqual(found, {})
         self.assertGreater(count, 40)
 
-    def testPlantedImportsAreFound(self):
+    def test_planted_imports_are_found(self):
         for text, wrong in [
             ("import unittest", "unittest"),
             ("from unittest import mock", "unittest"),
--- a/tests/traffic/test_book.py
+++ b/tests/traffic/test_book.py
@@ -6,18 +6,18 @@
 
 
 class BookTest(unittest.TestCase):
-    def testSlotsComeBackFromThePausedOnlyWhenDue(self):
+    def test_slots_come_back_from_the_paused_only_when_due(self):
         book = Book("w", 2)
         first, second = (Conversation(name, "t", "shared", "w", "w1") for name in "ab")
         for each in (first, second):
             book.entry(each)
-        self.assertFalse(book.hasRoom())
-        first.running["c"], second.idleSinceS = 1, 10.0
-        self.assertIsNone(book.longestPaused(12.0, 3000))
-        self.assertIs(book.longestPaused(14.0, 3000), second)
+        self.assertFalse(book.has_room())
+        first.running["c"], second.idle_since_s = 1, 10.0
+        self.assertIsNone(book.longest_paused(12.0, 3000))
+        self.assertIs(book.longest_paused(14.0, 3000), second)
         self.assertEqual((book.ended(14.0, 7500), book.ended(18.0, 7500)), ([], [second]))
 
-    def testTheCapFollowsSurvival(self):
+    def test_the_cap_follows_survival(self):
         from swiftdeck.config.document import Model
 
         model, book = Model(weights="w", adapts=True, cap=16), Book("w", 16)
--- a/tests/traffic/test_books.py
+++ b/tests/traffic/test_books.py
@@ -7,7 +7,7 @@
 
 
 class BooksTest(unittest.TestCase):
-    def testNothingIsRememberedOfAConversationThatIsOver(self):
+    def test_nothing_is_remembered_of_a_conversation_that_is_over(self):
         from swiftdeck.board.board import Board
         from swiftdeck.sim.world import World
         from swiftdeck.traffic.decisions import Decisions
@@ -24,9 +24,9 @@
             books.open(conversation)
             for turn in range(20):
                 books.remember(conversation, b"%d" % turn)
-            seen.append(len(books.byLast))
+            seen.append(len(books.by_last))
             books.close(conversation, "idle")
-            seen.append((books.byLast, books.conversations, books.of("w").open))
+            seen.append((books.by_last, books.conversations, books.of("w").open))
 
         world.start("a", "10.0.0.1", main)
         world.run(1)
--- a/tests/traffic/test_budget.py
+++ b/tests/traffic/test_budget.py
@@ -6,8 +6,8 @@
 
 
 class BudgetTest(unittest.TestCase):
-    def testOneInFivePlusAnAllowanceThatANewKeeperLacks(self):
-        budget = Budget(startS=0)
+    def test_one_in_five_plus_an_allowance_that_a_new_keeper_lacks(self):
+        budget = Budget(start_s=0)
         for _ in range(10):
             budget.call(1)
         self.assertEqual([budget.draw(2, 3) for _ in range(4)], [True, True, False, False])
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -6,7 +6,7 @@
 
 
 class DecisionsTest(unittest.TestCase):
-    def testAResumeSaysHowManyWereDropped(self):
+    def test_a_resume_says_how_many_were_dropped(self):
         decisions = Decisions(lambda: 0.0, keep=3)
         for number in range(5):
             decisions.add("start", call=str(number))
@@ -15,7 +15,7 @@
         self.assertEqual(decisions.since(4)[1][0]["n"], 5)
         self.assertEqual(decisions.since(9), (0, []))
 
-    def testAllAboutACallAndItsConversation(self):
+    def test_all_about_a_call_and_its_conversation(self):
         decisions = Decisions(lambda: 0.0)
         decisions.add("wait", call="c1")
         decisions.add("start", call="c1", conversation="t1")
--- a/tests/traffic/test_index.py
+++ b/tests/traffic/test_index.py
@@ -6,7 +6,7 @@
 
 
 class KeptTest(unittest.TestCase):
-    def testAGapOrNonsenseAsksForASnapshotAndDoublesDoNot(self):
+    def test_a_gap_or_nonsense_asks_for_a_snapshot_and_doubles_do_not(self):
         kept = Kept()
         self.assertTrue(kept.snapshot({"n": 4, "weights": "w1", "kept": ["aa"]}))
         self.assertTrue(kept.event({"n": 5, "kind": "kept", "prefix": "bb"}))
--- a/tests/traffic/test_line.py
+++ b/tests/traffic/test_line.py
@@ -6,15 +6,15 @@
 
 
 class LineTest(unittest.TestCase):
-    def testALargeTenantDoesNotStarveASmallOne(self):
+    def test_a_large_tenant_does_not_starve_a_small_one(self):
         line = Line()
         for number in range(50):
             line.add(Waiting("large", number, None, 0))
         line.add(Waiting("small", "s", None, 0))
         self.assertEqual([line.take().ask for _ in range(4)], [0, "s", 1, 2])
 
-    def testWhoHasWaitedLongerElsewhereStandsBefore(self):
+    def test_who_has_waited_longer_elsewhere_stands_before(self):
         line = Line()
-        for sinceS in (5, 7, 3):
-            line.add(Waiting("t", sinceS, None, sinceS))
+        for since_s in (5, 7, 3):
+            line.add(Waiting("t", since_s, None, since_s))
         self.assertEqual([line.first().ask, *(line.take().ask for _ in range(3))], [3, 3, 5, 7])
--- a/tests/traffic/test_prefix.py
+++ b/tests/traffic/test_prefix.py
@@ -2,18 +2,18 @@
 
 import unittest
 
-from swiftdeck.traffic.prefix import chainOf, groupOf
+from swiftdeck.traffic.prefix import chain_of, group_of
 
 
 class PrefixTest(unittest.TestCase):
-    def testNamesDifferByWeightsGroupAndCutBetweenParts(self):
-        base = chainOf("w1", groupOf("a", False), ["book", "x"])
-        self.assertEqual(base, chainOf("w1", groupOf("b", False), ["book", "x"]))
+    def test_names_differ_by_weights_group_and_cut_between_parts(self):
+        base = chain_of("w1", group_of("a", False), ["book", "x"])
+        self.assertEqual(base, chain_of("w1", group_of("b", False), ["book", "x"]))
         others = [
-            chainOf("w2", "shared", ["book", "x"]),
-            chainOf("w1", groupOf("a", True), ["book", "x"]),
-            chainOf("w1", groupOf("b", True), ["book", "x"]),
-            chainOf("w1", "shared", ["boo", "kx"]),
+            chain_of("w2", "shared", ["book", "x"]),
+            chain_of("w1", group_of("a", True), ["book", "x"]),
+            chain_of("w1", group_of("b", True), ["book", "x"]),
+            chain_of("w1", "shared", ["boo", "kx"]),
         ]
         self.assertFalse(set(base) & {link for chain in others for link in chain})
-        self.assertEqual(base[0], chainOf("w1", "shared", ["book", "y"])[0])
+        self.assertEqual(base[0], chain_of("w1", "shared", ["book", "y"])[0])
--- a/tests/traffic/test_workers.py
+++ b/tests/traffic/test_workers.py
@@ -6,7 +6,7 @@
 
 
 class WorkerListTest(unittest.TestCase):
-    def testListsThatDoNotReadAreRefused(self):
+    def test_lists_that_do_not_read_are_refused(self):
         from swiftdeck.board.board import Board
         from swiftdeck.wire.mesh import Mesh
 
@@ -15,5 +15,6 @@
         table._take(b'{"workers":[{"name":"a"}]}', 2.0)
         table._take(b"[]", 3.0)
         self.assertEqual(
-            (list(table.workers), table.readS, table.board.count["listsMalformed"]), (["a"], 1.0, 2)
+            (list(table.workers), table.read_s, table.board.count["listsMalformed"]),
+            (["a"], 1.0, 2),
         )
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -10,7 +10,7 @@
 
 
 class MeshTest(unittest.TestCase):
-    def testAskReturnsAndBadFramesDoNotHarm(self):
+    def test_ask_returns_and_bad_frames_do_not_harm(self):
         world, meshes = World(), {}
 
         async def serve():
--- a/tests/wire/test_messages.py
+++ b/tests/wire/test_messages.py
@@ -6,7 +6,7 @@
 
 
 class MessagesTest(unittest.TestCase):
-    def testMessagesComeBackWhole(self):
+    def test_messages_come_back_whole(self):
         sent = Probe(
             sender=Member(addr="a:1", incarnation=7),
             serial=3,
