--- a/swiftdeck/bench/checker.py
+++ b/swiftdeck/bench/checker.py
@@ -456,7 +456,7 @@
 
 
 def returned_at_once(records, apart, extra):
-    """A call that is given up has its return at once, with a time to come back, not near its horizon."""
+    """A call that is given up has its return at once, with a time to come back, not near its deadline."""
     falls, tries = Falls(records), {}
     ended = defaultdict(int)
     for item in _of(records, "try", "ran", "return"):
@@ -489,10 +489,10 @@
         for item in _of(records, "run")
         if "-" in item["run"]
     ]
-    extras = [atMs for atMs, _, leg in runs if leg > 1]
+    extras = [atMs for atMs, _, attempt in runs if attempt > 1]
     seen = sorted(
         [(item["atMs"], item["marker"]) for item in _of(records, "try")]
-        + [(atMs, marker) for atMs, marker, leg in runs if leg == 1]
+        + [(atMs, marker) for atMs, marker, attempt in runs if attempt == 1]
     )
     times = [atMs for atMs, _ in seen]
     for atMs in extras:
--- a/swiftdeck/bench/measure.py
+++ b/swiftdeck/bench/measure.py
@@ -142,7 +142,7 @@
 
 
 def outage(seed):
-    """Legs for each call while every worker dies midway, on a repeatable route."""
+    """Attempts for each call while every worker dies midway, on a repeatable route."""
     town = Town(seed, routers=3, workers=3).start(cap=50)
     town.world.run(11)
     for worker in town.site.workers:
--- a/swiftdeck/bench/scale.py
+++ b/swiftdeck/bench/scale.py
@@ -13,7 +13,7 @@
 from swiftdeck.bench.measure import spread
 from swiftdeck.board.board import Board
 from swiftdeck.chain.chain import Chain, Durable, Holder
-from swiftdeck.chain.chart import Chart
+from swiftdeck.chain.cluster_map import ClusterMap
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.config.document import key_digest
 from swiftdeck.config.settings import Settings
@@ -22,21 +22,21 @@
 from swiftdeck.gateway.admission import Admission
 from swiftdeck.gateway.following import Following
 from swiftdeck.gateway.health import Judge
+from swiftdeck.gateway.interfaces import Kept, Listed, Part, Reports, Request
 from swiftdeck.gateway.kept import KeptTable
 from swiftdeck.gateway.listing import Listing
 from swiftdeck.gateway.places import Wish
 from swiftdeck.gateway.placing import Placing
-from swiftdeck.gateway.roster import Roster
 from swiftdeck.gateway.routes import RouteTable
-from swiftdeck.gateway.seams import Kept, Listed, Part, Reports, Request
+from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.member.membership import GONE
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.world import World
-from swiftdeck.traffic.licence import ConfigLicence
+from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import (
     KeptNews,
-    LicenceAsk,
+    LeaseAsk,
     ListNews,
     LoadNews,
     Member,
@@ -45,7 +45,7 @@
     View,
     Write,
 )
-from swiftdeck.wire.messages import Roster as Neighbours
+from swiftdeck.wire.messages import WorkerRegistry as Neighbours
 
 WORKERS_EACH, CALLS_EACH_S, REPORT_S, LIST_S, CHANGE_S = 7.5, 0.2, 10.0, 2.0, 2.0
 HOLD_S, WORKER_TOKENS, PROMPT = 0.5, 143_828, (("book", 13_300), ("own", 3_720))
@@ -234,16 +234,16 @@
     def __init__(self, settings, rng, lists, caches, calls_s):
         super().__init__(settings, "router", rng)
         self.meter, self.calls_s = Meter(self.mesh), calls_s
-        self.chart = Chart(self.mesh, self.membership, self.news)
-        self.licence = ConfigLicence(
-            self.me, self.mesh, self.membership, self.chart, self.board, settings.renewMs
+        self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
+        self.lease = ConfigLease(
+            self.me, self.mesh, self.membership, self.cluster_map, self.board, settings.renewMs
         )
-        self.roster, self.kept = Roster(), KeptTable()
+        self.worker_registry, self.kept = WorkerRegistry(), KeptTable()
         self.admission = Admission(
             self.me,
             self.mesh,
             self.membership,
-            self.roster,
+            self.worker_registry,
             self.board,
             lambda worker: WORKER_TOKENS,
         )
@@ -252,13 +252,19 @@
         )
         self.admission.on_read = self.following.will_keep
         self.listing = Listing(
-            self.me, self.mesh, self.membership, lists, self.roster, self.board, settings.listMs
+            self.me,
+            self.mesh,
+            self.membership,
+            lists,
+            self.worker_registry,
+            self.board,
+            settings.listMs,
         )
 
     async def start(self, load_s):
         """Join, and place calls after a while."""
         await self.start_node()
-        for part in (self.chart, self.licence, self.admission, self.listing):
+        for part in (self.cluster_map, self.lease, self.admission, self.listing):
             part.start()
         await asyncio.sleep(load_s)
         self.following.start()
@@ -267,10 +273,10 @@
             asyncio.ensure_future(self._call())
 
     async def _call(self):
-        if self.roster.workers:
+        if self.worker_registry.workers:
             call, worker = (
                 f"{self.me.name}/{self.random.getrandbits(60):x}",
-                self.random.choice(list(self.roster.workers)),
+                self.random.choice(list(self.worker_registry.workers)),
             )
             wish = Wish(
                 call,
@@ -365,7 +371,7 @@
         routers = [self.up[each] for each in self.routers]
         self.world.run(
             until=lambda: all(
-                each.licence.held and each.licence.held.version > base for each in routers
+                each.lease.held and each.lease.held.version > base for each in routers
             ),
             limit_s=20,
         )
@@ -528,11 +534,11 @@
     """One hollow router that knows so many others and so many workers, and is not started."""
     settings = Settings(name="here", inner="10.0.0.1:7000", http="10.0.0.1:8080")
     node = HollowRouter(settings, random.Random(1), None, HollowCaches(random.Random(1)), 1.0)
-    for part in (node.membership, node.admission, node.listing, node.licence):
+    for part in (node.membership, node.admission, node.listing, node.lease):
         part.loop = asyncio.get_running_loop()
     for each in members(routers):
         node.membership.learn(each)
-    node.roster.take(listed(workers))
+    node.worker_registry.take(listed(workers))
     return node
 
 
@@ -551,7 +557,9 @@
             "routers": count,
             "bytes": len(bytes(whole)),
             "us": timed(
-                lambda: bytes(node.membership.on_roster(Neighbours().parse(bytes(whole)), "")),
+                lambda: bytes(
+                    node.membership.on_worker_registry(Neighbours().parse(bytes(whole)), "")
+                ),
                 max(1, 400 // count),
             ),
         }
@@ -587,12 +595,12 @@
             "routers": count,
             "us": timed(lambda: node.admission.tell_load("i-lm-pool-000001", 900, 1), 2),
         }
-        yield {"part": "licence at the tail", "routers": count, "us": timed(_licences(count), 50)}
+        yield {"part": "lease at the tail", "routers": count, "us": timed(_leases(count), 50)}
 
 
-def _licences(count):
+def _leases(count):
     chain = object.__new__(Chain)
-    chain.loop, chain.licence_ms, chain.board, chain.may_tell, chain.isLast = (
+    chain.loop, chain.lease_ms, chain.board, chain.may_tell, chain.isLast = (
         asyncio.get_running_loop(),
         4000,
         Board(),
@@ -606,11 +614,11 @@
         f"router{at}/1": Holder(f"10.2.0.{at}:7000", until_s, 7) for at in range(count)
     }
     data = bytes(
-        LicenceAsk(
+        LeaseAsk(
             router="router1/1", addr="10.2.0.1:7000", held=7, digest=chain.durable.config.digest()
         )
     )
-    return lambda: bytes(chain.on_licence_ask(LicenceAsk().parse(data), ""))
+    return lambda: bytes(chain.on_lease_ask(LeaseAsk().parse(data), ""))
 
 
 def parts_by_workers():
@@ -637,10 +645,13 @@
             "us": timed(take, 2),
         }
         board, table, zone = Board(), node.kept, "zone1"
-        placing = Placing(zone, Judge(node.roster, board), table, random.Random(1))
-        for each in list(node.roster.workers)[:3]:
+        placing = Placing(zone, Judge(node.worker_registry, board), table, random.Random(1))
+        for each in list(node.worker_registry.workers)[:3]:
             table.keep(each, "1", *PROMPT[0])
-        workers, salts = node.roster.serving("lm-pool"), dict.fromkeys(node.roster.workers, "1")
+        workers, salts = (
+            node.worker_registry.serving("lm-pool"),
+            dict.fromkeys(node.worker_registry.workers, "1"),
+        )
         long, short = request(), short_request()
         yield {
             "part": "a short request placed",
@@ -659,7 +670,7 @@
             me = node.me.addr
             return [
                 each
-                for each in node.roster.workers.values()
+                for each in node.worker_registry.workers.values()
                 if node.admission.owner(each.name) == me
             ]
 
@@ -667,7 +678,7 @@
             known = node.admission.routers()
             return {
                 name
-                for name in node.roster.workers
+                for name in node.worker_registry.workers
                 if node.admission.owners.of(name, known) == node.me.addr
             }
 
@@ -825,10 +836,10 @@
 async def _over_loopback(times):
     here, there = Mesh("127.0.0.1:23811"), Mesh("127.0.0.1:23812")
     there.on(LoadNews, lambda news, sender: None)
-    there.on(LicenceAsk, lambda ask, sender: None)
+    there.on(LeaseAsk, lambda ask, sender: None)
     news, ask = (
         LoadNews(worker="i-lm-pool-000001", backlog=9000, running=2),
-        LicenceAsk(router="router1/1", addr="10.2.0.1:7000", held=7),
+        LeaseAsk(router="router1/1", addr="10.2.0.1:7000", held=7),
     )
     await here.start()
     await there.start()
--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -23,8 +23,8 @@
     Promise,
     View,
     ViewAsk,
-    ViewLicenceAsk,
-    ViewLicenceReturn,
+    ViewLeaseAsk,
+    ViewLeaseReturn,
     ViewReturn,
 )
 
@@ -49,20 +49,20 @@
     """One core's part in agreeing on views; what it promised is on disk before it says so."""
 
     def __init__(
-        self, folder, mesh, addr, random, licence_ms=2000, board=None, founders=(), may_found=True
+        self, folder, mesh, addr, random, lease_ms=2000, board=None, founders=(), may_found=True
     ):
         self.journal = Journal(folder, "agreement.log")
-        self.mesh, self.addr, self.random, self.licence_ms, self.board = (
+        self.mesh, self.addr, self.random, self.lease_ms, self.board = (
             mesh,
             addr,
             random,
-            licence_ms,
+            lease_ms,
             board,
         )
         self.coreId, self.decided, self.slot = "", View(), Slot()
         self.founders, self.may_found = list(founders), may_found
         self.wait_until_s = 0.0
-        self.licence_until_s = -1.0
+        self.lease_until_s = -1.0
         self.granted_s, self.started_s, self.learned_s = {}, 0.0, 0.0
         self.hears, self.is_partial = [], lambda: False
         self.watchers, self.fault, self.troubles = [], None, []
@@ -72,7 +72,7 @@
             (Accept, self.on_accept),
             (Decided, self.on_decided),
             (ViewAsk, self.on_view_ask),
-            (ViewLicenceAsk, self.on_licence_ask),
+            (ViewLeaseAsk, self.on_lease_ask),
         ):
             mesh.on(kind, handler)
 
@@ -95,14 +95,14 @@
         return None
 
     def _wait_out(self, wait_ms=None):
-        """Let the licences of the views before this one run out first: those of the last by `wait_ms`, if it is known."""
-        licence_s, now_s = self.licence_ms / 1000 * 1.05, self.loop.time()
+        """Let the leases of the views before this one run out first: those of the last by `wait_ms`, if it is known."""
+        lease_s, now_s = self.lease_ms / 1000 * 1.05, self.loop.time()
         until_s = (
-            now_s + licence_s
+            now_s + lease_s
             if wait_ms is None
-            else max(now_s + wait_ms / 1000, self.learned_s + licence_s)
+            else max(now_s + wait_ms / 1000, self.learned_s + lease_s)
         )
-        self.wait_until_s = max(self.wait_until_s, min(until_s, now_s + licence_s))
+        self.wait_until_s = max(self.wait_until_s, min(until_s, now_s + lease_s))
 
     def _restore(self, record):
         if record["k"] == "me":
@@ -175,9 +175,9 @@
         return members.index(self.coreId) if self.coreId in members else -1
 
     def mayServe(self):
-        """Whether the view licence holds now; a new view first waits out the licence of the old."""
+        """Whether the view lease holds now; a new view first waits out the lease of the old."""
         now_s = self.loop.time()
-        return self.decided.number > 0 and self.wait_until_s <= now_s < self.licence_until_s
+        return self.decided.number > 0 and self.wait_until_s <= now_s < self.lease_until_s
 
     def _refusal(self, ask, least_ballot):
         if ask.slot <= self.decided.number:
@@ -223,12 +223,12 @@
             )
 
     def _left_ms(self, view):
-        """How long a licence that this voter gave to a member left out of a view may still last."""
+        """How long a lease that this voter gave to a member left out of a view may still last."""
         dropped = set(ids(self.decided.members)) - set(ids(view.members))
         last_s = max(
             (self.granted_s.get(coreId, self.started_s) for coreId in dropped), default=None
         )
-        left_s = 0 if last_s is None else last_s + self.licence_ms / 1000 * 1.05 - self.loop.time()
+        left_s = 0 if last_s is None else last_s + self.lease_ms / 1000 * 1.05 - self.loop.time()
         return max(0, math.ceil(left_s * 1000))
 
     async def on_decided(self, news, sender):
@@ -237,7 +237,7 @@
     async def learn(self, view, wait_ms=None):
         """Take a decided view in, if it is newer; a disk that fails may forget it, for it can be heard again.
 
-        `wait_ms` is how long a dropped member may go on under the view before; a whole licence if it is not known.
+        `wait_ms` is how long a dropped member may go on under the view before; a whole lease if it is not known.
         """
         async with self.busy:
             if view.number <= self.decided.number:
@@ -250,7 +250,7 @@
             if not is_next or set(ids(self.decided.members)) - set(ids(view.members)):
                 self._wait_out(wait_ms if is_next else None)
             self.decided, self.slot = view, Slot()
-            self.licence_until_s, self.learned_s = -1.0, self.loop.time()
+            self.lease_until_s, self.learned_s = -1.0, self.loop.time()
         if self.board:
             self.board.count["views"] += 1
             self.board.put(
@@ -280,9 +280,9 @@
             return f"{DISK_SLOW.code} {DISK_SLOW.name}"
         return f"{self.fault.code} {self.fault.reason}" if self.fault is not None else ""
 
-    def on_licence_ask(self, ask, sender):
+    def on_lease_ask(self, ask, sender):
         if ask.number < self.decided.number:
-            return ViewLicenceReturn(granted=False, decided=self.decided)
+            return ViewLeaseReturn(granted=False, decided=self.decided)
         granted = (
             ask.number == self.decided.number
             and self.is_voter()
@@ -291,21 +291,21 @@
         )
         if granted:
             self.granted_s[ask.coreId] = self.loop.time()
-        return ViewLicenceReturn(granted=granted)
+        return ViewLeaseReturn(granted=granted)
 
     async def renew(self):
-        """Ask the voters for the licence of the present view."""
+        """Ask the voters for the lease of the present view."""
         view, sentS = self.decided, self.loop.time()
         if not view.number:
             return
-        ask = ViewLicenceAsk(number=view.number, coreId=self.coreId)
+        ask = ViewLeaseAsk(number=view.number, coreId=self.coreId)
         least = len(view.voters) // 2 + 1
-        got = (await self._ask_all(view.voters, ask, self.licence_ms // 4, least)).values()
+        got = (await self._ask_all(view.voters, ask, self.lease_ms // 4, least)).values()
         newer = [each.decided for each in got if each and each.decided.number > self.decided.number]
         for each in newer:
             await self.learn(each)
         if sum(bool(each and each.granted) for each in got) >= least and view is self.decided:
-            self.licence_until_s = max(self.licence_until_s, sentS + self.licence_ms / 1000 * 0.95)
+            self.lease_until_s = max(self.lease_until_s, sentS + self.lease_ms / 1000 * 0.95)
 
     async def _ask_all(self, refs, ask, timeout_ms, least):
         """What each gives back by its place, without waiting for the rest once so many have granted."""
@@ -324,7 +324,7 @@
             handler = {
                 Prepare: self.on_prepare,
                 Accept: self.on_accept,
-                ViewLicenceAsk: self.on_licence_ask,
+                ViewLeaseAsk: self.on_lease_ask,
             }[type(ask)]
             got = handler(ask, self.addr)
             return await self._bounded(got, timeoutMs) if asyncio.iscoroutine(got) else got
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -29,8 +29,8 @@
     ConfigReturn,
     CopyAsk,
     CopyReturn,
-    LicenceAsk,
-    LicenceReturn,
+    LeaseAsk,
+    LeaseReturn,
     Nudge,
     OutcomeAsk,
     OutcomeReturn,
@@ -55,7 +55,7 @@
 
 @attrs.define
 class Holder:
-    """A router that may hold a licence for a configuration."""
+    """A router that may hold a lease for a configuration."""
 
     addr: str
     until_s: float
@@ -72,7 +72,7 @@
         mesh,
         agreement,
         board,
-        licence_ms=4000,
+        lease_ms=4000,
         rewrite_bytes=1 << 20,
         ackWaitMs=0,
         losses_borne=1,
@@ -80,7 +80,7 @@
     ):
         self.journal = Journal(folder, "chain.log")
         self.mesh, self.agreement, self.board = mesh, agreement, board
-        self.licence_ms, self.rewrite_bytes, self.ackWaitMs = licence_ms, rewrite_bytes, ackWaitMs
+        self.lease_ms, self.rewrite_bytes, self.ackWaitMs = lease_ms, rewrite_bytes, ackWaitMs
         self.losses_borne = losses_borne
         self.state, self.serial, self.entries, self.synced = ChainState(**bounds), 0, {}, 0
         self.durable = Durable(0, self.state.config)
@@ -99,7 +99,7 @@
             (OutcomeAsk, self.on_outcome_ask),
             (ConfigAsk, self.on_config_ask),
             (PeekAsk, self.on_peek_ask),
-            (LicenceAsk, self.on_licence_ask),
+            (LeaseAsk, self.on_lease_ask),
         ):
             mesh.on(kind, handler)
 
@@ -509,7 +509,7 @@
         return min((at_s for known, at_s in self.known_s.items() if known >= version), default=None)
 
     def is_in_force(self, version):
-        """Whether every router that may hold a licence has confirmed a version; without knowledge, all may.
+        """Whether every router that may hold a lease has confirmed a version; without knowledge, all may.
 
         Where `ackWaitMs` is set, a version that this tail has had for so long counts as confirmed.
         """
@@ -517,7 +517,7 @@
         known_s = self._known_since(version) if self.ackWaitMs else None
         if known_s is not None and now_s >= known_s + self.ackWaitMs / 1000:
             return True
-        if now_s < self.whole_since_s + self.licence_ms / 1000:
+        if now_s < self.whole_since_s + self.lease_ms / 1000:
             return False
         return all(
             holder.held >= version or holder.until_s <= now_s for holder in self.holders.values()
@@ -540,26 +540,26 @@
             return NOT_TAIL
         return ConfigReturn(version=self.durable.version, document=self.durable.config.bytes())
 
-    def on_licence_ask(self, ask, sender):
+    def on_lease_ask(self, ask, sender):
         if not self.may_tell():
             return NOT_TAIL
         now_s, durable = self.loop.time(), self.durable
         if ask.hand_back:
             self.holders.pop(ask.router, None)
             self._wake_committers()
-            return LicenceReturn(version=durable.version)
+            return LeaseReturn(version=durable.version)
         if ask.held > durable.version:
             return OLD_VIEW.because("router knows a newer version")
         old = self.holders.get(ask.router)
         held = max(ask.held, old.held if old else 0)
         self.holders[ask.router] = Holder(
-            ask.addr, now_s + self.licence_ms / 1000, held, old.nudged if old else 0
+            ask.addr, now_s + self.lease_ms / 1000, held, old.nudged if old else 0
         )
         self.holders = {name: each for name, each in self.holders.items() if each.until_s > now_s}
         if held >= durable.version:
             self._wake_committers()
-        told = LicenceReturn(
-            licence_ms=self.licence_ms,
+        told = LeaseReturn(
+            lease_ms=self.lease_ms,
             routers=len(self.holders),
             version=durable.version,
             view=self.agreement.decided.number,
--- a/swiftdeck/chain/scribe.py
+++ b/swiftdeck/chain/change_writer.py
@@ -25,11 +25,11 @@
 NEVER_TAKEN = {UNREACHABLE.code, NOT_HEAD.code, NO_VIEW.code}
 
 
-class Scribe:
+class ChangeWriter:
     """Writes through the chain; what may have been taken is undecided until the tail knows, never refused."""
 
-    def __init__(self, mesh, chart):
-        self.mesh, self.chart = mesh, chart
+    def __init__(self, mesh, cluster_map):
+        self.mesh, self.cluster_map = mesh, cluster_map
 
     async def write(self, changeId: str, change: dict, horizonMs=11000):
         """The outcome of a change, a refusal, or undecided."""
@@ -39,7 +39,7 @@
         may_be_taken, last = False, NO_VIEW
         while loop.time() < end_s:
             left_ms = int((end_s - loop.time()) * 1000) + 1
-            head = self.chart.head()
+            head = self.cluster_map.head()
             got = (
                 NO_VIEW
                 if head is None
@@ -61,7 +61,7 @@
                 )
             may_be_taken = may_be_taken or got.code not in NEVER_TAKEN
             last = got
-            self.chart.refresh()
+            self.cluster_map.refresh()
             await asyncio.sleep(0.1)
         return (
             UNDECIDED.because(f"{changeId}: {last.reason or last.name}")
@@ -82,7 +82,7 @@
         end_s, last = loop.time() + horizonMs / 1000, NOT_TAIL
         while loop.time() < end_s:
             left_ms = max(1, int((end_s - loop.time()) * 1000))
-            tail, waitMs = self.chart.tail(), min(1000, left_ms)
+            tail, waitMs = self.cluster_map.tail(), min(1000, left_ms)
             got = (
                 NOT_TAIL
                 if tail is None
@@ -96,7 +96,7 @@
             if got.code == UNKNOWN_CHANGE.code and left_ms <= 1100:
                 return got
             if got.code != UNKNOWN_CHANGE.code:
-                self.chart.refresh()
+                self.cluster_map.refresh()
                 await asyncio.sleep(0.05)
         return last if last.code == UNKNOWN_CHANGE.code else UNDECIDED.because(changeId)
 
@@ -105,7 +105,7 @@
         loop = asyncio.get_running_loop()
         end_s, got = loop.time() + horizonMs / 1000, NOT_TAIL
         while loop.time() < end_s:
-            tail = self.chart.tail()
+            tail = self.cluster_map.tail()
             got = NOT_TAIL if tail is None else await self.mesh.ask(tail, ask, 1000)
             if not is_fault(got) or got.code not in (
                 NOT_TAIL.code,
@@ -114,6 +114,6 @@
                 OLD_VIEW.code,
             ):
                 return got
-            self.chart.refresh()
+            self.cluster_map.refresh()
             await asyncio.sleep(0.1)
         return got
--- a/swiftdeck/chain/chart.py
+++ b/swiftdeck/chain/cluster_map.py
@@ -6,7 +6,7 @@
 from swiftdeck.wire.messages import View, ViewAsk
 
 
-class Chart:
+class ClusterMap:
     """Follows the view by news, and asks the cores when it seems old."""
 
     def __init__(self, mesh, membership, news):
--- a/swiftdeck/chain/mender.py
+++ b/swiftdeck/chain/view_manager.py
@@ -11,7 +11,7 @@
 FOUNDERS_WAIT_S = 5.0
 
 
-class Mender:
+class ViewManager:
     """The controller of the view: compares what neighbours say with the view and proposes the next."""
 
     def __init__(
@@ -59,8 +59,8 @@
     async def _renewing(self):
         while True:
             await self.agreement.renew()
-            is_held = self.loop.time() < self.agreement.licence_until_s
-            await asyncio.sleep(self.agreement.licence_ms / 4000 if is_held else 0.1)
+            is_held = self.loop.time() < self.agreement.lease_until_s
+            await asyncio.sleep(self.agreement.lease_ms / 4000 if is_held else 0.1)
 
     async def _mending(self):
         while True:
--- a/swiftdeck/control/archive.py
+++ b/swiftdeck/control/archive.py
@@ -21,8 +21,14 @@
 class Archive:
     """Each version that the tail answers with becomes a commit; a failure is counted and the version left out."""
 
-    def __init__(self, path, chain, scribe, board, wall=time.time):
-        self.path, self.chain, self.scribe, self.board, self.wall = path, chain, scribe, board, wall
+    def __init__(self, path, chain, change_writer, board, wall=time.time):
+        self.path, self.chain, self.change_writer, self.board, self.wall = (
+            path,
+            chain,
+            change_writer,
+            board,
+            wall,
+        )
         self.waiting, self.pool = deque(maxlen=1000), ThreadPoolExecutor(1)
         chain.state.on_config = self.on_config
 
@@ -37,7 +43,7 @@
     async def _keeping(self):
         while True:
             await asyncio.sleep(1.0)
-            got = await self.scribe.read_tail(ConfigAsk()) if self.waiting else None
+            got = await self.change_writer.read_tail(ConfigAsk()) if self.waiting else None
             while (
                 got
                 and not is_fault(got)
--- a/swiftdeck/control/client.py
+++ b/swiftdeck/control/client.py
@@ -87,7 +87,7 @@
             "position",
             "mayServe",
             "trouble",
-            "licence",
+            "lease",
             "open",
             "running",
             "stopping",
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -4,9 +4,9 @@
 
 from swiftdeck.chain.agreement import Agreement
 from swiftdeck.chain.chain import Chain
-from swiftdeck.chain.chart import Chart
-from swiftdeck.chain.mender import Mender
-from swiftdeck.chain.scribe import Scribe
+from swiftdeck.chain.change_writer import ChangeWriter
+from swiftdeck.chain.cluster_map import ClusterMap
+from swiftdeck.chain.view_manager import ViewManager
 from swiftdeck.control.archive import Archive
 from swiftdeck.control.node import Node
 from swiftdeck.control.operators import Operators
@@ -43,9 +43,9 @@
             claimsMost=settings.claimsMost,
         )
         self.ballots = Ballots(self.mesh, self.agreement, settings.dutyLicenceMs)
-        self.chart = Chart(self.mesh, self.membership, self.news)
-        self.scribe = Scribe(self.mesh, self.chart)
-        self.mender = Mender(
+        self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
+        self.change_writer = ChangeWriter(self.mesh, self.cluster_map)
+        self.view_manager = ViewManager(
             self.me,
             self.mesh,
             self.membership,
@@ -58,7 +58,7 @@
         )
         path = getattr(folder, "path", None)
         self.archive = (
-            Archive(str(path / "history"), self.chain, self.scribe, self.board)
+            Archive(str(path / "history"), self.chain, self.change_writer, self.board)
             if path and settings.archive
             else None
         )
@@ -87,9 +87,9 @@
         await self.mesh.start()
         self.membership.start()
         self.news.start()
-        self.chart.learn(self.agreement.decided)
-        self.chart.start()
-        self.mender.start()
+        self.cluster_map.learn(self.agreement.decided)
+        self.cluster_map.start()
+        self.view_manager.start()
         if self.archive:
             self.archive.start()
         ip, _, port = self.settings.http.rpartition(":")
@@ -99,7 +99,7 @@
 
     def on_view(self, view):
         """Tell the fleet of a new view."""
-        self.chart.learn(view)
+        self.cluster_map.learn(view)
         self.news.post("view", view.number, bytes(view))
 
     async def stop(self):
--- a/swiftdeck/control/doctor.py
+++ b/swiftdeck/control/doctor.py
@@ -25,8 +25,8 @@
         "view has too few members",
         "Start the missing core; while one member is alone nothing is acknowledged.",
     ),
-    707: ("view licence is not held", "Bring back a majority of the voters."),
-    708: ("configuration licence lapsed", "Check the links from this router to the cores."),
+    707: ("view lease is not held", "Bring back a majority of the voters."),
+    708: ("configuration lease lapsed", "Check the links from this router to the cores."),
     709: ("workers' list is old", "Check the platform's address and its links."),
     710: (
         "configuration versions differ",
@@ -44,7 +44,7 @@
     714: ("processes know different views", "Wait some seconds; if it stays, look at the links."),
     715: (
         "clock runs at another rate",
-        "Mend the machine's clock source; licences allow for five in a hundred.",
+        "Mend the machine's clock source; leases allow for five in a hundred.",
     ),
     716: ("no configuration", "Put one with `swiftdeck ctl put`."),
     717: (
@@ -177,7 +177,7 @@
 
 def _routers(statuses):
     for name, each in _of(statuses, "router").items():
-        if not each["licence"]:
+        if not each["lease"]:
             yield finding(708, name)
         if not each["list"]["fresh"]:
             yield finding(709, f"{name}: {each['list']['ageMs']} ms")
--- a/swiftdeck/control/node.py
+++ b/swiftdeck/control/node.py
@@ -50,7 +50,7 @@
         return len(asyncio.all_tasks())
 
     def clockMs(self):
-        """The clock by which this process keeps its licences."""
+        """The clock by which this process keeps its leases."""
         return int(asyncio.get_running_loop().time() * 1000)
 
     def neighbours(self):
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -41,7 +41,7 @@
 
     async def _config(self, exchange, method):
         if method == "GET":
-            got = await self.core.scribe.read_tail(ConfigAsk())
+            got = await self.core.change_writer.read_tail(ConfigAsk())
             if is_fault(got):
                 return got
             return await exchange.give(
@@ -76,12 +76,12 @@
                 "author": asked.get("author", ""),
                 "document": asked["document"],
             }
-            got = await self.core.scribe.write(asked["id"], entry)
+            got = await self.core.change_writer.write(asked["id"], entry)
             if not is_fault(got):
                 self.core.board.count["changesTaken"] += 1
                 return 200, {"code": 0, "changeId": asked["id"], "version": got.version}, []
             fault = got
-        self.core.board.count["faults.%d" % fault.code] += 1
+        self.core.board.count[f"faults.{fault.code}"] += 1
         told = fault.as_body()
         if isinstance(asked, dict) and isinstance(asked.get("id"), str):
             told["changeId"] = asked["id"]
@@ -123,7 +123,7 @@
         exchange.finish()
 
     async def _outcome(self, exchange, changeId):
-        got = await self.core.scribe.outcome(changeId, 1500)
+        got = await self.core.change_writer.outcome(changeId, 1500)
         if is_fault(got):
             return got
         return await exchange.give(200, {"code": 0, "changeId": changeId, "version": got.version})
--- a/swiftdeck/duty/ballots.py
+++ b/swiftdeck/duty/ballots.py
@@ -1,4 +1,4 @@
-"""Votes of one core on who does a duty; kept in memory, so a new start casts none for one licence."""
+"""Votes of one core on who does a duty; kept in memory, so a new start casts none for one lease."""
 
 import asyncio
 
@@ -21,8 +21,8 @@
 class Ballots:
     """The table of votes of one core."""
 
-    def __init__(self, mesh, agreement, licence_ms=3000):
-        self.agreement, self.licence_ms = agreement, licence_ms
+    def __init__(self, mesh, agreement, lease_ms=3000):
+        self.agreement, self.lease_ms = agreement, lease_ms
         self.casts = {}
         agreement.watchers.append(self.on_view)
         mesh.on(Nominate, self.on_nominate)
@@ -30,12 +30,12 @@
     def start(self):
         """Begin, voting for nobody yet."""
         self.loop = asyncio.get_running_loop()
-        self.quiet_until_s = self.loop.time() + self.licence_ms / 1000
+        self.quiet_until_s = self.loop.time() + self.lease_ms / 1000
         self.was_voter = self.agreement.is_voter()
 
     def on_view(self, view):
         if self.agreement.is_voter() and not self.was_voter:
-            self.quiet_until_s = self.loop.time() + self.licence_ms / 1000
+            self.quiet_until_s = self.loop.time() + self.lease_ms / 1000
         self.was_voter = self.agreement.is_voter()
 
     def on_nominate(self, ask, sender):
@@ -65,5 +65,5 @@
                 addr=held.addr if held else "",
                 left_ms=max(0, int(left_s * 1000)),
             )
-        self.casts[ask.duty] = Cast(ask.term, ask.holder, ask.addr, now_s + self.licence_ms / 1000)
+        self.casts[ask.duty] = Cast(ask.term, ask.holder, ask.addr, now_s + self.lease_ms / 1000)
         return Vote(granted=True, term=ask.term)
--- a/swiftdeck/duty/duty.py
+++ b/swiftdeck/duty/duty.py
@@ -1,4 +1,4 @@
-"""A duty that this process may hold: won by ballots, held by licence."""
+"""A duty that this process may hold: won by ballots, held by lease."""
 
 import asyncio
 import json
@@ -10,9 +10,15 @@
 class Duty:
     """Stands for a duty whenever it is vacant, and renews it while held; a term that has lapsed is never renewed."""
 
-    def __init__(self, name, me, mesh, news, chart, random, licence_ms=3000, board=None):
-        self.name, self.me, self.mesh, self.news, self.chart = name, me, mesh, news, chart
-        self.random, self.licence_ms, self.board = random, licence_ms, board
+    def __init__(self, name, me, mesh, news, cluster_map, random, lease_ms=3000, board=None):
+        self.name, self.me, self.mesh, self.news, self.cluster_map = (
+            name,
+            me,
+            mesh,
+            news,
+            cluster_map,
+        )
+        self.random, self.lease_ms, self.board = random, lease_ms, board
         self.holder = f"{me.name}/{me.incarnation:x}"
         self.term, self.until_s, self.seen_term = 0, -1.0, 0
         self.wants = True
@@ -31,7 +37,7 @@
             if self.is_held():
                 await self._ask(self.term)
                 await asyncio.sleep(0.5)
-            elif self.wants and self.chart.voters():
+            elif self.wants and self.cluster_map.voters():
                 await self._stand()
             else:
                 await asyncio.sleep(0.2)
@@ -54,24 +60,24 @@
         await asyncio.sleep(min(max(left_ms, 100), 1000) / 1000 + self.random.uniform(0.02, 0.4))
 
     async def _ask(self, term, release=False):
-        view, sentS = self.chart.view, self.loop.time()
+        view, sentS = self.cluster_map.view, self.loop.time()
         ask = Nominate(
             view=view.number,
             duty=self.name,
             term=term,
             holder=self.holder,
             addr=self.me.addr,
-            licence_ms=self.licence_ms,
+            lease_ms=self.lease_ms,
             release=release,
         )
         got = await asyncio.gather(*(self.mesh.ask(ref.addr, ask, 800) for ref in view.voters))
         votes = [vote for vote in got if not is_fault(vote)]
         if any(is_fault(vote) for vote in got):
-            self.chart.refresh()
+            self.cluster_map.refresh()
         self.seen_term = max([self.seen_term, *(vote.term for vote in votes)])
         won = sum(vote.granted for vote in votes) * 2 > len(view.voters) > 0
         if won and not release and (term > self.term or self.is_held()):
-            self.until_s = sentS + self.licence_ms / 1000 * 0.95
+            self.until_s = sentS + self.lease_ms / 1000 * 0.95
         return won, votes
 
     async def hand_back(self):
--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -16,16 +16,16 @@
         me,
         mesh,
         membership,
-        roster,
+        worker_registry,
         board,
         memory_of,
         on_read=lambda worker, salt, parts, sizes, is_cold: None,
     ):
-        self.me, self.mesh, self.membership, self.roster, self.board = (
+        self.me, self.mesh, self.membership, self.worker_registry, self.board = (
             me,
             mesh,
             membership,
-            roster,
+            worker_registry,
             board,
         )
         self.memory_of, self.on_read = memory_of, on_read
@@ -91,7 +91,7 @@
     def _unasked(self, wish):
         """The owner is silent: this router's share of K stands until another one owns the book."""
         self.board.count["placesUnasked"] += 1
-        worker = self.roster.workers.get(wish.worker)
+        worker = self.worker_registry.workers.get(wish.worker)
         share = max(
             1,
             int(self.memory_of(wish.worker) * FILL / max(1, wish.tokens))
@@ -136,7 +136,7 @@
                 self.mesh.cast(each.addr, news)
 
     def on_load_news(self, news, sender):
-        worker = self.roster.workers.get(news.worker)
+        worker = self.worker_registry.workers.get(news.worker)
         if worker:
             worker.backlog, worker.backlog_s = news.backlog, self.loop.time()
 
@@ -150,7 +150,7 @@
             self.books.tick(
                 {
                     name
-                    for name in self.roster.workers
+                    for name in self.worker_registry.workers
                     if self.owners.of(name, routers) == self.me.addr
                 }
             )
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -46,7 +46,7 @@
             me = self.admission.me.addr
             wanted = {
                 worker.name: worker.listed.addr
-                for worker in self.admission.roster.workers.values()
+                for worker in self.admission.worker_registry.workers.values()
                 if worker.listed.weights and self.admission.owner(worker.name) == me
             }
             wanted |= {addr: addr for addr in self.stores if self.admission.owner(addr) == me}
@@ -58,7 +58,7 @@
             for holder in [
                 each
                 for each in self.kept.by_holder
-                if each not in self.admission.roster.workers and each not in self.stores
+                if each not in self.admission.worker_registry.workers and each not in self.stores
             ]:
                 self.kept.forget(holder)
             self.kept.lapse(asyncio.get_running_loop().time())
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -3,23 +3,23 @@
 import asyncio
 from collections import Counter
 
-from swiftdeck.chain.chart import Chart
+from swiftdeck.chain.cluster_map import ClusterMap
 from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
-from swiftdeck.fault import BAD_OPERATOR, NO_LICENCE, NO_ROUTE, NOT_FOUND, UNKNOWN_KEY, is_fault
+from swiftdeck.fault import BAD_OPERATOR, NO_LEASE, NO_ROUTE, NOT_FOUND, UNKNOWN_KEY, is_fault
 from swiftdeck.gateway.admission import Admission
 from swiftdeck.gateway.following import Following
 from swiftdeck.gateway.health import Judge
 from swiftdeck.gateway.kept import KeptTable
 from swiftdeck.gateway.listing import Listing
-from swiftdeck.gateway.passage import Passage
 from swiftdeck.gateway.placing import Placing
 from swiftdeck.gateway.pool import Pool
-from swiftdeck.gateway.roster import Roster
+from swiftdeck.gateway.proxied_request import ProxiedRequest
 from swiftdeck.gateway.routes import RouteTable
 from swiftdeck.gateway.share import BudgetShare
+from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.http.server import HttpServer
-from swiftdeck.traffic.licence import ConfigLicence
+from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.wire.messages import SwapNews, WorkerNews
 
 OLD_MOST_S = 6.0
@@ -34,17 +34,17 @@
         super().__init__(settings, "router", random, log)
         self.me.http_addr = settings.opsHttp or settings.http
         self.callers_speak, self.workers_speak, lists, caches = dialects
-        self.chart = Chart(self.mesh, self.membership, self.news)
-        self.licence = ConfigLicence(
-            self.me, self.mesh, self.membership, self.chart, self.board, settings.renewMs
+        self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
+        self.lease = ConfigLease(
+            self.me, self.mesh, self.membership, self.cluster_map, self.board, settings.renewMs
         )
-        self.licence.peeks = True
-        self.roster, self.kept = Roster(), KeptTable()
-        self.judge = Judge(self.roster, self.board)
+        self.lease.peeks = True
+        self.worker_registry, self.kept = WorkerRegistry(), KeptTable()
+        self.judge = Judge(self.worker_registry, self.board)
         self.judge.on_trouble = self.tell_trouble
         self.placing = Placing(settings.zone, self.judge, self.kept, random, settings.episodeTokens)
         self.admission = Admission(
-            self.me, self.mesh, self.membership, self.roster, self.board, self.memory_of
+            self.me, self.mesh, self.membership, self.worker_registry, self.board, self.memory_of
         )
         self.following = Following(
             self.admission, self.mesh, self.membership, self.kept, caches, self.board
@@ -53,29 +53,35 @@
         self.pool = Pool(self.board, settings.connectMs)
         self.pool.most = self.connections_most
         self.listing = Listing(
-            self.me, self.mesh, self.membership, lists, self.roster, self.board, settings.listMs
+            self.me,
+            self.mesh,
+            self.membership,
+            lists,
+            self.worker_registry,
+            self.board,
+            settings.listMs,
         )
         self.budget = BudgetShare(
             self.admission.routers,
             settings.budgetShare,
             settings.budgetExtra,
             settings.budgetWindowMs / 1000,
-            lambda: self.licence.routers,
+            lambda: self.lease.routers,
         )
         self.http = HttpServer(self.handle, settings.bodyBytes, note=self.board.note)
         self.ops = HttpServer(self.operate, note=self.board.note) if settings.opsHttp else None
         self.routes, self.named_s, self.tenants = None, {}, {}
         self.stopping, self.open, self.unsettled_s = False, 0, -1e9
-        self.roster.watchers.append(lambda: self.pool.follow(self.roster.workers))
+        self.worker_registry.watchers.append(lambda: self.pool.follow(self.worker_registry.workers))
         self.mesh.on(WorkerNews, self.on_worker_news)
         self.mesh.on(SwapNews, self.on_swap_news)
 
     async def start(self):
         """Join the fleet and serve."""
         self.loop = asyncio.get_running_loop()
-        self.licence.watchers.append(self.on_config)
+        self.lease.watchers.append(self.on_config)
         await self.start_node()
-        for part in (self.chart, self.licence, self.admission, self.listing, self.following):
+        for part in (self.cluster_map, self.lease, self.admission, self.listing, self.following):
             part.start()
         self.task = asyncio.ensure_future(self._watching())
         ip, _, port = self.settings.http.rpartition(":")
@@ -98,7 +104,7 @@
         self.http.stop()
         while self.loop.time() < end_s and self.open:
             await asyncio.sleep(0.02)
-        await self.licence.hand_back()
+        await self.lease.hand_back()
         self.membership.leave()
         await asyncio.sleep(0.02)
         self.board.note("gateway stopped", open=self.open, **self.counters())
@@ -106,7 +112,7 @@
 
     def is_ready(self) -> bool:
         """Whether new connections should come here."""
-        return not self.stopping and self.routes is not None and bool(self.roster.workers)
+        return not self.stopping and self.routes is not None and bool(self.worker_registry.workers)
 
     def on_config(self, held):
         """Compile what each request needs."""
@@ -136,15 +142,13 @@
     @property
     def document(self):
         """The configuration held."""
-        return self.licence.held.document
+        return self.lease.held.document
 
     def service_of(self, worker: str):
         """What the configuration says of a worker's service."""
-        known = self.roster.workers.get(worker)
+        known = self.worker_registry.workers.get(worker)
         return (
-            self.document.services.get(known.listed.service)
-            if known and self.licence.held
-            else None
+            self.document.services.get(known.listed.service) if known and self.lease.held else None
         )
 
     def memory_of(self, worker: str) -> int:
@@ -161,12 +165,10 @@
     def eligible(self, service: str, model: str):
         """Workers that may take a request: ready, not about to be ordered, and on weights that may still be served."""
         now_s = self.loop.time()
-        serving = self.roster.serving(service)
+        serving = self.worker_registry.serving(service)
         newest, since_s = self._newest(model)
         since_s = max(since_s, min(self.unsettled_s, since_s + OLD_MOST_S))
-        may_be_old = (
-            now_s - since_s < self.settings.oldWeightsMs / 1000 or not self.licence.is_held()
-        )
+        may_be_old = now_s - since_s < self.settings.oldWeightsMs / 1000 or not self.lease.is_held()
         fit = [
             each
             for each in serving
@@ -180,10 +182,10 @@
         seen = None
         while True:
             now = (
-                self.chart.view.number,
+                self.cluster_map.view.number,
                 frozenset(each.incarnation for each in self.membership.alive("core")),
             )
-            if now != seen or not self.licence.is_held() or self.licence.failures:
+            if now != seen or not self.lease.is_held() or self.lease.failures:
                 seen, self.unsettled_s = now, self.loop.time()
             await asyncio.sleep(0.25)
 
@@ -227,18 +229,18 @@
                 self.mesh.cast(each.addr, WorkerNews(worker=worker.name, for_ms=for_ms))
 
     def on_worker_news(self, news, sender):
-        worker = self.roster.workers.get(news.worker)
+        worker = self.worker_registry.workers.get(news.worker)
         if worker and self.loop.time() - worker.answered_s > 0.1:
             self.judge.shun(worker, min(news.for_ms, 2000) / 1000)
 
     def on_swap_news(self, news, sender):
         now_s = self.loop.time()
         for name in news.workers:
-            worker = self.roster.workers.get(name)
+            worker = self.worker_registry.workers.get(name)
             if worker:
                 worker.swapping_until_s = now_s + news.for_ms / 1000
                 if news.version:
-                    self.roster.learn(worker, {news.model: news.version})
+                    self.worker_registry.learn(worker, {news.model: news.version})
 
     async def handle(self, exchange):
         """One request of a client."""
@@ -248,7 +250,7 @@
         if is_fault(request):
             return await self.refuse(exchange, request, None)
         if self.routes is None:
-            return await self.refuse(exchange, NO_LICENCE, request)
+            return await self.refuse(exchange, NO_LEASE, request)
         route = self.routes.find(request.host, request.path)
         if route is None:
             return await self.refuse(exchange, NO_ROUTE, request)
@@ -256,11 +258,11 @@
         edition = self.document.edition.get(OPERATOR)
         if not tenant and not route.path.public and (edition is None or edition.keyed):
             return await self.refuse(exchange, UNKNOWN_KEY, request)
-        passage = Passage(self, exchange, request, route, tenant, start_s)
-        self.budget.call(passage.service)
+        proxied_request = ProxiedRequest(self, exchange, request, route, tenant, start_s)
+        self.budget.call(proxied_request.service)
         self.open += 1
         try:
-            return await passage.serve()
+            return await proxied_request.serve()
         finally:
             self.open -= 1
 
@@ -286,7 +288,7 @@
 
     def status(self):
         """What doctor and operators want to know of this process."""
-        view = self.chart.view
+        view = self.cluster_map.view
         return {
             "name": self.me.name,
             "role": "router",
@@ -298,8 +300,8 @@
                 "members": [ref.addr for ref in view.members],
                 "voters": [ref.addr for ref in view.voters],
             },
-            "version": self.licence.held.version if self.licence.held else 0,
-            "licence": self.licence.is_held(),
+            "version": self.lease.held.version if self.lease.held else 0,
+            "lease": self.lease.is_held(),
             "list": {
                 "ageMs": self.listing.age_ms(),
                 "fresh": self.listing.age_ms() <= self.settings.listOldMs,
@@ -312,7 +314,7 @@
                     "running": each.running,
                     "shunned": each.shunned_until_s > self.loop.time(),
                 }
-                for each in self.roster.workers.values()
+                for each in self.worker_registry.workers.values()
             },
             "books": self.admission.books.status(),
             "keeps": [],
@@ -320,7 +322,7 @@
             "shared": self.settings.shared(),
             "tasks": self.task_count(),
             "open": self.open,
-            "running": sum(each.running for each in self.roster.workers.values()),
+            "running": sum(each.running for each in self.worker_registry.workers.values()),
             "neighbours": self.neighbours(),
             "seeds": self.membership.seeds,
             "counters": self.counters(),
--- a/swiftdeck/gateway/health.py
+++ b/swiftdeck/gateway/health.py
@@ -11,8 +11,12 @@
     Never more than half of a service's workers are shunned, so that the rest isn't drowned.
     """
 
-    def __init__(self, roster, board):
-        self.roster, self.board, self.on_trouble = roster, board, lambda worker, for_ms: None
+    def __init__(self, worker_registry, board):
+        self.worker_registry, self.board, self.on_trouble = (
+            worker_registry,
+            board,
+            lambda worker, for_ms: None,
+        )
 
     def _now(self):
         return asyncio.get_running_loop().time()
--- a/swiftdeck/gateway/seams.py
+++ b/swiftdeck/gateway/interfaces.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Errand:
+class UpstreamRequest:
     """What an attempt tells its worker besides the request itself."""
 
     worker: str
@@ -111,7 +111,7 @@
 class WorkerDialect(typing.Protocol):
     """How workers are spoken to and how their answers read."""
 
-    def head(self, request: Request, errand: Errand) -> list: ...
+    def head(self, request: Request, upstream_request: UpstreamRequest) -> list: ...
     def verdict(self, request: Request, status: int, headers: list) -> Verdict: ...
     def passed_on(self, headers: list) -> list: ...
     def version(self, headers: list) -> int | None: ...
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -6,22 +6,31 @@
 import msgspec
 
 from swiftdeck.fault import is_fault
-from swiftdeck.gateway.seams import Listed
+from swiftdeck.gateway.interfaces import Listed
 from swiftdeck.wire.messages import ListNews, ListWish
 
 
 class Listing:
-    """Keeps the roster by the newest reading, its own or another's, with the time at which that was asked for."""
+    """Keeps the worker_registry by the newest reading, its own or another's, with the time at which that was asked for."""
 
     def __init__(
-        self, me, mesh, membership, source, roster, board, every_ms=600, rank_ms=350, reads=True
+        self,
+        me,
+        mesh,
+        membership,
+        source,
+        worker_registry,
+        board,
+        every_ms=600,
+        rank_ms=350,
+        reads=True,
     ):
-        self.me, self.mesh, self.membership, self.source, self.roster, self.board = (
+        self.me, self.mesh, self.membership, self.source, self.worker_registry, self.board = (
             me,
             mesh,
             membership,
             source,
-            roster,
+            worker_registry,
             board,
         )
         self.every_ms, self.rank_ms, self.reads = every_ms, rank_ms, reads
@@ -90,7 +99,7 @@
         self.read_s = max(asked_s, self.read_s)
         if digest != self.digest:
             self.digest, self.body = digest, body
-            self.roster.take(msgspec.json.decode(body, type=list[Listed]))
+            self.worker_registry.take(msgspec.json.decode(body, type=list[Listed]))
 
     def on_news(self, news, sender):
         asked_s = self.loop.time() - news.age_ms / 1000
--- a/swiftdeck/gateway/placing.py
+++ b/swiftdeck/gateway/placing.py
@@ -11,7 +11,7 @@
 
 
 class Placing:
-    """Reads the roster, the judge and the table of what is kept, and changes none of them."""
+    """Reads the worker_registry, the judge and the table of what is kept, and changes none of them."""
 
     def __init__(self, zone, judge, kept, random, long_tokens=2048, virtual_places=64):
         self.zone, self.judge, self.kept, self.random = zone, judge, kept, random
@@ -117,7 +117,7 @@
         moved = min(lacks, max(0, elsewhere - (size - lacks)))
         return max(0, request.prompt_tokens - size), lacks - moved, moved
 
-    def source(self, request, worker, salt, roster, store):
+    def source(self, request, worker, salt, worker_registry, store):
         """The address to fetch a long prompt's shared parts from, empty where the worker keeps them or nobody does."""
         shared = request.shared()
         if not shared or not self.is_long(request):
@@ -129,7 +129,7 @@
         best, most = "", here
         for name in self.kept.holders(salt, shared):
             held = self.kept.tokens(name, salt, shared)
-            peer = roster.workers.get(name)
+            peer = worker_registry.workers.get(name)
             is_up = peer is not None and peer.shunned_until_s <= asyncio.get_running_loop().time()
             addr = (
                 peer.listed.addr
--- a/swiftdeck/gateway/passage.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -19,16 +19,16 @@
     WORKER_LOST,
     is_fault,
 )
+from swiftdeck.gateway.interfaces import PROMISES, UpstreamRequest, Verdict
 from swiftdeck.gateway.ledger import Attempt, Ledger, Move, next_move
 from swiftdeck.gateway.places import Wish
-from swiftdeck.gateway.seams import PROMISES, Errand, Verdict
 
 EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)\r?\n")
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 MARGIN_S, WAIT_SHARE, ASKED_MOST = 0.015, 0.2, 6
 
 
-class Passage:
+class ProxiedRequest:
     """Drives one request to its final answer."""
 
     def __init__(self, gateway, exchange, request, route, tenant, start_s):
@@ -102,7 +102,9 @@
             workers if self.ledger.repeatable else []
         )
         salts = {each.name: gateway.salt(request.model, each, self.tenant) for each in fresh}
-        order = gateway.placing.order(request, fresh, salts, gateway.roster.serving(self.service))
+        order = gateway.placing.order(
+            request, fresh, salts, gateway.worker_registry.serving(self.service)
+        )
         if not order:
             attempt.fault = NO_WORKER
             return None
@@ -155,11 +157,11 @@
         self.link = got
         if self.loop.time() >= self.ledger.deadline_s:
             return DEADLINE_PASSED
-        errand = self._errand(worker)
+        upstream_request = self._upstream_request(worker)
         fault = self.link.send_request(
             self.request.method,
             self.request.target,
-            gateway.workers_speak.head(self.request, errand),
+            gateway.workers_speak.head(self.request, upstream_request),
             self.request.body,
         )
         if fault is not None:
@@ -214,15 +216,15 @@
             )
         )
 
-    def _errand(self, worker):
+    def _upstream_request(self, worker):
         gateway, request = self.gateway, self.request
         version = gateway.version(request.model, worker)
         self.version, self.salt = version, gateway.salt(request.model, worker, self.tenant)
         store = gateway.store(self.service)
-        source = gateway.placing.source(request, worker, self.salt, gateway.roster, store)
+        source = gateway.placing.source(request, worker, self.salt, gateway.worker_registry, store)
         target = gateway.placing.target(request, self.salt, store)
         gateway.board.count["fetches"] += bool(source)
-        return Errand(
+        return UpstreamRequest(
             worker.name,
             self.tenant,
             max(1, int(self._left_s() * 1000)),
@@ -260,12 +262,12 @@
         speak = gateway.workers_speak
         version = speak.version(headers)
         if version:
-            gateway.roster.learn(worker, {self.request.model: version})
+            gateway.worker_registry.learn(worker, {self.request.model: version})
         if self.verdict in (Verdict.NOT_RUN, Verdict.ELSEWHERE):
             attempt.has_not_run = True
             gateway.board.count[f"turnedAway.{status}"] += 1
             if self.verdict is Verdict.ELSEWHERE and speak.worker(headers) not in ("", worker.name):
-                gateway.roster.drop(worker.name)
+                gateway.worker_registry.drop(worker.name)
             await self._drain()
             return WORKER_FULL.because(f"status {status}")
         if self.verdict is Verdict.BAD:
@@ -345,7 +347,7 @@
         whole, self.rest = self.rest[:end], self.rest[end:]
         version = self.gateway.workers_speak.versions_in(whole)
         if version:
-            self.gateway.roster.learn(worker, {self.request.model: version})
+            self.gateway.worker_registry.learn(worker, {self.request.model: version})
         ids = EVENT_ID.findall(whole)
         if ids:
             self.last_event = ids[-1].decode("latin-1")
--- a/swiftdeck/gateway/swap.py
+++ b/swiftdeck/gateway/swap.py
@@ -5,7 +5,7 @@
 from swiftdeck.control.core import Core
 from swiftdeck.fault import is_fault
 from swiftdeck.gateway.listing import Listing
-from swiftdeck.gateway.roster import Roster
+from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.wire.messages import SwapNews
 
 TAKEN, HOLDS, OLD_FENCE = 202, 200, 412
@@ -18,9 +18,9 @@
 
     def __init__(self, settings, folder, random, log, lists, orders):
         super().__init__(settings, folder, random, log)
-        self.roster = Roster()
+        self.worker_registry = WorkerRegistry()
         self.listing = Listing(
-            self.me, self.mesh, self.membership, lists, self.roster, self.board, 2000
+            self.me, self.mesh, self.membership, lists, self.worker_registry, self.board, 2000
         )
         self.swaps = Swaps(self, orders)
 
@@ -80,7 +80,9 @@
             self.core.board.count["waitsUnnoted"] += 1
 
     def _at_once(self, model):
-        able = [each for each in self.core.roster.workers.values() if model in each.weights]
+        able = [
+            each for each in self.core.worker_registry.workers.values() if model in each.weights
+        ]
         return max(1, len(able) // 4)
 
     async def _minding(self):
@@ -102,14 +104,16 @@
     def _order_some(self, model, version):
         behind = [
             each
-            for each in self.core.roster.workers.values()
+            for each in self.core.worker_registry.workers.values()
             if not each.listed.draining
             and 0 < each.knows(model) < version
             and each.name not in self.busy
         ]
         behind.sort(key=lambda each: self.tried_s.get(each.name, -1e9))
         self.tried_s = {
-            name: at for name, at in self.tried_s.items() if name in self.core.roster.workers
+            name: at
+            for name, at in self.tried_s.items()
+            if name in self.core.worker_registry.workers
         }
         free = self._at_once(model) - sum(1 for each in self.busy.values() if each[0] == model)
         for worker in behind[: max(0, free)]:
@@ -162,6 +166,6 @@
                 self._tell(worker, model, 0, 600)
                 await asyncio.sleep(ASK_MS / 1000)
         if holds:
-            self.core.roster.learn(worker, {model: version})
+            self.core.worker_registry.learn(worker, {model: version})
             self.core.board.count["swapsDone"] += 1
             self._tell(worker, model, version, 0)
--- a/swiftdeck/gateway/roster.py
+++ b/swiftdeck/gateway/worker_registry.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from swiftdeck.gateway.seams import Listed
+from swiftdeck.gateway.interfaces import Listed
 
 
 @attrs.define(eq=False)
@@ -35,7 +35,7 @@
         return self.weights.get(model, 0)
 
 
-class Roster:
+class WorkerRegistry:
     """Owner of the table of workers; a newer list replaces what the list says, and keeps what was heard."""
 
     def __init__(self):
--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -240,7 +240,7 @@
     def drop(self, fault, status=None):
         """Answer a request that cannot be read, and close."""
         self.dropping = True
-        self.server.count["faults.%d" % fault.code] += 1
+        self.server.count[f"faults.{fault.code}"] += 1
         if self.conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             data = msgspec.json.encode(fault.as_body())
             self.send(
--- a/swiftdeck/member/membership.py
+++ b/swiftdeck/member/membership.py
@@ -5,7 +5,7 @@
 import attrs
 
 from swiftdeck.fault import is_fault
-from swiftdeck.wire.messages import Done, Member, Probe, ProbeReturn, Roster
+from swiftdeck.wire.messages import Done, Member, Probe, ProbeReturn, WorkerRegistry
 
 ALIVE, SUSPECT, GONE = 0, 1, 2
 STATES = ("alive", "suspect", "gone")
@@ -21,7 +21,7 @@
 
 
 class Membership:
-    """The table of neighbours by incarnation; an opinion here is advice, licences decide."""
+    """The table of neighbours by incarnation; an opinion here is advice, leases decide."""
 
     def __init__(self, me: Member, mesh, seeds, random, probeMs=500, suspectMs=2000, board=None):
         self.me, self.mesh, self.seeds, self.random = me, mesh, list(seeds), random
@@ -30,7 +30,7 @@
         self.watchers = []
         mesh.on(Probe, self.on_probe)
         mesh.on(ProbeReturn, self.on_probe_return)
-        mesh.on(Roster, self.on_roster)
+        mesh.on(WorkerRegistry, self.on_worker_registry)
 
     def start(self):
         """Join and go on probing."""
@@ -131,10 +131,10 @@
         if done and not done.done():
             done.set_result(True)
 
-    def on_roster(self, roster, sender):
-        for each in roster.members:
+    def on_worker_registry(self, worker_registry, sender):
+        for each in worker_registry.members:
             self.learn(each)
-        return Roster(members=[self.me, *(each.member for each in self.known.values())])
+        return WorkerRegistry(members=[self.me, *(each.member for each in self.known.values())])
 
     async def _reach(self, addr, waitMs, through=None):
         self.serial += 1
@@ -200,7 +200,7 @@
             await asyncio.sleep(0.5 if not self.alive() else 3.0)
 
     async def _join(self, addr):
-        got = await self.mesh.ask(addr, Roster(members=[self.me, *self.alive()]))
+        got = await self.mesh.ask(addr, WorkerRegistry(members=[self.me, *self.alive()]))
         if not is_fault(got) and not isinstance(got, Done):
             for each in got.members:
                 self.learn(each)
@@ -210,7 +210,7 @@
         gone = Member().parse(bytes(self.me))
         gone.state = GONE
         for each in self.alive():
-            self.mesh.cast(each.addr, Roster(members=[gone]))
+            self.mesh.cast(each.addr, WorkerRegistry(members=[gone]))
 
     def set_seeds(self, seeds):
         """Exchange the seeds at run time."""
--- a/swiftdeck/platform/caches.py
+++ b/swiftdeck/platform/caches.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from swiftdeck.fault import BAD_RETURN, is_fault
-from swiftdeck.gateway.seams import Kept, Reports
+from swiftdeck.gateway.interfaces import Kept, Reports
 from swiftdeck.http.kept import KeptJson
 
 PATH, WAIT, NEXT = "/swiftdeck/kv-events", "Wait-Ms", "next-token"
--- a/swiftdeck/platform/lists.py
+++ b/swiftdeck/platform/lists.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from swiftdeck.fault import BAD_RETURN, is_fault
-from swiftdeck.gateway.seams import Listed
+from swiftdeck.gateway.interfaces import Listed
 from swiftdeck.http.client import fetch_json
 
 PATH, WORKERS, NEXT, PAGE = "/workers", "app-servers", "next-token", "page-token"
--- a/swiftdeck/platform/operator_door.py
+++ b/swiftdeck/platform/operator_door.py
@@ -66,14 +66,14 @@
         return task.result() if task.done() else UNDECIDED.because(change_id)
 
     async def _write(self, change_id, change):
-        got = await self.core.scribe.write(change_id, change)
+        got = await self.core.change_writer.write(change_id, change)
         is_other = is_fault(got) and got.code == REUSED_CHANGE.code
-        return await self.core.scribe.outcome(change_id) if is_other else got
+        return await self.core.change_writer.outcome(change_id) if is_other else got
 
     async def _show(self, exchange):
         try:
             async with asyncio.timeout(ANSWER_WITHIN_MS / 1000):
-                got = await self.core.scribe.read_tail(ConfigAsk())
+                got = await self.core.change_writer.read_tail(ConfigAsk())
         except TimeoutError:
             got = TIMED_OUT
         if is_fault(got):
@@ -81,7 +81,7 @@
         return await exchange.give(200, configs.shown(msgspec.json.decode(got.document or b"{}")))
 
     async def _refuse(self, exchange, fault):
-        self.core.board.count["faults.%d" % fault.code] += 1
+        self.core.board.count[f"faults.{fault.code}"] += 1
         status = STATUSES.get(fault.code, NO_VIEW.status)
         await exchange.give(
             status, fault.as_body(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)]
--- a/swiftdeck/platform/speech.py
+++ b/swiftdeck/platform/speech.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from swiftdeck.fault import BAD_REQUEST
-from swiftdeck.gateway.seams import PROMISES, Errand, Part, Request, Verdict
+from swiftdeck.gateway.interfaces import PROMISES, Part, Request, UpstreamRequest, Verdict
 
 ID, SEAL, TIME_LEFT = b"swiftdeck-request-id", b"swiftdeck-server-seal", b"swiftdeck-time-left-ms"
 MODEL, TOKENS, PREFIX = b"swiftdeck-model", b"swiftdeck-token-count", b"swiftdeck-prompt-prefix"
@@ -118,24 +118,24 @@
 class Workers:
     """How the platform's workers are spoken to, and how their answers read."""
 
-    def head(self, request: Request, errand: Errand) -> list:
-        """Headers of an attempt: the client's own, less what concerns its connection, and the errand."""
+    def head(self, request: Request, upstream_request: UpstreamRequest) -> list:
+        """Headers of an attempt: the client's own, less what concerns its connection, and the upstream_request."""
         kept_back = KEPT_BACK | _named(request.headers)
         headers = [
             (name, value) for name, value in request.headers if name.lower() not in kept_back
         ]
         headers += [
-            (TIME_LEFT, b"%d" % errand.time_left_ms),
-            (EXPECTED_WORKER, errand.worker.encode()),
-            (URGENCY, b"%d" % errand.urgency),
+            (TIME_LEFT, b"%d" % upstream_request.time_left_ms),
+            (EXPECTED_WORKER, upstream_request.worker.encode()),
+            (URGENCY, b"%d" % upstream_request.urgency),
         ]
         more = (
-            (TENANT, errand.tenant),
-            (EXPECTED_VERSION, errand.version),
-            (SALT, errand.salt),
-            (SOURCE, errand.source),
-            (TARGET, errand.target),
-            (LAST_EVENT, errand.last_event),
+            (TENANT, upstream_request.tenant),
+            (EXPECTED_VERSION, upstream_request.version),
+            (SALT, upstream_request.salt),
+            (SOURCE, upstream_request.source),
+            (TARGET, upstream_request.target),
+            (LAST_EVENT, upstream_request.last_event),
         )
         headers += [(name, value.encode("latin-1")) for name, value in more if value]
         if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
--- a/swiftdeck/programs/deck.py
+++ b/swiftdeck/programs/deck.py
@@ -129,7 +129,7 @@
     operatorKey: Annotated[str | None, typer.Option(help="Key that operators must show.")] = None,
     level: Level = "info",
 ):
-    """Run a router: callers' HTTP and legs towards workers. SIGHUP reads the seeds anew, SIGTERM drains."""
+    """Run a router: callers' HTTP and attempts towards workers. SIGHUP reads the seeds anew, SIGTERM drains."""
     flags = {
         "name": name,
         "inner": inner,
--- a/swiftdeck/sim/storm.py
+++ b/swiftdeck/sim/storm.py
@@ -293,13 +293,13 @@
 
         def look():
             for name in town.router_names():
-                legs = [
-                    running.call.ledger.legs[-1]
+                attempts = [
+                    running.call.ledger.attempts[-1]
                     for running in town.up[name].running.values()
-                    if running.call.ledger.legs
+                    if running.call.ledger.attempts
                 ]
                 if name != town.keeper() and any(
-                    leg.grant is not None and not leg.was_sent for leg in legs
+                    attempt.grant is not None and not attempt.was_sent for attempt in attempts
                 ):
                     return self._freeze(name, least=3.2)
             if town.world.now < end_s:
--- a/swiftdeck/traffic/books.py
+++ b/swiftdeck/traffic/books.py
@@ -79,8 +79,8 @@
             self.seen(addr)
 
     def run(self, conversation: Conversation, ask, sender) -> bool:
-        """Count a granted leg; gives whether its call is a new one."""
-        is_new = ask.leg <= 1 and not ask.was_granted and ask.call not in conversation.running
+        """Count a granted attempt; gives whether its call is a new one."""
+        is_new = ask.attempt <= 1 and not ask.was_granted and ask.call not in conversation.running
         conversation.running[ask.call] = (sender, self.loop.time())
         conversation.turns += is_new
         self.remember(conversation, ask.talk[-1])
@@ -91,12 +91,12 @@
         return is_new
 
     def call_ended(self, conversation: Conversation, call):
-        """A leg is over; the conversation is idle from now on when it was the last."""
+        """A attempt is over; the conversation is idle from now on when it was the last."""
         if conversation.running.pop(call, None) is not None and not conversation.running:
             conversation.idle_since_s = self.loop.time()
 
-    def leg_ended(self, conversation: Conversation, end):
-        """Take in what a router says of a leg that is over, and close the conversation if it ends with it."""
+    def attempt_ended(self, conversation: Conversation, end):
+        """Take in what a router says of a attempt that is over, and close the conversation if it ends with it."""
         conversation.is_over = conversation.is_over or end.is_over
         book = self.of(conversation.worker)
         if end.parts and conversation.turns > 1:
@@ -155,7 +155,7 @@
         return None
 
     def seen(self, addr):
-        """A router was heard: its slots are held for another licence."""
+        """A router was heard: its slots are held for another lease."""
         self.routers[addr] = self.loop.time() + self.holdLicenceMs / 1000
 
     def reclaim(self):
--- a/swiftdeck/traffic/budget.py
+++ b/swiftdeck/traffic/budget.py
@@ -1,22 +1,22 @@
-"""The shared budget of extra legs."""
+"""The shared budget of extra attempts."""
 
 from collections import deque
 
 
 class Budget:
-    """Extra legs in ten seconds: a share of the calls plus an allowance, which a new keeper does not have at first.
+    """Extra attempts in ten seconds: a share of the calls plus an allowance, which a new keeper does not have at first.
 
-    A leg counts for as much longer as it may take from its grant to its worker.
+    A attempt counts for as much longer as it may take from its grant to its worker.
     """
 
     def __init__(self, share=0.2, window_s=10.0, late_s=2.0, start_s=0.0):
         self.share, self.window_s, self.late_s, self.start_s = share, window_s, late_s, start_s
-        self.calls, self.legs = deque(), deque()
+        self.calls, self.attempts = deque(), deque()
 
     def _forget(self, now_s):
         for times, kept_s in (
             (self.calls, self.window_s),
-            (self.legs, self.window_s + self.late_s),
+            (self.attempts, self.window_s + self.late_s),
         ):
             while times and times[0] <= now_s - kept_s:
                 times.popleft()
@@ -26,14 +26,14 @@
         self.calls.append(now_s)
 
     def draw(self, now_s: float, extra: int) -> bool:
-        """Take one extra leg, if the budget has one beside the allowance of `extra`."""
+        """Take one extra attempt, if the budget has one beside the allowance of `extra`."""
         if not self.has(now_s, extra):
             return False
-        self.legs.append(now_s)
+        self.attempts.append(now_s)
         return True
 
     def has(self, now_s: float, extra: int) -> bool:
         """Whether one could be taken."""
         self._forget(now_s)
         allowance = extra if now_s - self.start_s >= self.window_s + self.late_s else 0
-        return len(self.legs) + 1 <= self.share * len(self.calls) + allowance
+        return len(self.attempts) + 1 <= self.share * len(self.calls) + allowance
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -1,4 +1,4 @@
-"""One call on its way through a router: a ledger of legs from which the next move is derived."""
+"""One call on its way through a router: a ledger of attempts from which the next move is derived."""
 
 import asyncio
 import hashlib
@@ -12,7 +12,7 @@
     HORIZON,
     NO_CLAIM,
     NO_KEEPER,
-    NO_LICENCE,
+    NO_LEASE,
     NO_ROUTE,
     NO_WORKER,
     OTHER_WEIGHTS,
@@ -27,7 +27,7 @@
     is_fault,
 )
 from swiftdeck.http.client import connect, fetch_json
-from swiftdeck.traffic.ledger import Ledger, Leg, Move, next_move
+from swiftdeck.traffic.ledger import Attempt, Ledger, Move, next_move
 from swiftdeck.traffic.prefix import chain_of, group_of
 from swiftdeck.wire.messages import GrantAsk, GrantDrop
 
@@ -72,8 +72,8 @@
         return self.loop.time() * 1000
 
     def run(self):
-        """The id of the present leg's run, which the worker echoes."""
-        return f"{self.name}-{self.ledger.legs[-1].number}"
+        """The id of the present attempt's run, which the worker echoes."""
+        return f"{self.name}-{self.ledger.attempts[-1].number}"
 
     async def serve(self):
         """Make moves until the call has its final return."""
@@ -95,17 +95,21 @@
             self.router.claims.finish(self.claim_key, self.name, self.digest)
         else:
             self._release()
-        leg = self.ledger.legs[-1] if self.ledger.legs else None
-        if leg and leg.grant is None and (leg.fault is None or leg.fault.code == WAITED_OUT.code):
+        attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
+        if (
+            attempt
+            and attempt.grant is None
+            and (attempt.fault is None or attempt.fault.code == WAITED_OUT.code)
+        ):
             self.router.tell_keeper(
                 self.route.model, GrantDrop(call=self.name, model=self.route.model)
             )
-        self._close_leg()
+        self._close_attempt()
 
-    def _close_leg(self):
-        leg = self.ledger.legs[-1] if self.ledger.legs else None
-        if leg and leg.grant is not None and self.name in self.router.running:
-            self.router.leg_ended(self, leg)
+    def _close_attempt(self):
+        attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
+        if attempt and attempt.grant is not None and self.name in self.router.running:
+            self.router.attempt_ended(self, attempt)
 
     def _release(self):
         """Give up the key of a call that was never sent."""
@@ -113,22 +117,22 @@
             self.released = self.router.claims.release(self.claim_key, self.name, self.digest)
 
     async def _claim(self):
-        """Claim the key for the leg that was granted.
+        """Claim the key for the attempt that was granted.
 
         While the chain is mended a new conversation's slot does not stand empty for long; an open one keeps its own.
         """
-        leg = self.ledger.legs[-1]
+        attempt = self.ledger.attempts[-1]
         self.claiming = self.claiming or self.router.claims.claim(
             self.claim_key, self.name, self.digest
         )
-        bound_ms = min(CLAIM_MS if leg.grant.is_start else 1e9, self._left_ms())
+        bound_ms = min(CLAIM_MS if attempt.grant.is_start else 1e9, self._left_ms())
         await asyncio.wait([self.claiming], timeout=bound_ms / 1000)
         if self.claiming.done():
             self.ledger.claim = self.claiming.result()
         if self.ledger.claim is not True:
-            leg.fault = NO_CLAIM
-            self._close_leg()
-            leg.grant = None
+            attempt.fault = NO_CLAIM
+            self._close_attempt()
+            attempt.grant = None
             self.router.board.count["slotsHandedBack"] += 1
 
     def _left_ms(self):
@@ -143,30 +147,30 @@
         return self.claiming.done()
 
     async def _nominate(self):
-        last = self.ledger.legs[-1] if self.ledger.legs else None
+        last = self.ledger.attempts[-1] if self.ledger.attempts else None
         if last and last.grant is None:
-            self.ledger.legs.pop()
+            self.ledger.attempts.pop()
             if last.fault.code != WAITED_OUT.code:
                 await asyncio.sleep(min(0.2, (last.fault.retry_ms or 100) / 1000))
-        leg = Leg(len(self.ledger.legs) + 1)
-        self.ledger.legs.append(leg)
-        if not await self.router.licence.wait(self.ledger.waitUntilMs / 1000):
-            leg.fault = NO_LICENCE
+        attempt = Attempt(len(self.ledger.attempts) + 1)
+        self.ledger.attempts.append(attempt)
+        if not await self.router.lease.wait(self.ledger.waitUntilMs / 1000):
+            attempt.fault = NO_LEASE
             return
-        self.held = self.router.licence.held
+        self.held = self.router.lease.held
         if not await self._may_claim():
-            leg.fault = NO_CLAIM
+            attempt.fault = NO_CLAIM
             return
         model = self.held.document.models.get(self.route.model)
         tenant = self.held.document.tenants.get(self.tenant)
         if self.held.tenant_by_key.get(self.key_digest) != self.tenant:
-            leg.fault = UNKNOWN_KEY
+            attempt.fault = UNKNOWN_KEY
             return
         if model is None or tenant is None or self.body.model not in self.held.document.routes:
-            leg.fault = NO_ROUTE.because(self.body.model)
+            attempt.fault = NO_ROUTE.because(self.body.model)
             return
         if not self.router.workers.is_fresh():
-            leg.fault = STALE_LIST
+            attempt.fault = STALE_LIST
             return
         group = group_of(self.tenant, tenant.apart)
         if (self.weights, group) != (model.weights, getattr(self, "group", None)):
@@ -175,9 +179,9 @@
                 chain_of(model.weights, group, self.body.parts),
                 chain_of("", group, self.body.parts),
             )
-        leg.fault = await self._ask_keeper(leg)
+        attempt.fault = await self._ask_keeper(attempt)
 
-    async def _ask_keeper(self, leg):
+    async def _ask_keeper(self, attempt):
         keeper = self.router.keeper_of(self.route.model)
         if keeper is None:
             return NO_KEEPER
@@ -185,7 +189,7 @@
         ask = GrantAsk(
             router=self.router.me.name,
             call=self.name,
-            leg=leg.number,
+            attempt=attempt.number,
             tenant=self.tenant,
             model=self.route.model,
             group=self.group,
@@ -202,24 +206,24 @@
         got = await self.router.ask_keeper(keeper, ask, slice_ms + 300)
         if is_fault(got):
             return got
-        fault = self.router.take_grant(self, leg, got, asked_s)
+        fault = self.router.take_grant(self, attempt, got, asked_s)
         if fault is None:
-            leg.grant, self.conversation, self.was_granted = got, got.conversation, True
+            attempt.grant, self.conversation, self.was_granted = got, got.conversation, True
         return fault
 
-    def _may_be_sent(self, leg):
+    def _may_be_sent(self, attempt):
         """Looked at right before the bytes go: everything that a frozen process could have outlived."""
         router, model = self.router, None
-        if not router.licence.is_held():
-            return NO_LICENCE
-        model = router.licence.held.document.models.get(self.route.model)
+        if not router.lease.is_held():
+            return NO_LEASE
+        model = router.lease.held.document.models.get(self.route.model)
         if (
             model is None
             or model.weights != self.weights
-            or router.licence.held.tenant_by_key.get(self.key_digest) != self.tenant
+            or router.lease.held.tenant_by_key.get(self.key_digest) != self.tenant
         ):
-            return NO_LICENCE.because("configuration changed meanwhile", 200)
-        if not router.workers.may_take(leg.grant.worker):
+            return NO_LEASE.because("configuration changed meanwhile", 200)
+        if not router.workers.may_take(attempt.grant.worker):
             return STALE_LIST.because("worker drains, is gone, or the list is old", 200)
         if not router.is_grant_valid(self.name):
             return NO_KEEPER.because("grant lapsed", 200)
@@ -228,43 +232,43 @@
         return None
 
     async def _send(self):
-        leg = self.ledger.legs[-1]
-        if leg.grant.fetch_from:
-            await self._fetch(leg)
-        ip, _, port = leg.grant.url.rpartition(":")
+        attempt = self.ledger.attempts[-1]
+        if attempt.grant.fetch_from:
+            await self._fetch(attempt)
+        ip, _, port = attempt.grant.url.rpartition(":")
         self.link = await connect(ip, int(port), max(50, min(1000, self._left_ms())))
         if is_fault(self.link):
-            leg.fault, self.link = self.link, None
-            self.avoid.append(leg.grant.worker)
+            attempt.fault, self.link = self.link, None
+            self.avoid.append(attempt.grant.worker)
         else:
-            leg.fault = self._may_be_sent(leg)
-            if leg.fault is not None:
-                self.router.board.count[f"looks.{leg.fault.code}"] += 1
+            attempt.fault = self._may_be_sent(attempt)
+            if attempt.fault is not None:
+                self.router.board.count[f"looks.{attempt.fault.code}"] += 1
             else:
                 self.router.board.count["legsSent"] += 1
-                leg.was_sent = True
-                self.router.leg_sent(leg)
-                leg.fault = await self._run_at_worker(leg)
-                if leg.fault is not None and leg.was_sent:
+                attempt.was_sent = True
+                self.router.attempt_sent(attempt)
+                attempt.fault = await self._run_at_worker(attempt)
+                if attempt.fault is not None and attempt.was_sent:
                     self.router.board.count["legsFailed"] += 1
-                    self.avoid.append(leg.grant.worker)
+                    self.avoid.append(attempt.grant.worker)
                     self.ledger.waitUntilMs = self.now_ms() + min(self.route.waitMs, AGAIN_MS)
             if self.link:
                 self.link.close()
-        if leg.fault is not None:
-            self._close_leg()
-            if not leg.was_sent and leg.fault.code != UNREACHED.code:
-                leg.grant = None
+        if attempt.fault is not None:
+            self._close_attempt()
+            if not attempt.was_sent and attempt.fault.code != UNREACHED.code:
+                attempt.grant = None
 
-    async def _fetch(self, leg):
-        bound_ms = int(max(50, min(leg.grant.fetchMs, self._left_ms())))
+    async def _fetch(self, attempt):
+        bound_ms = int(max(50, min(attempt.grant.fetchMs, self._left_ms())))
         start_ms = self.now_ms()
         got = await fetch_json(
-            leg.grant.url,
+            attempt.grant.url,
             "POST",
             "/v1/fetch",
             {
-                "from": leg.grant.fetch_from,
+                "from": attempt.grant.fetch_from,
                 "chain": [link.hex() for link in self.chain],
                 "weights": self.weights,
                 "group": self.group,
@@ -274,7 +278,9 @@
             timeoutMs=bound_ms,
         )
         took_ms = int(self.now_ms() - start_ms)
-        self.slow_from = leg.grant.fetch_from if is_fault(got) or took_ms > 0.8 * bound_ms else ""
+        self.slow_from = (
+            attempt.grant.fetch_from if is_fault(got) or took_ms > 0.8 * bound_ms else ""
+        )
         parts = got[1].get("parts", 0) if not is_fault(got) and isinstance(got[1], dict) else 0
         self.router.board.count["fetches"] += 1
         self.router.board.count["fetchesBounded"] += bool(self.slow_from)
@@ -282,15 +288,15 @@
         self.router.decisions.add(
             "fetch",
             call=self.name,
-            source=leg.grant.fetch_from,
-            worker=leg.grant.worker,
+            source=attempt.grant.fetch_from,
+            worker=attempt.grant.worker,
             parts=parts,
             took_ms=took_ms,
         )
 
     slow_from, key_digest, group = "", "", None
 
-    async def _run_at_worker(self, leg):
+    async def _run_at_worker(self, attempt):
         body = msgspec.json.encode(
             {
                 "run": self.run(),
@@ -308,23 +314,27 @@
         try:
             async with asyncio.timeout(min(left_s, self.route.firstPieceMs / 1000)):
                 got = await self.link.exchange(
-                    "POST", "/v1/run", [("content-type", "application/json")], body, leg.grant.url
+                    "POST",
+                    "/v1/run",
+                    [("content-type", "application/json")],
+                    body,
+                    attempt.grant.url,
                 )
             if is_fault(got):
                 return got if got.code != BAD_RETURN.code else WORKER_BAD.because(got.reason)
             if got.status == OTHER_WEIGHTS.status:
-                leg.was_sent = False
+                attempt.was_sent = False
                 return NO_WORKER.because("worker has other weights", 200)
             if got.status != 200:
                 return WORKER_REFUSED.because(f"status {got.status}")
-            return await self._relay(leg, got)
+            return await self._relay(attempt, got)
         except TimeoutError:
             return self._late()
 
     def _late(self):
         return HORIZON if self.now_ms() >= self.ledger.horizonMs else WORKER_HANGS
 
-    async def _relay(self, leg, got):
+    async def _relay(self, attempt, got):
         lines, expected, self.pieces = got.lines(), 0, []
         while True:
             left_s = self.ledger.horizonMs / 1000 - self.loop.time()
@@ -350,9 +360,9 @@
             if piece.get("end"):
                 usage = piece.get("usage")
                 self.usage = usage if isinstance(usage, dict) else {}
-                leg.is_whole = True
+                attempt.is_whole = True
                 return None
-            leg.delivered += 1 if self.body.stream else 0
+            attempt.delivered += 1 if self.body.stream else 0
             await self._give(piece)
 
     def _read(self, line, expected):
@@ -413,8 +423,8 @@
         )
 
     async def _end(self, move, fault):
-        leg = self.ledger.legs[-1] if self.ledger.legs else None
-        self._close_leg()
+        attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
+        self._close_attempt()
         if move is Move.FINISH:
             self.router.board.count["callsServed"] += 1
             body = {
@@ -423,8 +433,8 @@
                 "end": True,
                 "legs": len(self.ledger.sent()),
                 "usage": self.usage,
-                "worker": leg.grant.worker,
-                "waitedMs": leg.grant.waitedMs,
+                "worker": attempt.grant.worker,
+                "waitedMs": attempt.grant.waitedMs,
             }
             if not self.body.stream:
                 text = {"text": "".join(self.pieces)}
--- a/swiftdeck/traffic/claims.py
+++ b/swiftdeck/traffic/claims.py
@@ -11,8 +11,13 @@
 class Claims:
     """One batch is under way at a time; what comes meanwhile makes the next, and what failed is asked again."""
 
-    def __init__(self, router, scribe, random, board):
-        self.router, self.scribe, self.random, self.board = router, scribe, random, board
+    def __init__(self, router, change_writer, random, board):
+        self.router, self.change_writer, self.random, self.board = (
+            router,
+            change_writer,
+            random,
+            board,
+        )
         self.waiting = []
 
     def start(self):
@@ -54,7 +59,7 @@
     async def _write(self, batch):
         got, name = NO_CLAIM, f"batch/{self.router}/{self.random.getrandbits(64):x}"
         while is_fault(got) or len(got.results) != len(batch):
-            got = await self.scribe.write(
+            got = await self.change_writer.write(
                 name, {"t": "claims", "ops": [op for op, _ in batch]}, 8000
             )
             self.board.count["claimBatches"] += 1
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/keeper.py
@@ -5,7 +5,7 @@
 from swiftdeck.duty.duty import Duty
 from swiftdeck.fault import (
     BUDGET_SPENT,
-    NO_LICENCE,
+    NO_LEASE,
     NO_WORKER,
     NOT_KEEPER,
     OLD_VIEW,
@@ -41,7 +41,7 @@
             router.me,
             router.mesh,
             router.news,
-            router.chart,
+            router.cluster_map,
             router.random,
             router.settings.dutyLicenceMs,
             router.board,
@@ -76,7 +76,7 @@
 
     def config(self):
         """The model's part of the configuration held, or None."""
-        held = self.router.licence.held
+        held = self.router.lease.held
         return held.document.models.get(self.model) if held else None
 
     def is_ready(self) -> bool:
@@ -170,16 +170,16 @@
         self.books.drop({worker.name for worker in self.mine()})
 
     async def on_grant_ask(self, ask, sender):
-        """Grant a leg now, after a wait in line, or not at all."""
+        """Grant a attempt now, after a wait in line, or not at all."""
         start_s = self.loop.time()
         if not self.is_ready() and not await self.takeover.gathered(
             start_s - ask.waitedMs / 1000, ask.waitMs / 1000
         ):
             return RECOVERING if self.duty.is_held() else NOT_KEEPER
         config = self.config()
-        if config is None or ask.weights != config.weights or not self.router.licence.is_held():
-            self.router.licence.kick.set()
-            return NO_LICENCE.because("keeper and router hold different configurations", 200)
+        if config is None or ask.weights != config.weights or not self.router.lease.is_held():
+            self.router.lease.kick.set()
+            return NO_LEASE.because("keeper and router hold different configurations", 200)
         conversation = self.books.conversations.get(ask.conversation) or self.books.continued(ask)
         if conversation is not None:
             fault = self.moves.settle(conversation, ask)
@@ -190,7 +190,7 @@
         worker = self.router.workers.workers.get(conversation.worker)
         if worker is None or not self.is_ready():
             return NO_WORKER if worker is None else NOT_KEEPER
-        if ask.leg > 1 and not self.budget.draw(self.loop.time(), self._allowance()):
+        if ask.attempt > 1 and not self.budget.draw(self.loop.time(), self._allowance()):
             self.board.count["budgetRefusals"] += 1
             return BUDGET_SPENT
         earlier = conversation.parts if conversation.weights == ask.weights else 0
@@ -210,26 +210,26 @@
         )
 
     def _allowance(self):
-        """This model's part of the site's allowance of extra legs."""
-        models = sorted(self.router.licence.held.document.models)
+        """This model's part of the site's allowance of extra attempts."""
+        models = sorted(self.router.lease.held.document.models)
         share, rest = divmod(self.settings.budgetExtra, len(models))
         return share + (models.index(self.model) < rest)
 
-    def on_leg_end(self, end, sender):
-        """A leg is over at its router."""
+    def on_attempt_end(self, end, sender):
+        """A attempt is over at its router."""
         conversation = self.books.conversations.get(end.conversation) if self.is_ready() else None
         if conversation is None:
             return
         if end.slow_from:
             self.fetches.slow(end.slow_from, conversation.worker)
-        self.lines.pump(self.books.leg_ended(conversation, end))
+        self.lines.pump(self.books.attempt_ended(conversation, end))
 
     def on_grant_drop(self, drop, sender):
         """A caller went away while its agent waited."""
         self.lines.leave(drop.call)
 
     async def on_hold(self, hold, sender):
-        """A router says which legs it runs; what was lost between us is mended by it."""
+        """A router says which attempts it runs; what was lost between us is mended by it."""
         if not self.is_ready():
             return NOT_KEEPER
         if hold.term > self.term:
--- a/swiftdeck/traffic/licence.py
+++ b/swiftdeck/traffic/lease.py
@@ -1,4 +1,4 @@
-"""The licence of a router to serve by the configuration that it holds."""
+"""The lease of a router to serve by the configuration that it holds."""
 
 import asyncio
 import contextlib
@@ -7,8 +7,8 @@
 import msgspec
 
 from swiftdeck.config.configuration import Configuration
-from swiftdeck.fault import INVALID, NO_LICENCE, is_fault
-from swiftdeck.wire.messages import LicenceAsk, LicenceReturn, Nudge, PeekAsk, PeekReturn, Relay
+from swiftdeck.fault import INVALID, NO_LEASE, is_fault
+from swiftdeck.wire.messages import LeaseAsk, LeaseReturn, Nudge, PeekAsk, PeekReturn, Relay
 
 
 @attrs.frozen
@@ -25,15 +25,15 @@
         return self.config.document
 
 
-class ConfigLicence:
+class ConfigLease:
     """Renews from the tail, directly or through a neighbour; without it nothing is sent to a worker."""
 
-    def __init__(self, me, mesh, membership, chart, board, renewMs=500):
-        self.me, self.mesh, self.membership, self.chart, self.board = (
+    def __init__(self, me, mesh, membership, cluster_map, board, renewMs=500):
+        self.me, self.mesh, self.membership, self.cluster_map, self.board = (
             me,
             mesh,
             membership,
-            chart,
+            cluster_map,
             board,
         )
         self.renewMs = renewMs
@@ -69,7 +69,7 @@
             self.kick.clear()
 
     def _ask(self, hand_back=False):
-        return LicenceAsk(
+        return LeaseAsk(
             router=self.router,
             addr=self.me.addr,
             held=self.held.version if self.held else 0,
@@ -78,13 +78,13 @@
         )
 
     async def _renew(self):
-        sentS, ask, tail = self.loop.time(), self._ask(), self.chart.tail()
-        got = NO_LICENCE if tail is None else await self.mesh.ask(tail, ask, 700)
+        sentS, ask, tail = self.loop.time(), self._ask(), self.cluster_map.tail()
+        got = NO_LEASE if tail is None else await self.mesh.ask(tail, ask, 700)
         if is_fault(got):
-            self.chart.refresh()
+            self.cluster_map.refresh()
             sentS = self.loop.time()
             got = await self._through_others(ask)
-        if is_fault(got) or not isinstance(got, LicenceReturn):
+        if is_fault(got) or not isinstance(got, LeaseReturn):
             self.failures += 1
             if self.peeks and self.held is None:
                 await self._peek()
@@ -95,7 +95,7 @@
     async def _peek(self):
         """Take what a tail has on its disk, to serve by without a lease: it was committed once, if perhaps not last."""
         addrs = {each.addr for each in self.membership.alive("core")} | {
-            ref.addr for ref in self.chart.view.members
+            ref.addr for ref in self.cluster_map.view.members
         }
         got = await asyncio.gather(*(self.mesh.ask(addr, PeekAsk(), 500) for addr in sorted(addrs)))
         told = [each for each in got if isinstance(each, PeekReturn) and each.version]
@@ -103,7 +103,7 @@
         if best is not None and self.held is None:
             self.board.count["configsPeeked"] += 1
             self._install(
-                LicenceReturn(version=best.version, document=best.document, digest=best.digest)
+                LeaseReturn(version=best.version, document=best.document, digest=best.digest)
             )
 
     async def _through_others(self, ask):
@@ -116,15 +116,15 @@
             if not is_fault(got):
                 self.board.count["licencesRelayed"] += 1
                 return got
-        return NO_LICENCE
+        return NO_LEASE
 
     def _take(self, got, sentS):
         held = self.held.version if self.held else -1
         is_new = got.version > held
         if (is_new or got.document and got.version == held) and not self._install(got):
             return False
-        if got.version >= held and got.licence_ms:
-            self.until_s = max(self.until_s, sentS + got.licence_ms / 1000 * 0.95)
+        if got.version >= held and got.lease_ms:
+            self.until_s = max(self.until_s, sentS + got.lease_ms / 1000 * 0.95)
             waiting, self.waiting = self.waiting, []
             for done in waiting:
                 if not done.done():
@@ -168,11 +168,11 @@
         return config
 
     async def on_relay(self, relay, sender):
-        tail = self.chart.tail()
-        return NO_LICENCE if tail is None else await self.mesh.ask(tail, relay.ask, 700)
+        tail = self.cluster_map.tail()
+        return NO_LEASE if tail is None else await self.mesh.ask(tail, relay.ask, 700)
 
     async def wait(self, until_s):
-        """Wait for the licence, but no longer than given; whether it is held."""
+        """Wait for the lease, but no longer than given; whether it is held."""
         while not self.is_held() and self.loop.time() < until_s:
             done = self.loop.create_future()
             self.waiting.append(done)
@@ -180,7 +180,7 @@
         return self.is_held()
 
     async def hand_back(self):
-        """Give the licence up, so that no acknowledgement waits for this router."""
+        """Give the lease up, so that no acknowledgement waits for this router."""
         self.stopping, self.until_s = True, -1.0
-        if self.chart.tail():
-            await self.mesh.ask(self.chart.tail(), self._ask(True), 500)
+        if self.cluster_map.tail():
+            await self.mesh.ask(self.cluster_map.tail(), self._ask(True), 500)
--- a/swiftdeck/traffic/ledger.py
+++ b/swiftdeck/traffic/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of a call's legs, from which its next move is derived."""
+"""The ledger of a call's attempts, from which its next move is derived."""
 
 import enum
 
@@ -9,7 +9,7 @@
     HORIZON,
     NO_CLAIM,
     NO_KEEPER,
-    NO_LICENCE,
+    NO_LEASE,
     NO_WORKER,
     NOT_KEEPER,
     OLD_TERM,
@@ -28,7 +28,7 @@
     for each in (
         WAITED_OUT,
         NO_WORKER,
-        NO_LICENCE,
+        NO_LEASE,
         STALE_LIST,
         NO_KEEPER,
         NO_CLAIM,
@@ -54,7 +54,7 @@
 
 
 @attrs.define
-class Leg:
+class Attempt:
     """One try: a grant, and what became of it at the worker."""
 
     number: int
@@ -74,11 +74,11 @@
     waitUntilMs: float
     horizonMs: float
     claim: Fault | bool | None = None
-    legs: list[Leg] = attrs.Factory(list)
+    attempts: list[Attempt] = attrs.Factory(list)
 
     def sent(self):
-        """Legs of which a byte may have reached a worker."""
-        return [leg for leg in self.legs if leg.was_sent]
+        """Attempts of which a byte may have reached a worker."""
+        return [attempt for attempt in self.attempts if attempt.was_sent]
 
     def verdict(self, fault: Fault) -> Fault:
         """The final fault: one that promises "not run" only if nothing was ever sent."""
@@ -89,7 +89,9 @@
                 if fault.notRun
                 else UNREACHED.because(fault.reason or fault.name, fault.retry_ms or 1000)
             )
-        known = next((leg.fault for leg in reversed(sent) if leg.fault is not None), None)
+        known = next(
+            (attempt.fault for attempt in reversed(sent) if attempt.fault is not None), None
+        )
         return (
             known if known is not None and not known.notRun else WORKER_LOST.because(fault.reason)
         )
@@ -99,7 +101,7 @@
     """The next move and, when it ends the call, the fault to give; a pure function of the ledger and the time."""
     if isinstance(ledger.claim, Fault):
         return Move.GIVE_UP, ledger.claim
-    last = ledger.legs[-1] if ledger.legs else None
+    last = ledger.attempts[-1] if ledger.attempts else None
     if last and last.is_whole:
         return Move.FINISH, None
     if last and last.delivered:
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -1,4 +1,4 @@
-"""A router process: callers' door, legs towards workers, and the duties that it wins."""
+"""A router process: callers' door, attempts towards workers, and the duties that it wins."""
 
 import asyncio
 import json
@@ -6,8 +6,8 @@
 import attrs
 import msgspec
 
-from swiftdeck.chain.chart import Chart
-from swiftdeck.chain.scribe import Scribe
+from swiftdeck.chain.change_writer import ChangeWriter
+from swiftdeck.chain.cluster_map import ClusterMap
 from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
 from swiftdeck.fault import (
@@ -15,7 +15,7 @@
     BAD_OPERATOR,
     BAD_REQUEST,
     BUSY,
-    NO_LICENCE,
+    NO_LEASE,
     NO_ROUTE,
     NOT_FOUND,
     NOT_KEEPER,
@@ -31,14 +31,14 @@
 from swiftdeck.traffic.claims import Claims
 from swiftdeck.traffic.decisions import Decisions
 from swiftdeck.traffic.keeper import Keeper
-from swiftdeck.traffic.licence import ConfigLicence
+from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.workers import WorkerList
 from swiftdeck.wire.messages import (
+    AttemptEnd,
     GrantAsk,
     GrantDrop,
     Hold,
     HoldReturn,
-    LegEnd,
     OpenAsk,
     OpenConversation,
     OpenReturn,
@@ -49,7 +49,7 @@
 
 @attrs.define
 class Running:
-    """A leg that this router has a grant for."""
+    """A attempt that this router has a grant for."""
 
     call: object
     model: str
@@ -72,9 +72,9 @@
 
     def __init__(self, settings, random, log=None):
         super().__init__(settings, "router", random, log)
-        self.chart = Chart(self.mesh, self.membership, self.news)
-        self.scribe = Scribe(self.mesh, self.chart)
-        self.licence = ConfigLicence(self.me, self.mesh, self.membership, self.chart, self.board)
+        self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
+        self.change_writer = ChangeWriter(self.mesh, self.cluster_map)
+        self.lease = ConfigLease(self.me, self.mesh, self.membership, self.cluster_map, self.board)
         self.workers = WorkerList(
             settings.platform,
             self.mesh,
@@ -83,14 +83,14 @@
             settings.listMs,
             settings.listOldMs,
         )
-        self.claims = Claims(self.me.name, self.scribe, random, self.board)
+        self.claims = Claims(self.me.name, self.change_writer, random, self.board)
         self.http = HttpServer(self.handle, settings.bodyBytes, note=self.board.note)
         self.keepers, self.known, self.running, self.served = {}, {}, {}, {}
         self.stopping, self.open = False, 0
         self.news.watch("duty/keeper/", self.on_keeper_news)
         for kind, handler, is_bound in (
             (GrantAsk, self.on_grant_ask, True),
-            (LegEnd, self.on_leg_end, False),
+            (AttemptEnd, self.on_attempt_end, False),
             (GrantDrop, self.on_grant_drop, False),
             (OpenAsk, self.on_open_ask, False),
             (Hold, self.on_hold, False),
@@ -101,9 +101,9 @@
         """Join the fleet and serve."""
         self.loop = asyncio.get_running_loop()
         self.decisions = Decisions(self.loop.time)
-        self.licence.watchers.append(self.on_config)
+        self.lease.watchers.append(self.on_config)
         await self.start_node()
-        for part in (self.chart, self.licence, self.workers, self.claims):
+        for part in (self.cluster_map, self.lease, self.workers, self.claims):
             part.start()
         self.tasks = [asyncio.ensure_future(self._holding())]
         ip, _, port = self.settings.http.rpartition(":")
@@ -111,14 +111,14 @@
         self.board.note("router started", addr=self.settings.inner, http=self.settings.http)
 
     async def stop(self):
-        """Take no more calls, finish the open ones within the bound, hand licences and duties back."""
+        """Take no more calls, finish the open ones within the bound, hand leases and duties back."""
         self.stopping = True
         self.http.stop()
         end_s = self.loop.time() + self.settings.stopMs / 1000
         while self.open and self.loop.time() < end_s:
             await asyncio.sleep(0.05)
         await asyncio.gather(
-            self.licence.hand_back(), *(keeper.duty.hand_back() for keeper in self.keepers.values())
+            self.lease.hand_back(), *(keeper.duty.hand_back() for keeper in self.keepers.values())
         )
         self.board.note("router stopped", open=self.open)
         self.mesh.close()
@@ -159,13 +159,13 @@
         if keeper is None:
             return
         if keeper[1] == self.me.addr:
-            {LegEnd: self.on_leg_end, GrantDrop: self.on_grant_drop}[type(message)](
+            {AttemptEnd: self.on_attempt_end, GrantDrop: self.on_grant_drop}[type(message)](
                 message, self.me.addr
             )
         else:
             self.mesh.tell(keeper[1], message)
 
-    def take_grant(self, call, leg, grant, asked_s):
+    def take_grant(self, call, attempt, grant, asked_s):
         """Note a grant, unless a newer keeper is known."""
         model = call.route.model
         if grant.term < self.known.get(model, (0, ""))[0]:
@@ -180,14 +180,14 @@
             parts=len(call.chain),
             call=call.name,
             weights=call.weights,
-            leg=leg.number,
+            attempt=attempt.number,
         )
         self.served[grant.conversation] = Served(told, model, self.loop.time(), grant.is_start)
         return None
 
-    def leg_sent(self, leg):
-        """A byte of a leg may have gone out: its conversation is open here, whatever the keeper knows."""
-        served = self.served.get(leg.grant.conversation)
+    def attempt_sent(self, attempt):
+        """A byte of a attempt may have gone out: its conversation is open here, whatever the keeper knows."""
+        served = self.served.get(attempt.grant.conversation)
         if served:
             served.told.is_sent, served.is_start = True, False
 
@@ -200,41 +200,41 @@
             and running.term >= self.known.get(running.model, (0, ""))[0]
         )
 
-    def leg_ended(self, call, leg):
-        """A leg is over: tell the keeper, and remember the conversation for a while."""
+    def attempt_ended(self, call, attempt):
+        """A attempt is over: tell the keeper, and remember the conversation for a while."""
         del self.running[call.name]
-        served = self.served.get(leg.grant.conversation)
+        served = self.served.get(attempt.grant.conversation)
         if served:
             served.idle_since_s = self.loop.time()
-            if served.is_start and not leg.was_sent:
-                del self.served[leg.grant.conversation]
+            if served.is_start and not attempt.was_sent:
+                del self.served[attempt.grant.conversation]
             if served.told.call == call.name:
                 served.told.call = ""
-        usage = call.usage if leg.is_whole else {}
+        usage = call.usage if attempt.is_whole else {}
         hits, parts = usage.get("hitParts", 0), usage.get("parts", 0)
         is_counted = (
             isinstance(hits, int) and isinstance(parts, int) and 0 <= hits <= parts < 1 << 31
         )
         is_over = (call.isLast or call.route.single) and (
-            leg.is_whole or leg.fault is None or leg.was_sent
+            attempt.is_whole or attempt.fault is None or attempt.was_sent
         )
         if is_over:
-            self.served.pop(leg.grant.conversation, None)
+            self.served.pop(attempt.grant.conversation, None)
         self.tell_keeper(
             call.route.model,
-            LegEnd(
+            AttemptEnd(
                 router=self.me.name,
                 call=call.name,
-                leg=leg.number,
-                conversation=leg.grant.conversation,
+                attempt=attempt.number,
+                conversation=attempt.grant.conversation,
                 model=call.route.model,
                 is_over=is_over,
                 hits=hits if is_counted else 0,
                 parts=parts if is_counted else 0,
-                never_sent=not leg.was_sent,
-                is_bad=leg.fault is not None and leg.fault.code == UNREACHED.code,
+                never_sent=not attempt.was_sent,
+                is_bad=attempt.fault is not None and attempt.fault.code == UNREACHED.code,
                 slow_from=call.slow_from,
-                earlier=leg.grant.earlier,
+                earlier=attempt.grant.earlier,
             ),
         )
 
@@ -246,9 +246,9 @@
             return BAD_REQUEST
         return await keeper.on_grant_ask(ask, sender)
 
-    def on_leg_end(self, end, sender):
+    def on_attempt_end(self, end, sender):
         keeper = self.keepers.get(end.model)
-        return keeper.on_leg_end(end, sender) if keeper else None
+        return keeper.on_attempt_end(end, sender) if keeper else None
 
     def on_grant_drop(self, drop, sender):
         keeper = self.keepers.get(drop.model)
@@ -264,7 +264,7 @@
         if ask.term < known[0]:
             return OLD_TERM.because(f"term {known[0]} is known")
         self.known[ask.model] = (ask.term, ask.keeper)
-        model = self.licence.held.document.models.get(ask.model) if self.licence.held else None
+        model = self.lease.held.document.models.get(ask.model) if self.lease.held else None
         idle_s, now_s, told = (model.idleMs / 1000 if model else 10.0), self.loop.time(), []
         for name, served in list(self.served.items()):
             if not served.told.call and now_s - served.idle_since_s > idle_s + OUTAGE_S:
@@ -355,12 +355,12 @@
             return BAD_REQUEST.because(str(error))
         if len(body.parts) > self.settings.partsMost:
             return TOO_LARGE.because(f"more than {self.settings.partsMost} parts")
-        held = self.licence.held
+        held = self.lease.held
         route = held.document.routes.get(body.model) if held else None
         start_s, wait_s = self.loop.time(), (route.waitMs if route else 3000) / 1000
-        if not await self.licence.wait(start_s + wait_s):
-            return NO_LICENCE
-        held = self.licence.held
+        if not await self.lease.wait(start_s + wait_s):
+            return NO_LEASE
+        held = self.lease.held
         scheme, _, key = exchange.headers.get("authorization", "").partition(" ")
         digest = key_digest(key.strip())
         tenant = held.tenant_by_key.get(digest) if scheme.lower() == "bearer" else None
@@ -403,7 +403,7 @@
 
     def status(self):
         """What doctor and operators want to know of this process."""
-        view, held = self.chart.view, self.licence.held
+        view, held = self.cluster_map.view, self.lease.held
         return {
             "name": self.me.name,
             "role": "router",
@@ -415,7 +415,7 @@
                 "voters": [ref.addr for ref in view.voters],
             },
             "version": held.version if held else 0,
-            "licence": self.licence.is_held(),
+            "lease": self.lease.is_held(),
             "list": {
                 "ageMs": self.workers.ageMs(),
                 "fresh": self.workers.is_fresh(),
--- a/swiftdeck/traffic/workers.py
+++ b/swiftdeck/traffic/workers.py
@@ -48,7 +48,7 @@
         return int((self.loop.time() - self.read_s) * 1000)
 
     def is_fresh(self) -> bool:
-        """Whether legs may be sent by the list."""
+        """Whether attempts may be sent by the list."""
         return self.ageMs() <= self.old_ms
 
     def may_take(self, name) -> bool:
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -77,7 +77,7 @@
 
 
 @message
-class Roster(Wire):
+class WorkerRegistry(Wire):
     members: list[Member] = bp.message_field(1)
 
 
@@ -162,13 +162,13 @@
 
 
 @message
-class ViewLicenceAsk(Wire):
+class ViewLeaseAsk(Wire):
     number: int = bp.uint64_field(1)
     coreId: str = bp.string_field(2)
 
 
 @message
-class ViewLicenceReturn(Wire):
+class ViewLeaseReturn(Wire):
     granted: bool = bp.bool_field(1)
     decided: View = bp.message_field(2)
 
@@ -249,7 +249,7 @@
 
 
 @message
-class LicenceAsk(Wire):
+class LeaseAsk(Wire):
     router: str = bp.string_field(1)
     addr: str = bp.string_field(2)
     held: int = bp.uint64_field(3)
@@ -258,8 +258,8 @@
 
 
 @message
-class LicenceReturn(Wire):
-    licence_ms: int = bp.uint32_field(1)
+class LeaseReturn(Wire):
+    lease_ms: int = bp.uint32_field(1)
     version: int = bp.uint64_field(2)
     document: bytes = bp.bytes_field(3)
     view: int = bp.uint64_field(4)
@@ -270,7 +270,7 @@
 
 @message
 class Relay(Wire):
-    ask: LicenceAsk = bp.message_field(1)
+    ask: LeaseAsk = bp.message_field(1)
 
 
 @message
@@ -285,7 +285,7 @@
     term: int = bp.uint64_field(2)
     holder: str = bp.string_field(3)
     addr: str = bp.string_field(4)
-    licence_ms: int = bp.uint32_field(5)
+    lease_ms: int = bp.uint32_field(5)
     release: bool = bp.bool_field(6)
 
 
@@ -313,7 +313,7 @@
 class GrantAsk(Wire):
     router: str = bp.string_field(1)
     call: str = bp.string_field(2)
-    leg: int = bp.uint32_field(3)
+    attempt: int = bp.uint32_field(3)
     tenant: str = bp.string_field(4)
     model: str = bp.string_field(5)
     group: str = bp.string_field(6)
@@ -342,10 +342,10 @@
 
 
 @message
-class LegEnd(Wire):
+class AttemptEnd(Wire):
     router: str = bp.string_field(1)
     call: str = bp.string_field(2)
-    leg: int = bp.uint32_field(3)
+    attempt: int = bp.uint32_field(3)
     conversation: str = bp.string_field(4)
     model: str = bp.string_field(5)
     is_over: bool = bp.bool_field(6)
@@ -375,7 +375,7 @@
     call: str = bp.string_field(7)
     idleMs: int = bp.uint64_field(8)
     weights: str = bp.string_field(9)
-    leg: int = bp.uint32_field(10)
+    attempt: int = bp.uint32_field(10)
     turns: int = bp.uint32_field(11)
     is_sent: bool = bp.bool_field(12)
 
@@ -494,7 +494,7 @@
     3: Member,
     4: Probe,
     5: ProbeReturn,
-    6: Roster,
+    6: WorkerRegistry,
     7: NewsItem,
     8: News,
     9: NewsDigest,
@@ -505,8 +505,8 @@
     14: Decided,
     15: ViewAsk,
     16: ViewReturn,
-    17: ViewLicenceAsk,
-    18: ViewLicenceReturn,
+    17: ViewLeaseAsk,
+    18: ViewLeaseReturn,
     20: Pass,
     21: PassReturn,
     22: JoinAsk,
@@ -518,8 +518,8 @@
     28: OutcomeReturn,
     29: ConfigAsk,
     30: ConfigReturn,
-    31: LicenceAsk,
-    32: LicenceReturn,
+    31: LeaseAsk,
+    32: LeaseReturn,
     33: Relay,
     34: Nudge,
     40: Nominate,
@@ -528,7 +528,7 @@
     51: ListReturn,
     60: GrantAsk,
     61: GrantReturn,
-    62: LegEnd,
+    62: AttemptEnd,
     63: GrantDrop,
     64: OpenAsk,
     65: OpenReturn,
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -17,7 +17,9 @@
         self.assertEqual(set(rows), {"head", "tail", "reader", "router"})
         routers = [fleet.up[name] for name in fleet.routers]
         self.assertTrue(
-            all(each.licence.is_held() and len(each.roster.workers) == 45 for each in routers)
+            all(
+                each.lease.is_held() and len(each.worker_registry.workers) == 45 for each in routers
+            )
         )
         self.assertTrue(all(len(each.membership.alive("router")) == 5 for each in routers))
         self.assertGreater(sum(each.board.count["starts"] for each in routers), 5)
@@ -32,11 +34,11 @@
             2 * small["router"]["sentByKind"]["LoadNews"][0],
         )
         self.assertGreater(
-            large["tail"]["sentByKind"]["LicenceReturn"][0],
-            2 * small["tail"]["sentByKind"]["LicenceReturn"][0],
+            large["tail"]["sentByKind"]["LeaseReturn"][0],
+            2 * small["tail"]["sentByKind"]["LeaseReturn"][0],
         )
         for rows in (small, large):
-            self.assertAlmostEqual(rows["router"]["sentByKind"]["LicenceAsk"][0], 2.5, delta=0.8)
+            self.assertAlmostEqual(rows["router"]["sentByKind"]["LeaseAsk"][0], 2.5, delta=0.8)
 
     def test_what_is_sent_is_taken(self):
         fleet, _ = self.rows(4)
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -127,7 +127,7 @@
         self.assertEqual(self.open(town), 0)
         self.sound(town)
 
-    def test_slots_of_a_dead_router_come_back_once_its_licence_has_run_out(self):
+    def test_slots_of_a_dead_router_come_back_once_its_lease_has_run_out(self):
         town = self.town(cap=1)
         keeper = town.keeper()
         victim = next(name for name in town.router_names() if name != keeper)
@@ -441,7 +441,7 @@
             )
             town.world.run(1)
             self.assertEqual(runs(), 1)
-            town.up[name].licence.until_s += 20
+            town.up[name].lease.until_s += 20
             town.world.thaw(name)
             town.world.run(1)
             self.assertEqual(runs(), 1, is_claimed)
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -1,4 +1,4 @@
-"""Cases of calls: legs, final answers, claims, pieces and the retry budget."""
+"""Cases of calls: attempts, final answers, claims, pieces and the retry budget."""
 
 import asyncio
 import unittest
@@ -81,8 +81,8 @@
             )
             town.world.run(0.8 if is_granted else 0.3)
 
-            def fails(call, leg):
-                return STALE_LIST if call.router is town.up[name] else look(call, leg)
+            def fails(call, attempt):
+                return STALE_LIST if call.router is town.up[name] else look(call, attempt)
 
             with mock.patch.object(Call, "_may_be_sent", fails):
                 box = town.spawn(
@@ -237,7 +237,7 @@
         self.assertLessEqual(extra, 40 // 5 + 3)
         self.assertEqual({each[0]["code"] for each in box}, {WORKER_LOST.code})
 
-    def test_a_call_waits_once_for_licence_and_grant_together(self):
+    def test_a_call_waits_once_for_lease_and_grant_together(self):
         town = self.town(routers=2, workers=1)
         for name in [*town.core_names(), "platform"]:
             town.world.kill(name)
@@ -249,7 +249,7 @@
             town.start_core(node["name"])
         self.assertTrue(
             town.world.run(
-                until=lambda: any(town.up[name].licence.is_held() for name in town.router_names()),
+                until=lambda: any(town.up[name].lease.is_held() for name in town.router_names()),
                 limit_s=8,
             )
         )
@@ -295,11 +295,11 @@
         ]
         self.assertEqual((ends, starts), ([], []))
 
-    def test_a_call_counts_once_however_often_its_first_leg_is_granted(self):
+    def test_a_call_counts_once_however_often_its_first_attempt_is_granted(self):
         town, look, failures = self.town(workers=1), Call._may_be_sent, [STALE_LIST] * 5
 
-        def fails(call, leg):
-            return failures.pop() if failures else look(call, leg)
+        def fails(call, attempt):
+            return failures.pop() if failures else look(call, attempt)
 
         town.world.run(11)
         budget = town.up[town.keeper()].keepers["screener"].budget
@@ -311,8 +311,8 @@
     def test_a_call_whose_grant_was_lost_takes_no_second_place(self):
         town, take, lost = self.town(workers=1), Router.take_grant, [True]
 
-        def loses(router, call, leg, grant, asked_s):
-            return TIMED_OUT if lost and lost.pop() else take(router, call, leg, grant, asked_s)
+        def loses(router, call, attempt, grant, asked_s):
+            return TIMED_OUT if lost and lost.pop() else take(router, call, attempt, grant, asked_s)
 
         with mock.patch.object(Router, "take_grant", loses):
             self.assertTrue(town.call("saga", "check", ["book", "x"], maxTokens=16)["whole"])
@@ -433,7 +433,7 @@
         self.assertEqual((got["status"], got["code"]), (401, UNKNOWN_KEY.code))
         self.assertEqual(town.world.faults, [])
 
-    def test_no_leg_goes_out_on_an_old_list(self):
+    def test_no_attempt_goes_out_on_an_old_list(self):
         town = self.town(routers=3)
         platform = town.site.platform.rpartition(":")[0]
         alone = town.site.routers[0]
@@ -494,10 +494,10 @@
         town, look, frozen = self.town(routers=3, workers=2), Call._may_be_sent, []
         name = next(each for each in town.router_names() if each != town.keeper())
 
-        def freezes(call, leg):
-            got = look(call, leg)
+        def freezes(call, attempt):
+            got = look(call, attempt)
             if call.router is town.up[name] and not frozen:
-                frozen.append(leg.grant.worker)
+                frozen.append(attempt.grant.worker)
                 town.world.freeze(name)
             return got
 
--- a/tests/cases/config.py
+++ b/tests/cases/config.py
@@ -420,8 +420,8 @@
         at_s = town.world.now
         self.assertEqual(town.change("PATCH", self.cap(17))[0], 200)
         self.assertGreater(town.world.now - at_s, 2.5)
-        served = [name for name in town.router_names() if town.up[name].licence.is_held()]
-        self.assertTrue(all(town.up[name].licence.held.version == town.version for name in served))
+        served = [name for name in town.router_names() if town.up[name].lease.is_held()]
+        self.assertTrue(all(town.up[name].lease.held.version == town.version for name in served))
         self.assertNotIn("router2", served)
         town.world.thaw("router2")
         at_s = town.world.now
@@ -452,7 +452,7 @@
         self.assertEqual(town.change("PATCH", {"routes": routes})[0], 200)
         self.assertTrue(
             all(
-                len(town.up[name].licence.held.document.routes) == 3002
+                len(town.up[name].lease.held.document.routes) == 3002
                 for name in town.router_names()
             )
         )
@@ -475,12 +475,12 @@
         self.assertEqual(
             (town.counters()["wholesSent"] - wholes, town.counters()["configsMismatched"]), (0, 0)
         )
-        licence = town.up["router2"].licence
-        wrong = licence.held.config.apply({"routes": {"tag": None}})
-        licence.held = attrs.evolve(licence.held, config=wrong)
+        lease = town.up["router2"].lease
+        wrong = lease.held.config.apply({"routes": {"tag": None}})
+        lease.held = attrs.evolve(lease.held, config=wrong)
         self.assertEqual(town.change("PATCH", self.cap(9))[0], 200)
         town.world.run(1)
-        held = {town.up[name].licence.held.config.digest() for name in town.router_names()}
+        held = {town.up[name].lease.held.config.digest() for name in town.router_names()}
         self.assertEqual((len(held), town.counters()["wholesSent"] - wholes), (1, 1))
         self.assertEqual(
             town.call("saga", "tag", ["a", "b"], door=town.addresses["router2"]["http"])["status"],
@@ -509,7 +509,7 @@
         self.assertIn("bytes", got[1]["reason"])
         self.assertEqual(town.call("saga", "tag", ["a", "b"])["status"], 200)
 
-    def test_a_router_cut_from_the_cores_holds_its_licence_through_a_neighbour(self):
+    def test_a_router_cut_from_the_cores_holds_its_lease_through_a_neighbour(self):
         town = self.town(routers=3)
         ip = town.addresses["router1"]["inner"].rpartition(":")[0]
         cores = [town.addresses[name]["inner"].rpartition(":")[0] for name in town.core_names()]
--- a/tests/cases/cores.py
+++ b/tests/cases/cores.py
@@ -296,12 +296,12 @@
         for _ in range(7):
             town.world.run(0.1)
             told.append(self.read(town, tail)[0])
-        return max(*told, *(town.up[name].licence.held.version for name in town.router_names()))
+        return max(*told, *(town.up[name].lease.held.version for name in town.router_names()))
 
     def serves_again(self, town):
-        """Whether all routers hold a licence once more within the time that they need for one."""
+        """Whether all routers hold a lease once more within the time that they need for one."""
         return town.world.run(
-            until=lambda: all(town.up[name].licence.is_held() for name in town.router_names()),
+            until=lambda: all(town.up[name].lease.is_held() for name in town.router_names()),
             limit_s=10,
         )
 
--- a/tests/cases/doctor.py
+++ b/tests/cases/doctor.py
@@ -69,7 +69,7 @@
             703: lambda s: s["core1"].update(diskFreeBytes=5),
             705: lambda s: s["core1"].update(trouble="305 full"),
             707: lambda s: s["core1"].update(mayServe=False),
-            708: lambda s: s["router1"].update(licence=False),
+            708: lambda s: s["router1"].update(lease=False),
             709: lambda s: s["router1"]["list"].update(fresh=False),
             706: lambda s: [each["view"].update(members=["a"]) for each in s.values()],
             710: lambda s: s["router1"].update(version=0),
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -10,10 +10,10 @@
 
 from swiftdeck.chain.agreement import Agreement
 from swiftdeck.chain.chain import Chain
-from swiftdeck.chain.mender import Mender
 from swiftdeck.chain.state import ChainState
+from swiftdeck.chain.view_manager import ViewManager
 from swiftdeck.disk.journal import Journal
-from swiftdeck.fault import NO_LICENCE, OLD_VIEW, WAITED_OUT
+from swiftdeck.fault import NO_LEASE, OLD_VIEW, WAITED_OUT
 from swiftdeck.http.server import HttpConversation
 from swiftdeck.traffic.book import Book
 from swiftdeck.traffic.books import Books
@@ -21,8 +21,8 @@
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
 from swiftdeck.traffic.keeper import Keeper
+from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.ledger import Ledger, Move, next_move
-from swiftdeck.traffic.licence import ConfigLicence
 from swiftdeck.traffic.line import Line
 from swiftdeck.traffic.moves import Moves
 from swiftdeck.traffic.takeover import Takeover
@@ -68,7 +68,7 @@
 
 
 class _Endless:
-    """Pieces that outlive their leg."""
+    """Pieces that outlive their attempt."""
 
     def __get__(self, call, kind=None):
         return call.__dict__.setdefault("kept", []) if call else self
@@ -96,7 +96,7 @@
     return GrantAsk(**fields | {"talk": fields["chain"]})
 
 
-def _until_the_horizon(ledger, now_ms):
+def _until_the_deadline(ledger, now_ms):
     move, fault = next_move(ledger, now_ms)
     return (
         (Move.NOMINATE, None)
@@ -109,7 +109,7 @@
     init(self, router, exchange, held, tenant, route, body, router.loop.time())
 
 
-def _keeps_its_keys(self, got, install=ConfigLicence._install):
+def _keeps_its_keys(self, got, install=ConfigLease._install):
     old = self.held
     done = install(self, got)
     if old and old.tenant_by_key:
@@ -132,7 +132,7 @@
 
 
 async def _no_neighbour(self, ask):
-    return NO_LICENCE
+    return NO_LEASE
 
 
 def _promises(self, fault):
@@ -141,10 +141,10 @@
 
 def _again(ledger, now_ms):
     move, fault = next_move(ledger, now_ms)
-    last = ledger.legs[-1] if ledger.legs else None
+    last = ledger.attempts[-1] if ledger.attempts else None
     return (
         (Move.NOMINATE, None)
-        if move is Move.GIVE_UP and last and last.was_sent and len(ledger.legs) < 3
+        if move is Move.GIVE_UP and last and last.was_sent and len(ledger.attempts) < 3
         else (move, fault)
     )
 
@@ -181,10 +181,10 @@
         [("swiftdeck.traffic.call", "group_of", _old_group)],
     ),
     (
-        "licence before a leg",
+        "lease before an attempt",
         config.ConfigCase,
-        "test_a_router_cut_from_the_cores_holds_its_licence_through_a_neighbour",
-        [(ConfigLicence, "is_held", _holds), (ConfigLicence, "_through_others", _no_neighbour)],
+        "test_a_router_cut_from_the_cores_holds_its_lease_through_a_neighbour",
+        [(ConfigLease, "is_held", _holds), (ConfigLease, "_through_others", _no_neighbour)],
     ),
     (
         "weights that a worker said",
@@ -199,7 +199,7 @@
         [(Chain, "is_in_force", lambda self, version: True)],
     ),
     (
-        "view licence",
+        "view lease",
         config.ConfigCase,
         "test_a_frozen_tail_wakes_holding_nothing",
         [(Agreement, "mayServe", _serves)],
@@ -244,7 +244,7 @@
         "key on each request",
         config.ConfigCase,
         "test_a_revoked_key_is_refused_on_a_kept_alive_connection",
-        [(ConfigLicence, "_install", _keeps_its_keys)],
+        [(ConfigLease, "_install", _keeps_its_keys)],
     ),
     (
         "no call to a draining worker",
@@ -319,16 +319,16 @@
         "the view is mended",
         config.ConfigCase,
         "test_each_member_may_be_killed_in_turn",
-        [(Mender, "_mend", _syncs_nothing)],
+        [(ViewManager, "_mend", _syncs_nothing)],
     ),
     (
         "routers renew often and are nudged",
         config.ConfigCase,
         "test_changes_are_in_force_within_two_seconds_while_nothing_fails",
         [
-            (ConfigLicence, "on_nudge", lambda self, nudge, sender: None),
+            (ConfigLease, "on_nudge", lambda self, nudge, sender: None),
             (
-                "swiftdeck.traffic.licence.ConfigLicence",
+                "swiftdeck.traffic.lease.ConfigLease",
                 "renewMs",
                 property(lambda self: 2900, lambda self, value: None),
             ),
@@ -338,13 +338,13 @@
         "given up at once",
         admission.AdmissionCase,
         "test_a_full_line_and_a_long_wait_end_at_once_with_a_time_to_come_back",
-        [("swiftdeck.traffic.call", "next_move", _until_the_horizon)],
+        [("swiftdeck.traffic.call", "next_move", _until_the_deadline)],
     ),
     (
         "a worker's refusal is no run",
         weights.WeightsCase,
         "test_a_switch_under_load_ends_the_old_weights",
-        [("swiftdeck.traffic.call", "OTHER_WEIGHTS", NO_LICENCE)],
+        [("swiftdeck.traffic.call", "OTHER_WEIGHTS", NO_LEASE)],
     ),
     (
         "what was served stays open",
@@ -361,7 +361,7 @@
     (
         "one wait for a whole call",
         calls.CallsCase,
-        "test_a_call_waits_once_for_licence_and_grant_together",
+        "test_a_call_waits_once_for_lease_and_grant_together",
         [("swiftdeck.traffic.router.Call", "__init__", _waits_anew)],
     ),
     (
@@ -388,7 +388,7 @@
     (
         "silent routers' slots",
         admission.AdmissionCase,
-        "test_slots_of_a_dead_router_come_back_once_its_licence_has_run_out",
+        "test_slots_of_a_dead_router_come_back_once_its_lease_has_run_out",
         [(Books, "seen", lambda self, addr: None)],
     ),
     (
@@ -400,7 +400,7 @@
     (
         "a call counts once",
         calls.CallsCase,
-        "test_a_call_counts_once_however_often_its_first_leg_is_granted",
+        "test_a_call_counts_once_however_often_its_first_attempt_is_granted",
         [("swiftdeck.traffic.call", "GrantAsk", _forgets_grants)],
     ),
     (
--- a/tests/chain/test_agreement.py
+++ b/tests/chain/test_agreement.py
@@ -45,7 +45,7 @@
 
             async def learn(number, members):
                 await agreement.learn(View(number=number, members=members, voters=refs))
-                agreement.licence_until_s = agreement.loop.time() + 10
+                agreement.lease_until_s = agreement.loop.time() + 10
                 served.append(agreement.mayServe())
 
             await asyncio.sleep(5)
--- a/tests/chain/test_founding.py
+++ b/tests/chain/test_founding.py
@@ -1,4 +1,4 @@
-"""What one voter promises for the first view, and what it tells of its licences."""
+"""What one voter promises for the first view, and what it tells of its leases."""
 
 import asyncio
 import unittest
@@ -7,7 +7,7 @@
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.world import World
 from swiftdeck.wire.mesh import Mesh
-from swiftdeck.wire.messages import Accept, CoreRef, Prepare, View, ViewLicenceAsk
+from swiftdeck.wire.messages import Accept, CoreRef, Prepare, View, ViewLeaseAsk
 
 
 class FoundingTest(unittest.TestCase):
@@ -47,7 +47,7 @@
             got = self.ask(folder, kept, may_found=not may_found, founders=["10.0.0.9:1"])
             self.assertEqual(got, (may_found, ["10.0.0.1:1"]))
 
-    def test_a_voter_tells_how_long_its_licences_to_a_dropped_member_last(self):
+    def test_a_voter_tells_how_long_its_leases_to_a_dropped_member_last(self):
         refs = [CoreRef(coreId=name, addr=f"10.0.0.{at + 2}:1") for at, name in enumerate("bc")]
 
         async def act(agreement):
@@ -60,7 +60,7 @@
                 )
             ).left_ms
             agreement.slot.accepted = None
-            agreement.on_licence_ask(ViewLicenceAsk(number=1, coreId="c"), "")
+            agreement.on_lease_ask(ViewLeaseAsk(number=1, coreId="c"), "")
             await asyncio.sleep(1)
             got = [
                 (
@@ -76,7 +76,7 @@
         self.assertEqual((never, other), (0, 0))
         self.assertAlmostEqual(given, 1100, delta=2)
 
-    def test_a_view_that_drops_soon_after_another_waits_out_the_licences_of_both(self):
+    def test_a_view_that_drops_soon_after_another_waits_out_the_leases_of_both(self):
         refs = [CoreRef(coreId=name, addr=f"{name}:1") for name in "abcd"]
 
         async def act(agreement):
--- a/tests/chain/test_nudges.py
+++ b/tests/chain/test_nudges.py
@@ -23,5 +23,5 @@
         self.assertEqual(len(told), len(set(told)))
         self.assertEqual(len(told), 18)
         self.assertEqual(
-            {town.up[name].licence.held.version for name in town.router_names()}, {town.version}
+            {town.up[name].lease.held.version for name in town.router_names()}, {town.version}
         )
--- a/tests/gateway/cases/routers.py
+++ b/tests/gateway/cases/routers.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from swiftdeck.gateway.gateway import Gateway
-from swiftdeck.traffic.licence import ConfigLicence
+from swiftdeck.traffic.lease import ConfigLease
 from tests.gateway.case import SiteCase
 from tests.gateway.town import HOST, PlatformTown
 
@@ -106,7 +106,7 @@
     def test_a_router_that_starts_while_no_lease_is_to_be_had_takes_what_a_tail_has_synced(self):
         town = self.begin_without_lease()
         self.assertEqual(
-            (town.up["router1"].is_ready(), town.up["router1"].licence.is_held()), (True, False)
+            (town.up["router1"].is_ready(), town.up["router1"].lease.is_held()), (True, False)
         )
         self.assertEqual(
             [town.ask(name, door="router1")["status"] for name in ("r-safe", "r-resume")],
@@ -116,13 +116,13 @@
         for name in ("core1", "core2"):
             town.start_core(name)
         town.world.run(8)
-        self.assertTrue(town.up["router1"].licence.is_held())
+        self.assertTrue(town.up["router1"].lease.is_held())
         self.assert_kept(town, 0.95)
 
         async def peeks_at_nothing(self):
             return None
 
-        with mock.patch.object(ConfigLicence, "_peek", peeks_at_nothing):
+        with mock.patch.object(ConfigLease, "_peek", peeks_at_nothing):
             self.assertFalse(self.begin_without_lease().up["router1"].is_ready())
 
     def test_clients_that_leave_take_nothing_with_them(self):
@@ -138,7 +138,7 @@
             sum(
                 worker.running + worker.running_long
                 for name in town.routers()
-                for worker in town.up[name].roster.workers.values()
+                for worker in town.up[name].worker_registry.workers.values()
             ),
             0,
         )
--- a/tests/gateway/cases/workers.py
+++ b/tests/gateway/cases/workers.py
@@ -4,12 +4,12 @@
 from unittest import mock
 
 from swiftdeck.gateway.health import Judge
+from swiftdeck.gateway.interfaces import Verdict
 from swiftdeck.gateway.ledger import Ledger
-from swiftdeck.gateway.passage import Passage
 from swiftdeck.gateway.pool import WorkerConnection
-from swiftdeck.gateway.roster import Roster
-from swiftdeck.gateway.seams import Verdict
+from swiftdeck.gateway.proxied_request import ProxiedRequest
 from swiftdeck.gateway.share import BudgetShare
+from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.platform.speech import Workers
 from tests.gateway.case import SiteCase
 
@@ -17,7 +17,7 @@
 
 
 def serves_all(self, service):
-    """A roster that pays no heed to who is leaving."""
+    """A worker_registry that pays no heed to who is leaving."""
     return list(self.by_service.get(service, ()))
 
 
@@ -86,7 +86,7 @@
             return self.quirky(("reset",), 2, 0.8)
 
         self.assert_kept(day(), 0.1)
-        make = Passage.__init__
+        make = ProxiedRequest.__init__
 
         def careless(self, *args):
             make(self, *args)
@@ -97,7 +97,7 @@
             mock.patch.object(Judge, "shun", lambda *_: None),
         ):
             self.assert_falls_without(
-                mock.patch.object(Passage, "__init__", careless), day, "TWICE", "BUDGET"
+                mock.patch.object(ProxiedRequest, "__init__", careless), day, "TWICE", "BUDGET"
             )
 
     def crash(self):
@@ -149,7 +149,7 @@
     def test_workers_leave_and_nothing_is_lost(self):
         self.assert_kept(self.leave())
         self.assert_falls_without(
-            mock.patch.object(Roster, "serving", serves_all), self.leave, "DRAIN"
+            mock.patch.object(WorkerRegistry, "serving", serves_all), self.leave, "DRAIN"
         )
 
     def test_the_store_goes_down_and_comes_back_empty(self):
--- a/tests/gateway/parts.py
+++ b/tests/gateway/parts.py
@@ -5,8 +5,8 @@
 import unittest
 
 from swiftdeck.board.board import Board
-from swiftdeck.gateway.roster import Roster
-from swiftdeck.gateway.seams import Listed, Part, Request
+from swiftdeck.gateway.interfaces import Listed, Part, Request
+from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.sim.world import World
 
 
@@ -53,9 +53,9 @@
     )
 
 
-def roster(*names, **more):
-    """A roster of workers that are alike."""
-    made = Roster()
+def worker_registry(*names, **more):
+    """A worker_registry of workers that are alike."""
+    made = WorkerRegistry()
     made.take([listed(name, at=at, **more) for at, name in enumerate(names, 1)])
     return made
 
--- a/tests/gateway/storm.py
+++ b/tests/gateway/storm.py
@@ -62,11 +62,12 @@
         books = gateway.admission.books.status()
         states = {
             "not ready": not gateway.is_ready(),
-            "without lease": not gateway.licence.is_held(),
+            "without lease": not gateway.lease.is_held(),
             "requests open": gateway.open,
             "places taken": sum(book["open"] + book["line"] for book in books.values()),
             "calls counted": sum(
-                each.running or each.running_long for each in gateway.roster.workers.values()
+                each.running or each.running_long
+                for each in gateway.worker_registry.workers.values()
             ),
             "connections counted": sum(gateway.pool.count.values())
             - sum(map(len, gateway.pool.idle.values())),
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -9,7 +9,7 @@
 from swiftdeck.member.membership import Membership
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import Member
-from tests.gateway.parts import SimCase, roster
+from tests.gateway.parts import SimCase, worker_registry
 
 ADDRS = [f"10.2.0.{at}:7000" for at in (1, 2, 3)]
 NAMES = [f"i-{at}" for at in range(6)]
@@ -30,7 +30,7 @@
         me = Member(addr=addr, name=f"r{at}", role="router", zone="z1", incarnation=at + 1)
         membership = Membership(me, mesh, ADDRS, random.Random(at), 500, 2000, board)
         self.parts[addr] = Admission(
-            me, mesh, membership, roster(*NAMES), board, lambda worker: 100000
+            me, mesh, membership, worker_registry(*NAMES), board, lambda worker: 100000
         )
         await mesh.start()
         membership.start()
@@ -91,7 +91,7 @@
         self.assertTrue(self.ask("c0")[0])
         self.assertLess(self.world.now - begun_s, (50 + PATIENCE_MS) / 1000 + 0.05)
         self.assertEqual(part.board.count["placesUnasked"], 1)
-        part.roster.workers["i-0"].running_long = 2
+        part.worker_registry.workers["i-0"].running_long = 2
         self.assertFalse(self.ask("c1")[0])
         self.assertFalse(self.ask("c2", worker="i-0")[0])
 
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -5,9 +5,9 @@
 
 from swiftdeck.fault import TIMED_OUT
 from swiftdeck.gateway.following import Following
+from swiftdeck.gateway.interfaces import Kept, Part, Reports
 from swiftdeck.gateway.kept import KeptTable
-from swiftdeck.gateway.seams import Kept, Part, Reports
-from tests.gateway.parts import SimCase, roster
+from tests.gateway.parts import SimCase, worker_registry
 
 BOOK = [Part("book", 13000)]
 STORE = "10.9.0.2:80"
@@ -33,17 +33,17 @@
 class FollowingTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.roster, self.kept, self.source, self.sent = (
-            roster("w1", "w2"),
+        self.worker_registry, self.kept, self.source, self.sent = (
+            worker_registry("w1", "w2"),
             KeptTable(),
             Source(),
             [],
         )
-        self.addr = self.roster.workers["w1"].listed.addr
+        self.addr = self.worker_registry.workers["w1"].listed.addr
         self.mine = {"w1", STORE}
         admission = SimpleNamespace(
             me=SimpleNamespace(addr="me"),
-            roster=self.roster,
+            worker_registry=self.worker_registry,
             owner=lambda name: "me" if name in self.mine else "other",
         )
         mesh = SimpleNamespace(
@@ -79,7 +79,7 @@
         self.world.run(1)
         self.assertEqual(
             (sorted(self.source.closed), self.source.asked[-1][0]),
-            (sorted([self.addr, STORE]), self.roster.workers["w2"].listed.addr),
+            (sorted([self.addr, STORE]), self.worker_registry.workers["w2"].listed.addr),
         )
 
     def test_reports_of_shared_parts_are_known_here_and_told_to_the_others(self):
@@ -123,6 +123,6 @@
 
     def test_workers_that_are_gone_are_forgotten(self):
         self.told(("book", 13000, True))
-        self.roster.take([])
+        self.worker_registry.take([])
         self.world.run(1)
         self.assertEqual((self.kept.parts, self.kept.by_holder), ({}, {}))
--- a/tests/gateway/test_health.py
+++ b/tests/gateway/test_health.py
@@ -1,16 +1,16 @@
 """Tests of the judgement on workers."""
 
 from swiftdeck.gateway.health import SHUN_MOST_S, Judge
-from tests.gateway.parts import SimCase, roster
+from tests.gateway.parts import SimCase, worker_registry
 
 
 class JudgeTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.roster = roster("w1", "w2", "w3", "w4", "w5")
-        self.workers = list(self.roster.workers.values())
+        self.worker_registry = worker_registry("w1", "w2", "w3", "w4", "w5")
+        self.workers = list(self.worker_registry.workers.values())
         self.told = []
-        self.judge = Judge(self.roster, self.board)
+        self.judge = Judge(self.worker_registry, self.board)
         self.judge.on_trouble = lambda worker, for_ms: self.told.append((worker.name, for_ms))
 
     def good(self, workers=None):
--- a/tests/gateway/test_kept.py
+++ b/tests/gateway/test_kept.py
@@ -2,8 +2,8 @@
 
 import unittest
 
+from swiftdeck.gateway.interfaces import Part
 from swiftdeck.gateway.kept import KeptTable
-from swiftdeck.gateway.seams import Part
 
 PROMPT = [Part("a", 100), Part("b", 50), Part("c", 10)]
 
--- a/tests/gateway/test_listing.py
+++ b/tests/gateway/test_listing.py
@@ -6,7 +6,7 @@
 from swiftdeck.board.board import Board
 from swiftdeck.fault import BAD_RETURN
 from swiftdeck.gateway.listing import Listing
-from swiftdeck.gateway.roster import Roster
+from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.member.membership import Membership
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import ListNews, Member
@@ -39,14 +39,14 @@
         board, mesh = Board(), Mesh(addr)
         me = Member(addr=addr, name=f"r{at}", role="router", zone="z1", incarnation=at + 1)
         membership = Membership(me, mesh, addrs, random.Random(at), 500, 2000, board)
-        roster, self.sources[addr] = Roster(), Source(self.world)
-        self.parts[addr] = Listing(me, mesh, membership, self.sources[addr], roster, board)
+        worker_registry, self.sources[addr] = WorkerRegistry(), Source(self.world)
+        self.parts[addr] = Listing(me, mesh, membership, self.sources[addr], worker_registry, board)
         await mesh.start()
         membership.start()
         self.parts[addr].start()
 
     def names(self):
-        return [sorted(each.roster.workers) for each in self.parts.values()]
+        return [sorted(each.worker_registry.workers) for each in self.parts.values()]
 
     def show(self, *names):
         for source in self.sources.values():
@@ -101,4 +101,4 @@
             lambda: part.on_news(ListNews(age_ms=5000, digest=digest, body=body), ""),
             "10.2.0.3:7000",
         )
-        self.assertEqual(sorted(part.roster.workers), ["w1", "w2"])
+        self.assertEqual(sorted(part.worker_registry.workers), ["w1", "w2"])
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -9,8 +9,8 @@
 from swiftdeck.fault import WORKER_LOST
 from swiftdeck.gateway.ledger import Move, next_move
 from swiftdeck.gateway.places import PlaceBooks, Wish
-from swiftdeck.gateway.roster import Roster
 from swiftdeck.gateway.share import BudgetShare
+from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.platform.speech import Callers, Workers
 from tests.gateway.case import SiteCase
 from tests.gateway.parts import SimCase, listed
@@ -50,9 +50,9 @@
         self.assertEqual(next_move(ledger(LOST, has_begun=True), 1.0), (Move.BREAK, WORKER_LOST))
 
 
-class RosterTest(SimCase):
+class WorkerRegistryTest(SimCase):
     def test_watchers_are_told_that_a_worker_drains(self):
-        made, heard = Roster(), []
+        made, heard = WorkerRegistry(), []
         made.take([listed("w1")])
         made.watchers.append(lambda: heard.append(1))
         made.take([listed("w1", draining=True)])
--- a/tests/gateway/test_ops.py
+++ b/tests/gateway/test_ops.py
@@ -21,5 +21,5 @@
         routers = [each for each in told.values() if each["role"] == "router"]
         self.assertEqual(sum(each["counters"].get("callsServed", 0) for each in routers), 1)
         self.assertTrue(
-            all(each["ready"] and each["licence"] and each["list"]["fresh"] for each in routers)
+            all(each["ready"] and each["lease"] and each["list"]["fresh"] for each in routers)
         )
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -5,7 +5,7 @@
 from swiftdeck.gateway.health import Judge
 from swiftdeck.gateway.kept import KeptTable
 from swiftdeck.gateway.placing import Placing
-from tests.gateway.parts import SimCase, request, roster
+from tests.gateway.parts import SimCase, request, worker_registry
 
 NAMES = [f"i-{at}" for at in range(9)]
 STORE = "172.20.0.2:8165"
@@ -14,9 +14,9 @@
 class PlacingTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.roster, self.kept = roster(*NAMES), KeptTable()
-        self.workers = list(self.roster.workers.values())
-        self.judge = Judge(self.roster, self.board)
+        self.worker_registry, self.kept = worker_registry(*NAMES), KeptTable()
+        self.workers = list(self.worker_registry.workers.values())
+        self.judge = Judge(self.worker_registry, self.board)
         self.placing = self.made()
 
     def made(self, seed=1):
@@ -42,7 +42,7 @@
         self.assertEqual(self.made(9).short_lane(self.workers[::-1]), lane)
         for shunned in (NAMES[:4], sorted(lane)[:2], NAMES[5:]):
             for name in shunned:
-                self.within(lambda: self.judge.shun(self.roster.workers[name], 1))
+                self.within(lambda: self.judge.shun(self.worker_registry.workers[name], 1))
             other = self.made(3)
             self.order(self.short(), placing=other)
             self.order(request(), placing=other)
@@ -61,7 +61,7 @@
         self.assertLessEqual(firsts, lane)
         self.assertGreater(len(firsts), 1)
         for name in lane:
-            self.roster.workers[name].running = 30
+            self.worker_registry.workers[name].running = 30
         self.assertNotIn(self.order(self.short())[0], lane)
 
     def test_long_prompts_leave_the_lane_alone_and_go_where_their_shared_parts_are_kept(self):
@@ -90,11 +90,11 @@
     def test_shunned_workers_are_left_alone_while_others_are_there(self):
         wanted = request()
         first, second, *_ = self.order(wanted)
-        self.within(lambda: self.judge.shun(self.roster.workers[first], 1))
+        self.within(lambda: self.judge.shun(self.worker_registry.workers[first], 1))
         self.assertNotIn(first, self.order(wanted))
         self.assertEqual(self.order(wanted)[0], second)
         self.assertEqual(self.order(wanted, workers=[]), [])
-        self.assertEqual(self.order(wanted, workers=[self.roster.workers[first]]), [first])
+        self.assertEqual(self.order(wanted, workers=[self.worker_registry.workers[first]]), [first])
 
     def test_size_alone_says_whether_a_call_needs_a_place(self):
         self.assertEqual(
@@ -105,7 +105,7 @@
     def source(self, wanted, worker="i-0", salt="1", store=STORE):
         return self.within(
             lambda: self.placing.source(
-                wanted, self.roster.workers[worker], salt, self.roster, store
+                wanted, self.worker_registry.workers[worker], salt, self.worker_registry, store
             )
         )
 
@@ -116,12 +116,12 @@
         wanted = request(parts=[("a", 8000), ("b", 5000), ("own", 3000)])
         self.assertEqual(self.source(wanted), "")
         self.kept.keep("i-3", "1", "a", 8000)
-        self.assertEqual(self.source(wanted), self.roster.workers["i-3"].listed.addr)
+        self.assertEqual(self.source(wanted), self.worker_registry.workers["i-3"].listed.addr)
         self.kept.keep(STORE, "1", "a", 8000)
         self.kept.keep(STORE, "1", "b", 5000)
         self.assertEqual(
             (self.source(wanted), self.source(wanted, store="")),
-            (STORE, self.roster.workers["i-3"].listed.addr),
+            (STORE, self.worker_registry.workers["i-3"].listed.addr),
         )
         self.assertEqual((self.source(wanted, salt="2"), self.source(wanted, salt="1/t")), ("", ""))
 
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -6,7 +6,7 @@
 
 from swiftdeck.fault import NO_CONNECTION, UNREACHED, is_fault
 from swiftdeck.gateway.pool import KEEP_S, SPARE_S, Pool
-from tests.gateway.parts import SimCase, roster
+from tests.gateway.parts import SimCase, worker_registry
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nrequest: %s\r\n\r\nok"
 
@@ -30,8 +30,8 @@
     def setUp(self):
         super().setUp()
         self.pool, self.script, self.seen = Pool(self.board), [], []
-        self.roster = roster("w1", "w2")
-        self.worker = self.roster.workers["w1"]
+        self.worker_registry = worker_registry("w1", "w2")
+        self.worker = self.worker_registry.workers["w1"]
         self.world.start("worker", "10.1.0.1", self.serve)
 
     async def serve(self):
@@ -162,7 +162,7 @@
     def test_who_is_not_reached_counts_for_nothing(self):
         self.pool.most = lambda worker: 1
         for _ in range(3):
-            self.assertEqual(self.take(self.roster.workers["w2"]).code, UNREACHED.code)
+            self.assertEqual(self.take(self.worker_registry.workers["w2"]).code, UNREACHED.code)
         self.world.net.cut(["10.0.0.1"], ["10.1.0.1"])
         for _ in range(3):
             begun_s = self.world.now
@@ -176,8 +176,8 @@
     ):
         link = self.exchange()
         self.give(link)
-        self.roster.workers["w1"].listed = roster("w1").workers["w1"].listed
-        next_life = roster("w1-again").workers["w1-again"]
+        self.worker_registry.workers["w1"].listed = worker_registry("w1").workers["w1"].listed
+        next_life = worker_registry("w1-again").workers["w1-again"]
         self.assertEqual(next_life.listed.addr, self.worker.listed.addr)
         self.assertIsNot(self.take(next_life), link)
         self.within(lambda: self.pool.follow({"w1-again": next_life}))
--- a/tests/platform/test_caches.py
+++ b/tests/platform/test_caches.py
@@ -4,7 +4,7 @@
 import unittest
 
 from swiftdeck.fault import is_fault
-from swiftdeck.gateway.seams import Kept, Reports
+from swiftdeck.gateway.interfaces import Kept, Reports
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.caches import PlatformCaches
 from swiftdeck.sim.world import World
--- a/tests/platform/test_lists.py
+++ b/tests/platform/test_lists.py
@@ -4,7 +4,7 @@
 import unittest
 
 from swiftdeck.fault import BAD_RETURN, is_fault
-from swiftdeck.gateway.seams import Listed
+from swiftdeck.gateway.interfaces import Listed
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.lists import PlatformList
 from swiftdeck.sim.world import World
--- a/tests/platform/test_operator_door.py
+++ b/tests/platform/test_operator_door.py
@@ -126,7 +126,7 @@
             WHOLE | {"version": 12, "routes": [ROUTES[1] | {"timeout-ms": 9}, ROUTES[2]]},
         )
         self.assertTrue(
-            all(len(town.up[name].licence.held.document.paths) == 2 for name in town.router_names())
+            all(len(town.up[name].lease.held.document.paths) == 2 for name in town.router_names())
         )
 
     def test_what_is_refused_changes_nothing(self):
--- a/tests/platform/test_speech.py
+++ b/tests/platform/test_speech.py
@@ -16,7 +16,7 @@
     WORKER_LOST,
     is_fault,
 )
-from swiftdeck.gateway.seams import Errand, Part, Verdict
+from swiftdeck.gateway.interfaces import Part, UpstreamRequest, Verdict
 from swiftdeck.platform.speech import FOREVER_MS, Callers, Workers, parts_of
 
 SENT = [
@@ -28,7 +28,7 @@
     (b"Swiftdeck-Time-Left-Ms", b"6000"),
     (b"Authorization", b"Bearer 3d3zji9n73hh2b9wu3fe"),
 ]
-ERRAND = Errand(
+ERRAND = UpstreamRequest(
     "i-7f3a91c2", "nowu640", 5300, 1, "3", "3/nowu640", "10.2.64.3:8080", "172.20.0.2:8080", "17"
 )
 SEALED = [
@@ -136,9 +136,9 @@
 
 
 class WorkersTest(unittest.TestCase):
-    def head(self, headers=SENT, errand=ERRAND, **more):
+    def head(self, headers=SENT, upstream_request=ERRAND, **more):
         """The headers of an attempt by their names in lower case, each of which is there once."""
-        got = Workers().head(Callers().read(exchange(headers, **more)), errand)
+        got = Workers().head(Callers().read(exchange(headers, **more)), upstream_request)
         names = [name.lower() for name, _ in got]
         self.assertEqual(sorted(names), sorted(set(names)))
         return {name.lower(): value for name, value in got}
@@ -191,7 +191,7 @@
                 (change(names[0]), b"twice"),
             ]
             self.assertEqual(self.head(sent), self.head())
-            bare = self.head(sent, Errand("i-1", "", 10, 5))
+            bare = self.head(sent, UpstreamRequest("i-1", "", 10, 5))
             self.assertFalse(b"forged" in bare.values() or b"twice" in bare.values())
             self.assertEqual(
                 set(bare) - {name.lower() for name, _ in SENT},
