--- a/swiftdeck/bench/scale.py
+++ b/swiftdeck/bench/scale.py
@@ -40,12 +40,12 @@
     ListNews,
     LoadNews,
     Member,
+    MemberList,
     PlaceAsk,
     SwapNews,
     View,
     Write,
 )
-from swiftdeck.wire.messages import WorkerRegistry as Neighbours
 
 WORKERS_EACH, CALLS_EACH_S, REPORT_S, LIST_S, CHANGE_S = 7.5, 0.2, 10.0, 2.0, 2.0
 HOLD_S, WORKER_TOKENS, PROMPT = 0.5, 143_828, (("book", 13_300), ("own", 3_720))
@@ -551,15 +551,13 @@
     """What a router or a tail does for each message or tick, by the number of routers."""
     for count in (25, 100, 400, 1600):
         node = hollow(count, 12)
-        whole = Neighbours(members=[node.me, *node.membership.alive()])
+        whole = MemberList(members=[node.me, *node.membership.alive()])
         yield {
             "part": "roster exchange, one side",
             "routers": count,
             "bytes": len(bytes(whole)),
             "us": timed(
-                lambda: bytes(
-                    node.membership.on_worker_registry(Neighbours().parse(bytes(whole)), "")
-                ),
+                lambda: bytes(node.membership.on_member_list(MemberList().parse(bytes(whole)), "")),
                 max(1, 400 // count),
             ),
         }
--- a/swiftdeck/member/membership.py
+++ b/swiftdeck/member/membership.py
@@ -5,7 +5,7 @@
 import attrs
 
 from swiftdeck.fault import is_fault
-from swiftdeck.wire.messages import Done, Member, Probe, ProbeReturn, WorkerRegistry
+from swiftdeck.wire.messages import Done, Member, MemberList, Probe, ProbeReturn
 
 ALIVE, SUSPECT, GONE = 0, 1, 2
 STATES = ("alive", "suspect", "gone")
@@ -30,7 +30,7 @@
         self.watchers = []
         mesh.on(Probe, self.on_probe)
         mesh.on(ProbeReturn, self.on_probe_return)
-        mesh.on(WorkerRegistry, self.on_worker_registry)
+        mesh.on(MemberList, self.on_member_list)
 
     def start(self):
         """Join and go on probing."""
@@ -131,10 +131,10 @@
         if done and not done.done():
             done.set_result(True)
 
-    def on_worker_registry(self, worker_registry, sender):
-        for each in worker_registry.members:
+    def on_member_list(self, member_list, sender):
+        for each in member_list.members:
             self.learn(each)
-        return WorkerRegistry(members=[self.me, *(each.member for each in self.known.values())])
+        return MemberList(members=[self.me, *(each.member for each in self.known.values())])
 
     async def _reach(self, addr, waitMs, through=None):
         self.serial += 1
@@ -200,7 +200,7 @@
             await asyncio.sleep(0.5 if not self.alive() else 3.0)
 
     async def _join(self, addr):
-        got = await self.mesh.ask(addr, WorkerRegistry(members=[self.me, *self.alive()]))
+        got = await self.mesh.ask(addr, MemberList(members=[self.me, *self.alive()]))
         if not is_fault(got) and not isinstance(got, Done):
             for each in got.members:
                 self.learn(each)
@@ -210,7 +210,7 @@
         gone = Member().parse(bytes(self.me))
         gone.state = GONE
         for each in self.alive():
-            self.mesh.cast(each.addr, WorkerRegistry(members=[gone]))
+            self.mesh.cast(each.addr, MemberList(members=[gone]))
 
     def set_seeds(self, seeds):
         """Exchange the seeds at run time."""
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -77,7 +77,7 @@
 
 
 @message
-class WorkerRegistry(Wire):
+class MemberList(Wire):
     members: list[Member] = bp.message_field(1)
 
 
@@ -494,7 +494,7 @@
     3: Member,
     4: Probe,
     5: ProbeReturn,
-    6: WorkerRegistry,
+    6: MemberList,
     7: NewsItem,
     8: News,
     9: NewsDigest,
--- a/tests/cases/input.py
+++ b/tests/cases/input.py
@@ -20,6 +20,7 @@
     JoinAsk,
     LeaseAsk,
     ListAsk,
+    MemberList,
     NewsDigest,
     Nominate,
     OutcomeAsk,
@@ -27,7 +28,6 @@
     Relay,
     ViewAsk,
     ViewLeaseAsk,
-    WorkerRegistry,
     Write,
 )
 
@@ -44,7 +44,7 @@
     OutcomeAsk,
     Pass,
     Relay,
-    WorkerRegistry,
+    MemberList,
     ViewAsk,
     ViewLeaseAsk,
     Write,
