--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -199,7 +199,11 @@
             self.count["castsFailed"] += 1
 
     def take(self, frame, link):
-        """Handle one arrived frame; false when it does not parse."""
+        """Handle one arrived frame; false when it does not parse.
+
+        A return counts only on the link on which its question was sent: numbers of exchanges
+        repeat after a restart, and a datagram or another peer's link may bear any number.
+        """
         try:
             number, exchange, is_return, length = HEAD.unpack_from(frame)
             sender = frame[HEAD.size : HEAD.size + length].decode("ascii")
@@ -208,8 +212,10 @@
         except Exception:
             return False
         if is_return:
-            _, done = self.asked.get(exchange, (None, None))
-            if done and not done.done():
+            asked_on, done = self.asked.get(exchange, (None, None))
+            if done and asked_on is not link:
+                self.count["returnsMisplaced"] += 1
+            elif done and not done.done():
                 done.set_result(
                     fault_of(message.code, message.reason, message.retry_ms or None)
                     if isinstance(message, FaultReturn)
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -5,8 +5,8 @@
 
 from swiftdeck.fault import BAD_FRAME, UNKNOWN_KIND, UNREACHABLE
 from swiftdeck.sim.world import World
-from swiftdeck.wire.mesh import Mesh
-from swiftdeck.wire.messages import Done, ListAsk, ListReturn
+from swiftdeck.wire.mesh import HEAD, Mesh
+from swiftdeck.wire.messages import NUMBERS, Done, ListAsk, ListReturn
 
 
 class MeshTest(unittest.TestCase):
@@ -34,3 +34,38 @@
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
         self.assertEqual(world.do("b", ask), (5, UNKNOWN_KIND.code, UNREACHABLE.code))
         self.assertEqual(meshes["a"].count["faults.%d" % BAD_FRAME.code], 1)
+
+    def test_a_return_counts_only_on_the_link_of_its_question(self):
+        world, meshes = World(), {}
+
+        async def answer_late(message, sender):
+            await asyncio.sleep(0.2)
+            return ListReturn(ageMs=5)
+
+        async def serve():
+            mesh = Mesh("10.0.0.1:7000")
+            mesh.on(ListAsk, answer_late)
+            await mesh.start()
+
+        def foreign_return(exchange):
+            head = HEAD.pack(NUMBERS[ListReturn], exchange, True, 0)
+            return head + bytes(ListReturn(ageMs=99))
+
+        async def ask():
+            mesh = meshes["b"] = Mesh("10.0.0.2:7000")
+            await mesh.start()
+            asking = asyncio.ensure_future(mesh.ask("10.0.0.1:7000", ListAsk()))
+            await asyncio.sleep(0.1)
+            exchange = next(iter(mesh.asked))
+            frame = foreign_return(exchange)
+            transport, _ = await asyncio.get_running_loop().create_connection(
+                asyncio.Protocol, "10.0.0.2", 7000
+            )
+            transport.write(len(frame).to_bytes(4, "big") + frame)
+            mesh.datagrams.sendto(frame, ("10.0.0.2", 7000))
+            return (await asking).ageMs
+
+        world.start("a", "10.0.0.1", serve)
+        world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
+        self.assertEqual(world.do("b", ask), 5)
+        self.assertEqual(meshes["b"].count["returnsMisplaced"], 2)
