--- a/swiftdeck/disk/folder.py
+++ b/swiftdeck/disk/folder.py
@@ -25,6 +25,7 @@
         self.path = Path(path)
         self.path.mkdir(parents=True, exist_ok=True)
         self.files = {}
+        self.named = set()
         self.pool = ThreadPoolExecutor(1)
 
     def read(self, name: str) -> bytes:
@@ -44,11 +45,25 @@
             view = view[self._open(name).write(view) :]
 
     async def sync(self, name: str):
-        """Make a file last."""
+        """Make a file last, and its name with the first sync of each life of the process."""
         await asyncio.get_running_loop().run_in_executor(
-            self.pool, os.fsync, self._open(name).fileno()
+            self.pool, self._sync, name, self._open(name).fileno()
         )
 
+    def _sync(self, name, descriptor):
+        os.fsync(descriptor)
+        if name not in self.named:
+            self._sync_names()
+            self.named.add(name)
+
+    def _sync_names(self):
+        """Make the names of files last: a file that was made may else be gone after a loss of power."""
+        folder = os.open(self.path, os.O_RDONLY)
+        try:
+            os.fsync(folder)
+        finally:
+            os.close(folder)
+
     async def replace(self, name: str, data: bytes):
         """Put new contents in place of a file, whole or not at all."""
         await asyncio.get_running_loop().run_in_executor(self.pool, self._replace, name, data)
@@ -61,11 +76,8 @@
             os.fsync(file.fileno())
         old = self.files.pop(name, None)
         os.replace(fresh, self.path / name)
-        folder = os.open(self.path, os.O_RDONLY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+        self._sync_names()
+        self.named.add(name)
         if old:
             old.close()
 
