--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -87,6 +87,7 @@
         self.fault, self.needs_copy, self.must_compare, self.is_partial = None, False, False, False
         self.whole_in, self.last_in, self.whole_since_s = 0, 0, 0.0
         self.incoming, self.committers, self.holders = [], [], {}
+        self.unwritten = []
         self.known_s = {}
         self.next_last, self.pass_failed_s = None, None
         self.last_write_s = None
@@ -256,16 +257,13 @@
             now_s = self.loop.time()
             entry["elapsedMs"] = int((now_s - (self.last_write_s or now_s)) * 1000)
             self.last_write_s = now_s
-        return self._append(self.serial + 1, msgspec.msgpack.encode(entry))
+        self._append(self.serial + 1, msgspec.msgpack.encode(entry))
+        return None
 
     def _append(self, serial, body):
-        try:
-            self.journal.append({"k": "e", "n": serial, "b": body})
-        except OSError as error:
-            self._fail(error)
-            return self.fault
+        """Take an entry in; `_sync` writes it with all others that came since the last one."""
         self._apply(serial, body)
-        return None
+        self.unwritten.append({"k": "e", "n": serial, "b": body})
 
     def _fail(self, error):
         self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).because(error)
@@ -274,6 +272,7 @@
     async def _sync(self):
         try:
             serial = self.serial
+            self._write()
             await self.journal.sync()
             self._mark_synced(serial)
             if self.journal.size > self.rewrite_bytes:
@@ -283,13 +282,23 @@
             self._fail(error)
             return False
 
+    def _write(self):
+        """Write all that is unwritten at once.
+
+        Of several writes a loss of power may keep the last without the first, and the log would
+        read as damaged although nothing that was synced is gone.
+        """
+        unwritten, self.unwritten = self.unwritten, []
+        if unwritten:
+            self.journal.append(*unwritten)
+
     def _mark_synced(self, serial):
         self.synced = max(self.synced, serial)
         if self.synced >= self.serial:
             self.durable = Durable(self.state.stored.version, self.state.config)
 
     async def _rewrite(self):
-        data, serial = self.state.to_bytes(), self.serial
+        data, serial, self.unwritten = self.state.to_bytes(), self.serial, []
         await self.journal.rewrite([{"k": "state", "n": serial, "state": data}])
         self._mark_synced(serial)
         self.rewrite_bytes = max(1 << 20, 4 * len(data))
@@ -386,8 +395,7 @@
         for entry in fresh:
             if entry.serial != self.serial + 1:
                 return GAP.because(f"{entry.serial} after {self.serial}")
-            if is_fault(self._append(entry.serial, entry.body)):
-                return self.fault
+            self._append(entry.serial, entry.body)
         if fresh and not await self._sync():
             return self.fault
         if ask.view != self.agreement.decided.number:
@@ -450,6 +458,7 @@
             fresh = ChainState(self.state.keepMs, self.state.claimsMost)
             fresh.on_config = self.state.on_config
             fresh.from_bytes(got.state)
+            self.unwritten = []
             await self.journal.rewrite([{"k": "state", "n": got.serial, "state": got.state}])
         except OSError as error:
             self._fail(error)
