--- a/swiftdeck/platform/speech.py
+++ b/swiftdeck/platform/speech.py
@@ -16,6 +16,7 @@
     b"swiftdeck-weight-versions",
 )
 AUTHORIZATION, HOST, RETRY_AFTER = b"authorization", b"host", "Retry-After"
+LENGTH, CODED, ENCODING = b"content-length", b"transfer-encoding", b"content-encoding"
 ELSEWHERE = 421
 PER_CONNECTION = {
     b"connection",
@@ -68,6 +69,16 @@
     }
 
 
+def _is_ambiguous(headers):
+    """Whether an answer names several requests or several seals."""
+    named = {(name.lower(), value.strip()) for name, value in headers if name.lower() in (ID, SEAL)}
+    return len(named) > len({name for name, _ in named})
+
+
+def _is_encoded(found):
+    return _text(found, ENCODING).lower() not in ("", "identity")
+
+
 def parts_of(text: str) -> list[Part]:
     """ID:TOKENS split by commas; what can't be read is left out."""
     pairs = (each.strip().rpartition(":") for each in text.split(",") if each.strip())
@@ -83,6 +94,8 @@
         name = _text(found, ID)
         if not name:
             return BAD_REQUEST.because("request without an id")
+        if len(found) < len(exchange.raw_headers) and _is_ambiguous(exchange.raw_headers):
+            return BAD_REQUEST.because("request with several ids")
         scheme, _, key = _text(found, AUTHORIZATION).partition(" ")
         parts, tokens = parts_of(_text(found, PREFIX)), _text(found, TOKENS).partition(",")[0]
         host, target = _text(found, HOST), exchange.target
@@ -143,23 +156,22 @@
         return headers
 
     def verdict(self, request: Request, status: int, headers: list) -> Verdict:
-        """What the head of an answer says."""
+        """What the head of an answer says; one without the request's own id says nothing about the request."""
         found = {name.lower(): value for name, value in headers}
-        if ID in found and _text(found, ID) != request.name:
+        if len(found) < len(headers) and _is_ambiguous(headers):
+            return Verdict.BAD
+        if ID not in found or LENGTH in found and CODED in found:
+            return Verdict.BAD
+        if _text(found, ID) != request.name:
             return Verdict.FOREIGN
+        if 200 <= status < 300:
+            is_own = found.get(SEAL) and NOT_RUN not in found and not _is_encoded(found)
+            return Verdict.ANSWER if is_own else Verdict.BAD
         if status == ELSEWHERE:
             return Verdict.ELSEWHERE
         if NOT_RUN in found:
             return Verdict.NOT_RUN
-        if 200 <= status < 300:
-            return Verdict.ANSWER if found.get(SEAL) and ID in found else Verdict.BAD
-        return (
-            Verdict.FAILURE
-            if status >= 500 or status in PROMISES
-            else Verdict.ANSWER
-            if ID in found
-            else Verdict.BAD
-        )
+        return Verdict.FAILURE if status >= 500 or status in PROMISES else Verdict.ANSWER
 
     def passed_on(self, headers: list) -> list:
         """Headers of an answer for the client."""
--- a/tests/platform/test_speech.py
+++ b/tests/platform/test_speech.py
@@ -84,6 +84,8 @@
         for value in (None, b"", b"  "):
             got = self.read(changed(SENT, b"swiftdeck-request-id", value))
             self.assertTrue(is_fault(got) and got.code == BAD_REQUEST.code, value)
+        got = self.read([*SENT, (b"swiftdeck-request-id", b"another")])
+        self.assertTrue(is_fault(got) and got.code == BAD_REQUEST.code)
 
     def test_what_cannot_be_read_is_left_out(self):
         for name, value, field, wanted in [
@@ -248,17 +250,27 @@
             (421, [foreign], Verdict.FOREIGN),
             (503, [name, not_run], Verdict.NOT_RUN),
             (429, [name, not_run], Verdict.NOT_RUN),
-            (400, [not_run], Verdict.NOT_RUN),
+            (200, [*SEALED, not_run], Verdict.BAD),
+            (400, [name, not_run], Verdict.NOT_RUN),
             (421, [name, not_run], Verdict.ELSEWHERE),
             (421, [name], Verdict.ELSEWHERE),
             (500, [name], Verdict.FAILURE),
             (504, [name], Verdict.FAILURE),
             (503, [name], Verdict.FAILURE),
-            (502, [], Verdict.FAILURE),
+            (502, [name], Verdict.FAILURE),
             (404, [name], Verdict.ANSWER),
             (400, [name], Verdict.ANSWER),
             (404, [], Verdict.BAD),
             (301, [], Verdict.BAD),
+            *((status, [], Verdict.BAD) for status in (421, 500, 502, 503, 504)),
+            *((status, [not_run], Verdict.BAD) for status in (400, 421, 429, 503)),
+            (200, [*SEALED, (b"Content-Encoding", b"gzip")], Verdict.BAD),
+            (200, [*SEALED, (b"Content-Encoding", b"identity")], Verdict.ANSWER),
+            (200, [*SEALED, (b"Transfer-Encoding", b"chunked")], Verdict.BAD),
+            (200, [*SEALED, foreign], Verdict.BAD),
+            (200, [foreign, *SEALED], Verdict.BAD),
+            (200, [*SEALED, (b"Swiftdeck-Server-Seal", b"other")], Verdict.BAD),
+            (200, [*SEALED, name], Verdict.ANSWER),
         ]:
             self.assertIs(self.verdict(status, headers), wanted, (status, headers))
             self.assertIs(
