--- a/swiftdeck/gateway/pool.py
+++ b/swiftdeck/gateway/pool.py
@@ -8,7 +8,7 @@
 from swiftdeck.fault import NO_CONNECTION, UNREACHED, WORKER_LOST, is_fault
 from swiftdeck.http.client import HttpLink
 
-KEEP_S, SPARE_S = 20.0, 1.0
+KEEP_S, SPARE_S, FOREVER_S = 20.0, 1.0, 1e9
 KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d+)", re.I)
 
 
@@ -38,7 +38,12 @@
         self.pool.lost(self)
 
     def hear(self, headers):
-        """How long the worker keeps an idle connection, where it says so."""
+        """What the head of an answer tells of its connection: how long it is kept idle, and whether it may be kept.
+
+        A worker that answers before it has the whole request may take the rest of it for another one.
+        """
+        if self.transport.get_write_buffer_size():
+            self.must_close = True
         told = next((value for name, value in headers if name.lower() == b"keep-alive"), b"")
         found = KEEP_ALIVE.search(told)
         self.keep_s = min(KEEP_S, float(found.group(1))) if found else KEEP_S
@@ -102,7 +107,7 @@
         self.board, self.connect_ms = board, connect_ms
         self.idle, self.count, self.most = {}, {}, lambda worker: 64
 
-    async def take(self, worker, reuse=True):
+    async def take(self, worker, within_s=FOREVER_S, reuse=True):
         """A connection to a worker, kept or new, or a fault with which no byte was sent."""
         now_s, addr = asyncio.get_running_loop().time(), worker.listed.addr
         kept = self.idle.get((worker.name, addr), [])
@@ -120,15 +125,15 @@
         if self.count.get(addr, 0) >= self.most(worker):
             self.board.count["connectionsCapped"] += 1
             return NO_CONNECTION
-        return await self._open(worker.name, addr)
+        return await self._open(worker.name, addr, min(self.connect_ms / 1000, within_s))
 
-    async def _open(self, name, addr):
+    async def _open(self, name, addr, within_s):
         ip, _, port = addr.rpartition(":")
         self.count[addr] = self.count.get(addr, 0) + 1
         link = WorkerConnection(self, addr)
         link.life = name
         try:
-            async with asyncio.timeout(self.connect_ms / 1000):
+            async with asyncio.timeout(max(0.0, within_s)):
                 await asyncio.get_running_loop().create_connection(lambda: link, ip, int(port))
             self.board.count["connectionsOpened"] += 1
             return link
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -171,6 +171,34 @@
         self.world.net.heal()
         self.assertFalse(is_fault(self.take()))
 
+    def test_an_answer_before_the_whole_request_was_taken_ends_its_connection(self):
+        for body, is_kept in ((b"x" * 1000, True), (b"x" * 200000, False)):
+            link = self.take(reuse=False)
+            self.seen[-1].transport.pause_reading()
+            self.script.append(ANSWER % b"r1")
+            self.assertIsNone(self.ask(link, "r1", body))
+            self.within(lambda: self.seen[-1].data_received(b""))
+            if is_kept:
+                self.within(self.seen[-1].transport.resume_reading)
+            self.world.run(0.1)
+
+            async def read():
+                head = event = await link.event()
+                link.hear(list(head.headers.raw_items()))
+                while not isinstance(event, h11.EndOfMessage):
+                    event = await link.event()
+
+            self.do(read)
+            self.give(link)
+            self.assertEqual(link.transport.is_closing(), not is_kept, len(body))
+
+    def test_a_connection_is_opened_within_what_is_left_of_its_request(self):
+        self.world.net.cut(["10.0.0.1"], ["10.1.0.1"])
+        for within_s, took_s in ((0.05, 0.05), (-1.0, 0.0), (9.0, 0.3)):
+            begun_s = self.world.now
+            self.assertEqual(self.take(within_s=within_s).code, UNREACHED.code)
+            self.assertAlmostEqual(self.world.now - begun_s, took_s, delta=0.01)
+
     def test_connections_to_a_life_that_is_gone_are_closed_and_never_serve_the_next_at_its_address(
         self,
     ):
