--- a/tests/gateway/test_ledger.py
+++ b/tests/gateway/test_ledger.py
@@ -20,6 +20,7 @@
 
 WORKER = object()
 NOT_SENT = dict(worker=WORKER, fault=UNREACHED)
+UNSENT = dict(worker=WORKER, fault=WORKER_LOST)
 NOT_RUN = dict(worker=WORKER, fault=WORKER_FULL, was_sent=True, has_not_run=True)
 LOST = dict(worker=WORKER, fault=WORKER_LOST, was_sent=True)
 HUNG = dict(worker=WORKER, fault=WORKER_HANGS, was_sent=True)
@@ -66,7 +67,7 @@
         )
 
     def test_what_ends_a_request_promises_only_where_nothing_may_have_run(self):
-        kinds = (NOT_SENT, NOT_RUN, LOST, HUNG, LATE)
+        kinds = (NOT_SENT, UNSENT, NOT_RUN, LOST, HUNG, LATE)
         for attempts in itertools.chain.from_iterable(
             itertools.product(kinds, repeat=count) for count in (1, 2, 3)
         ):
@@ -84,6 +85,7 @@
                         ran = any(each in (LOST, HUNG, LATE) for each in attempts)
                         self.assertEqual(fault.notRun, not ran, attempts)
                         self.assertEqual(fault.status in (408, 421, 429, 503), not ran, attempts)
+                        self.assertTrue(ran or fault.retry_ms, attempts)
 
     def test_a_repeatable_request_goes_to_no_more_workers_than_its_tries(self):
         self.assertEqual(self.move(LOST, repeatable=True, tries=2)[0], Move.PLACE)
