--- a/swiftdeck/bench/outer/worker.py
+++ b/swiftdeck/bench/outer/worker.py
@@ -12,7 +12,12 @@
 from swiftdeck.platform.speech import parts_of
 
 LOAD_S, CHUNK, READ_PER_S, STEP_S = 0.4, 2048, 61200, 0.00337
-QUIRKS = ("", "cut", "garble", "surplus", "reset", "silence", "slow", "full", "unsealed", "failing")
+QUIRKS = (
+    *("", "cut", "garble", "surplus", "reset", "silence", "slow", "full", "unsealed", "failing"),
+    *("empty", "foreign", "swapped", "nameless", "stray refusal", "encoded", "framed twice"),
+    *("bad chunk", "stall", "forgets", "back"),
+)
+OTHER = "not-the-request"
 
 
 def digest(data: bytes) -> str:
@@ -170,6 +175,8 @@
         finally:
             self.active.pop(run, None)
             self.record("ran", worker=self.name, id=name, run=run, whole=bool(whole))
+        if whole and self.quirk == "forgets" and self.random.random() < self.quirk_share:
+            self._forget(exchange)
         if whole and self.quirk == "surplus" and self.random.random() < self.quirk_share:
             await self._say_more(exchange, name, run)
         return None
@@ -250,6 +257,15 @@
             exchange.conversation.transport.write(b"\x00\x17 not an answer\r\n\r\n")
             exchange.conversation.transport.close()
             return False
+        if quirk == "empty":
+            exchange.conversation.transport.close()
+            return False
+        if quirk == "stray refusal":
+            self._say(exchange, 503, [("Swiftdeck-Not-Run", "1"), ("Content-Length", "0")])
+            return False
+        if quirk == "foreign":
+            more = [("Swiftdeck-Request-Id", OTHER), ("Content-Length", "4")]
+            self._say(exchange, 200, [*more, ("Swiftdeck-Server-Seal", f"x.{run}")], b"oops")
         if quirk == "slow":
             await asyncio.sleep(1.0)
         if parts:
@@ -303,10 +319,24 @@
                 self.cache.keep(salt, name, KeptPart(*kept))
             self.record("pulled", source=source, parts=len(got[1]))
 
-    def _head(self, status, name, seal, version, more):
+    @staticmethod
+    def _say(exchange, status, headers, body=b""):
+        """Put bytes on a connection past its exchange."""
+        lines = [f"HTTP/1.1 {status} Said", *(f"{name}: {value}" for name, value in headers)]
+        exchange.conversation.transport.write("\r\n".join([*lines, "", ""]).encode() + body)
+
+    @staticmethod
+    def _forget(exchange):
+        """Forget a connection without a word: whatever is next sent on it is reset."""
+        conversation = exchange.conversation
+        conversation.data_received = lambda data: conversation.transport.abort()
+
+    def _head(self, status, name, seal, version, more, quirk=""):
+        name = OTHER if quirk == "swapped" else name
         lines = [
-            ("Swiftdeck-Request-Id", name),
-            *([("Swiftdeck-Server-Seal", seal)] if status < 300 and seal else []),
+            *([("Swiftdeck-Request-Id", name)] if quirk != "nameless" else []),
+            *([("Swiftdeck-Server-Seal", seal)] if seal else []),
+            *([("Content-Encoding", "gzip")] if quirk == "encoded" else []),
         ]
         lines += [("Swiftdeck-Weight-Versions", str(version))] if version else []
         lines += [("Connection", "close")] if self.is_leaving else []
@@ -324,10 +354,21 @@
         body = f"{name} {run} ".encode() * 20
         await asyncio.sleep(0.02)
         self.record("answer", id=name, run=run, seal=seal, status=status, body=digest(body))
-        exchange.begin(
-            status, self._head(status, name, seal, version, [("Content-Length", str(len(body)))])
-        )
+        body = body[::-1] if quirk == "encoded" else body
+        length = [("Content-Length", str(len(body)))]
+        if quirk in ("framed twice", "bad chunk"):
+            length = length if quirk == "framed twice" else []
+            head = self._head(
+                status, name, seal, version, [*length, ("Transfer-Encoding", "chunked")]
+            )
+            self._say(
+                exchange, status, head, b"28\r\n%s\r\n%s" % (body[:40], self._chunks_end(quirk))
+            )
+            return False
+        exchange.begin(status, self._head(status, name, seal, version, length, quirk))
         await exchange.piece(body[:40])
+        if quirk == "stall":
+            await asyncio.sleep(max(0, end_s - asyncio.get_running_loop().time()) + 1)
         if quirk == "cut":
             exchange.abort()
             return False
@@ -335,6 +376,11 @@
         exchange.finish()
         return True
 
+    @staticmethod
+    def _chunks_end(quirk):
+        """How chunks go on where they don't go on as they should: they end early, or with a size that is none."""
+        return b"0\r\n\r\n" if quirk == "framed twice" else b"zz\r\nmore\r\n0\r\n\r\n"
+
     async def _stream(self, exchange, head, name, run, seal, version, quirk, end_s):
         count = int(head.get("swiftdeck-token-count", "0,12").partition(",")[2] or 12)
         after = int(head.get("last-event-id") or 0)
@@ -347,14 +393,20 @@
                 seal,
                 version,
                 [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")],
+                quirk,
             ),
         )
-        for number in range(after + 1, count + 1):
+        for number in range(max(1, after - 1) if quirk == "back" else after + 1, count + 1):
             await asyncio.sleep(STEP_S * (1 + len(self.active) / 8))
             if asyncio.get_running_loop().time() >= end_s:
                 exchange.abort()
                 return False
-            if quirk == "cut" and number > (after + count) // 2:
+            if quirk == "stall" and number > (after + count) // 2:
+                await asyncio.sleep(max(0, end_s - asyncio.get_running_loop().time()) + 1)
+            if quirk == "bad chunk" and number > (after + count) // 2:
+                exchange.conversation.transport.write(b"zz\r\nmore\r\n0\r\n\r\n")
+                return False
+            if quirk in ("cut", "back") and number > (after + count) // 2:
                 await exchange.piece(f"id: {number}\nda".encode())
                 exchange.abort()
                 return False
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -25,9 +25,16 @@
 
 EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)\r?\n")
 EVENT_END = re.compile(rb"\r?\n\r?\n")
+EVENT_DATA = re.compile(rb"(?:^|\n)data:")
+FRAMING = (b"content-length", b"transfer-encoding")
 MARGIN_S, WAIT_SHARE, ASKED_MOST = 0.015, 0.2, 6
 
 
+def _is_behind(event_id: bytes, last: str) -> bool:
+    """Whether an event's id doesn't lie beyond the last one that was passed on."""
+    return event_id.isdigit() and last.isdecimal() and int(event_id) <= int(last)
+
+
 class ProxiedRequest:
     """Drives one request to its final answer."""
 
@@ -54,6 +61,7 @@
         )
         self.aim_s = (path.target_ms or 1000) / 1000
         self.salt = self.version = ""
+        self.is_passing_on = False
 
     def _left_s(self):
         return self.ledger.deadline_s - self.loop.time()
@@ -119,6 +127,7 @@
             wait_s = max(
                 0.0, (self.start_s + WAIT_SHARE * self.aim_s - self.loop.time()) * wait_share
             )
+            wait_s = min(wait_s, max(0.0, self._left_s()))
             wish = Wish(
                 request.name,
                 f"{self.tenant}/{request.parts[-1].name if request.parts else request.name}",
@@ -149,7 +158,7 @@
 
     async def _attempt(self, attempt, worker):
         gateway = self.gateway
-        got = await gateway.pool.take(worker)
+        got = await gateway.pool.take(worker, self._left_s())
         if is_fault(got):
             if got.code == UNREACHED.code:
                 gateway.judge.failed(worker)
@@ -271,6 +280,7 @@
             await self._drain()
             return WORKER_FULL.because(f"status {status}")
         if self.verdict is Verdict.BAD:
+            gateway.board.count[f"badAnswers.{status}"] += 1
             gateway.judge.failed(worker)
             return WORKER_BAD.because(f"status {status} without a seal")
         if self.verdict is Verdict.FAILURE:
@@ -298,40 +308,52 @@
 
     async def _relay(self, attempt, worker, status, headers, sent_s):
         """Pass an answer on as it comes; complete events only where the stream could be taken up elsewhere."""
-        self.rest, is_first, is_stream = b"", True, self.ledger.resumable and 200 <= status < 300
-        framed = any(
-            name.lower() in (b"content-length", b"transfer-encoding") for name, _ in headers
-        )
+        self.rest, self.is_passing_on = b"", False
         if not self.ledger.has_begun:
             self.exchange.begin(status, self.gateway.workers_speak.passed_on(headers))
             self.ledger.has_begun = True
-        while True:
-            try:
-                async with asyncio.timeout_at(self.ledger.deadline_s):
-                    event = await self.link.event()
-            except TimeoutError:
+        is_good = 200 <= status < 300
+        try:
+            async with asyncio.timeout_at(self.ledger.deadline_s):
+                fault = await self._pass_on(worker, headers, is_good, sent_s)
+        except TimeoutError:
+            if not self.is_passing_on:
                 self.gateway.judge.failed(worker, False)
-                return DEADLINE_PASSED
+            return DEADLINE_PASSED
+        if fault is not None:
+            self.gateway.judge.failed(worker, not self.link.is_reused)
+            return fault if fault.code != BAD_RETURN.code else WORKER_BAD.because(fault.reason)
+        attempt.is_whole = True
+        self.gateway.seen(self.request, worker, self.salt, self.is_long and is_good)
+        self._give_back()
+        return None
+
+    async def _pass_on(self, worker, headers, is_good, sent_s):
+        """Pass a body on to its end; a fault where it has none, or goes back behind what the client has."""
+        is_first, is_stream = True, self.ledger.resumable and is_good
+        while True:
+            event = await self.link.event()
             if is_fault(event):
-                self.gateway.judge.failed(worker, not self.link.is_reused)
-                return event if event.code != BAD_RETURN.code else WORKER_BAD.because(event.reason)
+                return event
             if isinstance(event, h11.EndOfMessage):
-                if not framed:
+                if not any(name.lower() in FRAMING for name, _ in headers):
                     return STREAM_BROKEN.because("answer has no length")
                 if self.rest:
-                    await self.exchange.piece(self.rest)
-                break
-            if is_first:
-                is_first = False
-                if 200 <= status < 300:
-                    self.gateway.judge.answered(
-                        worker, None if self.is_long else (self.loop.time() - sent_s) * 1000
-                    )
-            await self._piece(bytes(event.data), is_stream, worker)
-        attempt.is_whole = True
-        self.gateway.seen(self.request, worker, self.salt, self.is_long and 200 <= status < 300)
-        self._give_back()
-        return None
+                    await self._give(self.rest)
+                return None
+            if is_first and is_good:
+                self.gateway.judge.answered(
+                    worker, None if self.is_long else (self.loop.time() - sent_s) * 1000
+                )
+            is_first = False
+            fault = await self._piece(bytes(event.data), is_stream, worker)
+            if fault is not None:
+                return fault
+
+    async def _give(self, data):
+        self.is_passing_on = True
+        await self.exchange.piece(data)
+        self.is_passing_on = False
 
     def _give_back(self):
         self.gateway.pool.give(self.link)
@@ -339,7 +361,7 @@
 
     async def _piece(self, data, is_stream, worker):
         if not is_stream:
-            return await self.exchange.piece(data)
+            return await self._give(data)
         self.rest += data
         end = max((found.end() for found in EVENT_END.finditer(self.rest)), default=0)
         if not end:
@@ -349,9 +371,13 @@
         if version:
             self.gateway.worker_registry.learn(worker, {self.request.model: version})
         ids = EVENT_ID.findall(whole)
+        if ids and _is_behind(ids[0], self.last_event):
+            return STREAM_BROKEN.because("stream was taken up before its last event")
         if ids:
             self.last_event = ids[-1].decode("latin-1")
-        return await self.exchange.piece(whole)
+        elif EVENT_DATA.search(whole):
+            self.ledger.resumable = False
+        return await self._give(whole)
 
     async def _end(self, move, fault):
         count = self.gateway.board.count
--- /dev/null
+++ b/tests/gateway/cases/answers.py
@@ -0,0 +1,91 @@
+"""Cases of answers that are late, doubled, foreign, cut, empty or framed wrongly, on kept and new connections."""
+
+import asyncio
+import itertools
+from unittest import mock
+
+from swiftdeck.gateway import proxied_request
+from swiftdeck.gateway.pool import WorkerConnection
+from swiftdeck.http.server import HttpConversation
+from swiftdeck.platform.speech import Workers
+from tests.gateway.case import SiteCase
+from tests.gateway.town import PlatformTown
+
+VERDICT = Workers.verdict
+
+
+def by_headers(*ignored, **assumed):
+    """A reading of answers that leaves out some headers, and takes some others for granted."""
+
+    def verdict(self, request, status, headers):
+        names = {name.lower() for name, _ in headers}
+        kept = [(name, value) for name, value in headers if name.lower() not in ignored]
+        if assumed.get("id") and b"swiftdeck-request-id" not in names - set(ignored):
+            kept.append((b"swiftdeck-request-id", request.name.encode()))
+        return VERDICT(self, request, status, kept)
+
+    return mock.patch.object(Workers, "verdict", verdict)
+
+
+TROUBLED = ("lm1", "lm2", "lm3", "app1")
+MATRIX = (
+    ("empty", "foreign"),
+    ("swapped", "nameless"),
+    ("stray refusal", "encoded"),
+    ("framed twice", "bad chunk"),
+    ("stall", "forgets"),
+    ("back", "surplus"),
+    ("cut", "reset"),
+    ("garble", "failing"),
+)
+
+
+class AnswersCase(SiteCase):
+    def day(self, quirks, seed, share=0.4, keeps=True, seconds=5):
+        """A site some of whose workers answer wrongly now and then."""
+        with mock.patch.object(
+            WorkerConnection, "is_clean", WorkerConnection.is_clean if keeps else lambda link: False
+        ):
+            town = self.town(seed, rate=10)
+            for name, quirk in zip(TROUBLED, itertools.cycle(quirks)):
+                town.up[name].quirk, town.up[name].quirk_share = quirk, share
+            town.world.run(seconds)
+            town.rest()
+        return town
+
+    def test_no_wrong_answer_breaks_a_rule_on_kept_and_on_new_connections(self):
+        for (seed, quirks), keeps in itertools.product(enumerate(MATRIX, 20), (True, False)):
+            with self.subTest(quirks, keeps=keeps):
+                town = self.day(quirks, seed, keeps=keeps)
+                self.assertEqual(town.breaches(), {})
+                self.assertEqual(town.world.faults, [])
+
+    def test_without_each_look_at_an_answer_the_rules_fall(self):
+        own_id = by_headers(b"swiftdeck-request-id", id=True)
+        for patch, quirk, rules in (
+            (own_id, "foreign", ("MIXED",)),
+            (by_headers(id=True), "stray refusal", ("TWICE", "REFUSED")),
+            (by_headers(b"content-encoding"), "encoded", ("MIXED",)),
+            (
+                mock.patch.object(proxied_request, "_is_behind", lambda *_: False),
+                "back",
+                ("ORDER",),
+            ),
+        ):
+            with self.subTest(quirk):
+                self.assert_falls_without(patch, lambda: self.day((quirk,), 31, 0.6), *rules)
+
+    def test_a_client_that_takes_nothing_holds_its_request_no_longer_than_the_route_says(self):
+        town, never = PlatformTown(33).start(), HttpConversation.writable
+
+        async def writable(self):
+            if self.server is town.up["router1"].http:
+                await asyncio.get_running_loop().create_future()
+            return await never(self)
+
+        with mock.patch.object(HttpConversation, "writable", writable):
+            town.beside(lambda: town._asking("r-safe", door="router1", within_ms=9000), "clients")
+            town.world.run(1)
+            self.assertEqual(town.up["router1"].open, 1)
+            town.world.run(2.2)
+        self.assertEqual((town.up["router1"].open, town.count("workersShunned")), (0, 0))
