--- a/swiftdeck/bench/measure.py
+++ b/swiftdeck/bench/measure.py
@@ -122,7 +122,7 @@
         if how == "store":
             town.world.kill(first["worker"])
         if how == "slow peer":
-            town.up[first["worker"]].linkS = 30.0
+            town.up[first["worker"]].link_s = 30.0
 
         async def leave():
             (town.up["platform"].remove if how == "store" else town.up["platform"].drain)(
--- a/swiftdeck/bench/store.py
+++ b/swiftdeck/bench/store.py
@@ -9,8 +9,8 @@
 class Store:
     """Keeps what workers save and gives it back, slowly for long prefixes."""
 
-    def __init__(self, addr, record, linkS=0.02, most=20000):
-        self.addr, self.record, self.linkS, self.most = addr, record, linkS, most
+    def __init__(self, addr, record, link_s=0.02, most=20000):
+        self.addr, self.record, self.link_s, self.most = addr, record, link_s, most
         self.entries = {}
         self.http = HttpServer(self.handle, body_limit=16 << 20)
 
@@ -38,6 +38,6 @@
                 (at for at, link in enumerate(chain) if link not in self.entries), len(chain)
             )
             entries = [self.entries[link] for link in chain[:depth]]
-            await asyncio.sleep(self.linkS + sum(each[0] for each in entries) * 4e-6)
+            await asyncio.sleep(self.link_s + sum(each[0] for each in entries) * 4e-6)
             return await exchange.give(200, {"entries": entries})
         return NOT_FOUND
--- a/swiftdeck/bench/worker.py
+++ b/swiftdeck/bench/worker.py
@@ -34,7 +34,7 @@
         self.cache = PrefixCache(room, self._report)
         self.events, self.number, self.watching = [], 0, []
         self.computed = self.hit_tokens = 0
-        self.quirk, self.linkS, self.tokens_per_char = "", 0.0, 0.25
+        self.quirk, self.link_s, self.tokens_per_char = "", 0.0, 0.25
         self.engine = None
         self.http = HttpServer(self.handle, body_limit=16 << 20, idleMs=LATE_MS, slow_ms=LATE_MS)
 
@@ -82,7 +82,7 @@
         if path == "/v1/lookup":
             return await self._lookup(exchange, body)
         if path == "/v1/quirk":
-            self.quirk, self.linkS = body.get("quirk", ""), body.get("linkS", 0.0)
+            self.quirk, self.link_s = body.get("quirk", ""), body.get("link_s", 0.0)
             self.record("quirk", quirk=self.quirk)
             return await exchange.give(200, {})
         return NOT_FOUND
@@ -142,7 +142,7 @@
         depth = self.cache.depth(chain)
         entries = [self.cache.entries[link] for link in chain[:depth]]
         tokens = sum(entry.tokens for entry in entries[body.get("above", 0) :])
-        await asyncio.sleep(self.linkS + tokens * 2e-6 * self.speed)
+        await asyncio.sleep(self.link_s + tokens * 2e-6 * self.speed)
         await exchange.give(
             200, {"entries": [[each.tokens, each.tenant, each.weights] for each in entries]}
         )
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -23,7 +23,8 @@
 from swiftdeck.bench.store import Store
 from swiftdeck.bench.worker import Worker
 from swiftdeck.programs.loop import BootLoop, run_until_signal
-from swiftdeck.sim.storm import BITES, SCENARIOS, Storm, idle
+from swiftdeck.sim.faults.scenarios import EXPECTED_COUNTERS, SCENARIOS, unexercised
+from swiftdeck.sim.storm import Storm
 
 app = typer.Typer(
     no_args_is_help=True,
@@ -35,19 +36,19 @@
 RecordFile = Annotated[str, typer.Option(help="File that takes what the stand-in saw.")]
 
 
-BITES_SEEDS = 8
+SEEDS_TO_EXERCISE = 8
 
 
 def run_storm(work):
     """One seed of a scenario: what came of it, and its faults."""
     storm = Storm(*work)
     try:
-        return storm.run(), storm.done
+        return storm.run(), storm.trace
     except Exception:
         return {
             "seed": work[1],
             "breaches": {"crashed": traceback.format_exc()[-1500:]},
-        }, storm.done
+        }, storm.trace
 
 
 def _serve(part):
@@ -186,12 +187,19 @@
                     if trace:
                         typer.echo(f"  {at_s} {what}")
     typer.echo(json.dumps({"seeds": len(work), "broken": broken} | sums))
-    for name in names if seeds >= BITES_SEEDS else []:
+    for name in names if seeds >= SEEDS_TO_EXERCISE else []:
         typer.echo(
-            json.dumps({"scenario": name, "acts": {each: acts[name][each] for each in BITES[name]}})
+            json.dumps(
+                {
+                    "scenario": name,
+                    "acts": {each: acts[name][each] for each in EXPECTED_COUNTERS[name]},
+                }
+            )
         )
-    toothless = [name for name in names if seeds >= BITES_SEEDS and idle(name, acts[name])]
-    raise typer.Exit(1 if broken or toothless else 0)
+    unexercised_in = [
+        name for name in names if seeds >= SEEDS_TO_EXERCISE and unexercised(name, acts[name])
+    ]
+    raise typer.Exit(1 if broken or unexercised_in else 0)
 
 
 @app.command("growth")
@@ -253,9 +261,7 @@
     cores: Annotated[
         list[int], typer.Option(help="How many cores; may be given several times.")
     ] = [3],
-    workers_each: Annotated[
-        float, typer.Option(help="Workers for each router.")
-    ] = scales.WORKERS_EACH,
+    workers_each: Annotated[float, typer.Option(help="Workers for each router.")] = scales.WORKERS_EACH,
     seconds: Annotated[float, typer.Option(help="Simulated time that is measured.")] = 4.0,
     seed: int = 1,
     seeds: int = 1,
--- /dev/null
+++ b/swiftdeck/sim/faults/injector.py
@@ -0,0 +1,178 @@
+"""Primitives of fault injection: what takes a process or link down, and what restores it."""
+
+CORE_COUNT = 3
+TORN_BYTES = [0, 0, 1, 7, 40]
+
+
+class FaultInjector:
+    """Injects faults into a simulated site and ends each of them after a random time.
+
+    Every fault is noted twice: in `trace`, as simulated seconds and text, for people; and among the
+    site's records, as `kill` and `back`, for the checker.
+    """
+
+    def __init__(self, town):
+        self.town, self.random = town, town.world.random
+        self.trace = []
+        self.fault_count, self.open_faults = 0, {}
+        self.weights, self.wall_offset_s = "w1", 0.0
+        self.is_rolling, self.pending_restarts = False, {}
+
+    def log(self, text):
+        """Note a fault in the trace."""
+        self.trace.append((round(self.town.world.now, 3), text))
+
+    def note_fault(self, name):
+        """Record that a process is not well; returns the function to call when it is well again."""
+        self.fault_count += 1
+        number, town = self.fault_count, self.town
+        self.open_faults[number] = name
+        town.record("operator")("kill", target=name, id=number, keeper=name in town.keeper_names())
+
+        def recovered():
+            if self.open_faults.pop(number, None):
+                town.record("operator")("back", id=number, target=name)
+
+        return recovered
+
+    def later(self, action, least_s=1.0, most_s=12.0):
+        """Run an action after a random time between two bounds."""
+        self.town.world.at(self.random.uniform(least_s, most_s), action)
+
+    def pick(self, names):
+        """One of some names at random; None when there are none."""
+        return self.random.choice(sorted(names)) if names else None
+
+    def address(self, name):
+        """The IP address of a core or router."""
+        return self.town.addresses[name]["inner"].rpartition(":")[0]
+
+    def platform_address(self):
+        """The IP address of the platform."""
+        return self.town.site.platform.rpartition(":")[0]
+
+    def worker_names(self):
+        """Workers that run."""
+        names = [worker["name"] for worker in self.town.site.workers]
+        return [name for name in names if name in self.town.world.loops]
+
+    def all_cores_run(self):
+        """Whether no core is down."""
+        return len(self.town.core_names()) == CORE_COUNT
+
+    def restart(self, name):
+        """Start a process that is down; does nothing to one that runs."""
+        town = self.town
+        if name in town.world.loops:
+            return
+        if name.startswith("core"):
+            town.start_core(name)
+        elif name.startswith("router"):
+            town.start_router(name)
+        elif name.startswith("worker"):
+            town.start_worker(name, weights=self.random.choice(["w1", self.weights]))
+
+    def kill(self, name, silent=False, least_s=1.0, most_s=12.0):
+        """End a process, with the power of its disk; `silent` when no reset is sent."""
+        town = self.town
+        if name is None or name not in town.world.loops:
+            return
+        recovered = self.note_fault(name)
+        town.world.kill(name, silent)
+        if name in town.folders:
+            town.folders[name].lose_power(torn=self.random.choice(TORN_BYTES))
+        self.log(f"kill {name}")
+
+        def start_again():
+            self.restart(name)
+            recovered()
+
+        self.later(start_again, least_s, most_s)
+
+    def freeze(self, name, most_s=15, least_s=0.5):
+        """Stop a process in its tracks for a while."""
+        town = self.town
+        if not name or town.world.loops[name].frozen:
+            return
+        town.world.freeze(name)
+        recovered, loop = self.note_fault(name), town.world.loops[name]
+        self.log(f"freeze {name}")
+
+        def thaw():
+            if town.world.loops.get(name) is loop and loop.frozen:
+                town.world.thaw(name)
+            recovered()
+
+        self.later(thaw, least_s, most_s)
+
+    def cut(self, near, both=True):
+        """Cut some addresses off from all others, in one direction or in both."""
+        town = self.town
+        far = [self.address(name) for name in town.addresses] + [self.platform_address()]
+        workers = [worker["addr"].rpartition(":")[0] for worker in town.site.workers]
+        if self.random.random() < 0.3:
+            far += workers
+        names = [name for name in town.router_names() if self.address(name) in near]
+        recoveries = [self.note_fault(name) for name in names]
+        pairs = town.world.net.cut(near, [ip for ip in far if ip not in near], both)
+        self.log(f"cut {near} both={both}")
+        self.heal_later(pairs, recoveries, 1, 15)
+
+    def heal_later(self, pairs, recoveries, least_s, most_s):
+        """Undo some cuts after a random time, and note that the processes are well again."""
+
+        def heal():
+            self.town.world.net.heal(pairs)
+            for recovered in recoveries:
+                recovered()
+
+        self.later(heal, least_s, most_s)
+
+    def end_all(self):
+        """End all faults."""
+        self.is_rolling = False
+        for start_again in list(self.pending_restarts.values()):
+            start_again()
+        self._mend_network_and_disks()
+        self._mend_processes()
+        self._mend_workers()
+        for number, name in list(self.open_faults.items()):
+            del self.open_faults[number]
+            self.town.record("operator")("back", id=number, target=name)
+
+    def _mend_network_and_disks(self):
+        net = self.town.world.net
+        net.heal()
+        net.loss_rate = 0.0
+        for folder in self.town.folders.values():
+            folder.full, folder.stall_s = False, 0.0
+
+    def _mend_processes(self):
+        town = self.town
+        for name in [*town.addresses, *(worker["name"] for worker in town.site.workers)]:
+            if name in town.world.loops and town.world.loops[name].frozen:
+                town.world.thaw(name)
+            self.restart(name)
+        if town.world.loops["platform"].frozen:
+            town.world.thaw("platform")
+        if "store" not in town.world.loops:
+            town.start_store()
+
+    def _mend_workers(self):
+        town = self.town
+        platform = town.up["platform"]
+        for plan in town.site.workers:
+            worker = town.up[plan["name"]]
+            if worker.quirk:
+                worker.quirk = ""
+                worker.record("quirk", quirk="")
+            platform.workers.setdefault(plan["name"], plan)
+            platform.drain(plan["name"], False)
+
+
+class FaultGroup:
+    """Faults of one kind; each public method injects one, which then ends by itself."""
+
+    def __init__(self, injector, operator):
+        self.injector, self.operator = injector, operator
+        self.town, self.random = injector.town, injector.random
--- /dev/null
+++ b/swiftdeck/sim/faults/network.py
@@ -0,0 +1,30 @@
+"""Faults of the network: cuts between processes, in one direction or both, and lost datagrams."""
+
+from swiftdeck.sim.faults.injector import FaultGroup
+
+
+class NetworkFaults(FaultGroup):
+    """Cuts around routers and cores, and datagrams that are lost."""
+
+    def cut_router(self):
+        """Cut a core or a router off, mostly in both directions."""
+        address = self.injector.address(self.injector.pick(self.town.addresses))
+        self.injector.cut([address], self.random.random() < 0.7)
+
+    def cut_core(self):
+        """Cut one or two cores off, along with some of the routers."""
+        cores = sorted(name for name in self.town.addresses if name.startswith("core"))
+        near = self.random.sample(cores, self.random.choice([1, 1, 2]))
+        routers = sorted(name for name in self.town.addresses if name.startswith("router"))
+        near = near + self.random.sample(routers, self.random.randint(0, len(routers) // 2))
+        addresses = [self.injector.address(name) for name in near]
+        self.injector.cut(addresses, self.random.random() < 0.7)
+
+    def one_way(self):
+        """Lose what one process sends, while it still hears the others."""
+        name = self.injector.pick(self.town.addresses)
+        self.injector.cut([self.injector.address(name)], False)
+
+    def lose_datagrams(self):
+        """Lose a share of all datagrams from now on."""
+        self.town.world.net.loss_rate = self.random.choice([0.0, 0.1, 0.4])
--- /dev/null
+++ b/swiftdeck/sim/faults/operator.py
@@ -0,0 +1,174 @@
+"""What operators do in a simulated run: changes, races between them, and readings."""
+
+from swiftdeck.config.document import key_digest
+from swiftdeck.http.client import fetch_json
+from swiftdeck.sim.faults.injector import FaultGroup
+
+CHANGE_TIMEOUT_MS, READ_TIMEOUT_MS = 14000, 5000
+DECIDED = (200, 409, 422)
+GROWN_ROUTES = 400
+
+
+class SimOperator:
+    """An operator whose changes and readings go to a core at random and are recorded."""
+
+    def __init__(self, injector):
+        self.injector, self.town, self.random = injector, injector.town, injector.random
+
+    def cap_change(self):
+        """A change of the cap of the site's model."""
+        return {"models": {self.town.site.model: {"cap": self.random.randint(2, 8)}}}
+
+    def line_change(self):
+        """A change of the longest waiting line of the site's model."""
+        return {"models": {self.town.site.model: {"lineMax": self.random.randint(20, 90)}}}
+
+    def patch(self, document, on_success=lambda: None, name=None):
+        """Send a merge patch on the newest known version to a core, and record what came back."""
+        town = self.town
+        name, base = name or self.injector.pick(town.core_names()), town.version
+        if name is None:
+            return
+        change_id = f"storm-{len(town.records)}-{self.random.getrandbits(32)}"
+        asked_ms = self._now_ms()
+
+        async def send():
+            path, headers = f"/v1/config?base={base}", [("change-id", change_id)]
+            door = town.addresses[name]["http"]
+            got = await fetch_json(door, "PATCH", path, document, headers, CHANGE_TIMEOUT_MS)
+            if got and got[0] == 200:
+                town.version = max(town.version, got[1]["version"])
+                on_success()
+            town.record("operator")(
+                "change",
+                method="PATCH",
+                base=base,
+                document=document,
+                status=got[0] if got else 0,
+                answer=got[1] if got else {"changeId": change_id},
+                askedMs=asked_ms,
+            )
+
+        town.spawn(send)
+
+    def read(self):
+        """Read the configuration from a core, and record what came."""
+        name, asked_ms = self.injector.pick(self.town.core_names()), self._now_ms()
+        if name is None:
+            return
+
+        async def send():
+            door = self.town.addresses[name]["http"]
+            got = await fetch_json(door, "GET", "/v1/config", timeoutMs=READ_TIMEOUT_MS)
+            self._record_reading(got, asked_ms)
+
+        self.town.spawn(send)
+
+    def read_back(self):
+        """Ask what became of each undecided change, and read the whole configuration at the end."""
+        town = self.town
+        town.record("operator")("dayEnds")
+        changes = [item for item in town.records if item["kind"] == "change"]
+        known = {item["answer"].get("changeId") for item in changes if item["status"] == 200}
+        for item in [each for each in changes if each["status"] not in DECIDED]:
+            change_id = item["answer"].get("changeId", "")
+            if change_id and change_id not in known:
+                self._settle(item, town.ask("GET", f"/v1/changes/{change_id}"))
+        asked_ms = self._now_ms()
+        self._record_reading(town.ask("GET", "/v1/config"), asked_ms)
+
+    def _now_ms(self):
+        return int(self.town.world.now * 1000)
+
+    def _settle(self, item, got):
+        if got and got[0] == 200:
+            answer = {"status": 200, "answer": got[1], "atMs": self._now_ms(), "settled": True}
+            item |= answer
+
+    def _record_reading(self, got, asked_ms):
+        is_good = bool(got) and got[0] == 200
+        self.town.record("operator")(
+            "read",
+            status=got[0] if got else 0,
+            version=got[1]["version"] if is_good else 0,
+            askedMs=asked_ms,
+            **({"document": got[1]["document"]} if is_good else {}),
+        )
+
+
+class OperatorFaults(FaultGroup):
+    """Changes that race, are refused, or are written on both sides of a cut."""
+
+    def __init__(self, injector, operator):
+        super().__init__(injector, operator)
+        self.key_count = 0
+
+    def patch(self):
+        """Change the cap of the site's model."""
+        self.operator.patch(self.operator.cap_change())
+
+    def race(self):
+        """Send three changes at once; one of them at most can be the next version."""
+        for _ in range(3):
+            self.patch()
+
+    def invalid(self):
+        """Send a change that no core may take: a route to a model that isn't there."""
+        document = {
+            "tenants": {"nobody": {"keys": ["sha256:" + "0" * 64]}},
+            "routes": {"check": {"model": "nobody"}},
+        }
+        self.operator.patch(document)
+
+    def rekey(self):
+        """Exchange a tenant's key; its callers use the new one once it is in force."""
+        town, tenant = self.town, self.injector.pick(self.town.site.keys)
+        self.key_count += 1
+        key = f"key-{tenant}-{self.key_count}"
+        self.operator.patch(
+            {"tenants": {tenant: {"keys": [key_digest(key)]}}},
+            lambda: town.caller.keys.update({tenant: key}),
+        )
+        self.injector.log(f"rekey {tenant}")
+
+    def route(self):
+        """Add a route, or remove one that an earlier change added."""
+        added = [
+            name
+            for item in self.town.records
+            if item["kind"] == "change" and item["status"] == 200
+            for name, route in (item["document"].get("routes") or {}).items()
+            if route and name.startswith("extra-")
+        ]
+        if added and self.random.random() < 0.5:
+            self.operator.patch({"routes": {self.random.choice(added): None}})
+        else:
+            name = f"extra-{len(self.town.records)}"
+            self.operator.patch({"routes": {name: {"model": self.town.site.model}}})
+
+    def grow(self):
+        """Add some hundred routes with one change."""
+        at, route = len(self.injector.trace), {"model": self.town.site.model}
+        routes = {f"grown-{at}-{number}": route for number in range(GROWN_ROUTES)}
+        self.operator.patch({"routes": routes})
+
+    def new_weights(self):
+        """Name new weights for the site's model, or at times the ones before."""
+        number = int(self.injector.weights[1:])
+        is_rollback = number > 2 and self.random.random() < 0.25
+        weights = f"w{number - 1}" if is_rollback else f"w{number + 1}"
+        self.injector.weights = weights
+        self.operator.patch({"models": {self.town.site.model: {"weights": weights}}})
+        self.injector.log(f"weights {weights}")
+
+    def write_both_sides(self):
+        """Cut the cores in two, and write on both sides."""
+        names = self.town.core_names()
+        if not self.injector.all_cores_run():
+            return
+        alone = self.injector.pick(names)
+        routers = self.town.router_names()
+        near = [alone, *self.random.sample(routers, len(routers) // 2)]
+        self.injector.cut([self.injector.address(name) for name in near], True)
+        for name in (alone, next(name for name in names if name != alone)):
+            self.operator.patch(self.operator.cap_change(), name=name)
--- /dev/null
+++ b/swiftdeck/sim/faults/processes.py
@@ -0,0 +1,125 @@
+"""Faults of processes: kills, freezes, clocks that drift or jump, and rolling restarts."""
+
+from swiftdeck.sim.faults.injector import FaultGroup
+
+GRANT_WATCH_S = 3.0
+LONGER_THAN_A_GRANT_S = 3.2
+ROLL_EVERY_S = 8
+DAY_S = 86400.0
+
+
+class ProcessFaults(FaultGroup):
+    """Kills, freezes, clocks and restarts of cores, routers and workers."""
+
+    def crash_worker(self):
+        """Kill a worker; its connections are reset."""
+        self.injector.kill(self.injector.pick(self.injector.worker_names()))
+
+    def vanish_worker(self):
+        """Take a worker's machine away; nothing is reset."""
+        self.injector.kill(self.injector.pick(self.injector.worker_names()), silent=True)
+
+    def kill_router(self):
+        """Kill a router, with or without resets."""
+        name = self.injector.pick(self.town.router_names())
+        self.injector.kill(name, silent=self.random.random() < 0.5)
+
+    def kill_keeper(self):
+        """Kill the router that coordinates admission."""
+        self.injector.kill(self.town.keeper())
+
+    def kill_core(self):
+        """Kill a core while all of them run."""
+        if self.injector.all_cores_run():
+            self.injector.kill(self.injector.pick(self.town.core_names()))
+
+    def kill_all_cores(self):
+        """Kill all cores at once."""
+        for name in self.town.core_names():
+            self.injector.kill(name, least_s=0.5, most_s=3.0)
+
+    def kill_many(self):
+        """Kill up to four routers and a core."""
+        names = self.town.router_names()
+        for name in sorted(self.random.sample(names, min(4, len(names)))):
+            self.injector.kill(name, least_s=0.5, most_s=4.0)
+        self.kill_core()
+
+    def freeze(self):
+        """Freeze a core or a router."""
+        names = [*self.town.core_names(), *self.town.router_names()]
+        self.injector.freeze(self.injector.pick(names))
+
+    def freeze_keeper(self):
+        """Freeze the router that coordinates admission."""
+        self.injector.freeze(self.town.keeper())
+
+    def freeze_worker(self):
+        """Freeze a worker for six seconds at most."""
+        self.injector.freeze(self.injector.pick(self.injector.worker_names()), most_s=6)
+
+    def freeze_busy(self):
+        """Freeze a router that holds a grant it has not acted on, until its slot is given away."""
+        world = self.town.world
+        end_s = world.now + GRANT_WATCH_S
+
+        def look():
+            for name in self.town.router_names():
+                if name != self.town.keeper() and self._holds_unused_grant(name):
+                    return self.injector.freeze(name, least_s=LONGER_THAN_A_GRANT_S)
+            if world.now < end_s:
+                world.at(0.001, look)
+
+        look()
+
+    def _holds_unused_grant(self, name):
+        ledgers = [running.call.ledger for running in self.town.up[name].running.values()]
+        attempts = [ledger.attempts[-1] for ledger in ledgers if ledger.attempts]
+        return any(attempt.grant is not None and not attempt.was_sent for attempt in attempts)
+
+    def slow_clock(self):
+        """Let the clock of a core or a router run a little slow, right or fast."""
+        world = self.town.world
+        names = [*self.town.core_names(), *self.town.router_names()]
+        loop = world.loops.get(self.injector.pick(names))
+        if loop:
+            now_s = loop.time()
+            loop.rate = self.random.choice([0.97, 1.0, 1.03])
+            loop.offset = now_s - world.now * loop.rate
+
+    def jump_wall(self):
+        """Let the wall clocks jump; nothing that decides may notice."""
+        self.injector.wall_offset_s += self.random.choice([-DAY_S, -30.0, 30.0, DAY_S])
+        self.injector.log("wall clock")
+
+    def roll_nodes(self):
+        """Stop all routers and cores politely and start them again, one after another."""
+        if self.injector.is_rolling:
+            return
+        self.injector.is_rolling = True
+        names = sorted(self.town.addresses)
+        self.random.shuffle(names)
+        for at, name in enumerate(names):
+            least_s = 1 + ROLL_EVERY_S * at
+            self.injector.later(lambda name=name: self._roll(name), least_s, least_s + 1)
+        self.injector.log("roll nodes")
+
+    def _roll(self, name):
+        town, world, injector = self.town, self.town.world, self.injector
+        if not injector.is_rolling or name not in world.loops or world.loops[name].frozen:
+            return
+        recovered, loop = injector.note_fault(name), world.loops[name]
+        world.run_in(name, lambda: loop.create_task(town.up[name].stop()))
+
+        def start_again():
+            if injector.pending_restarts.pop(name, None) is None:
+                return
+            if world.loops.get(name) is loop:
+                world.kill(name)
+            if name in town.folders:
+                town.folders[name].lose_power()
+            injector.restart(name)
+            recovered()
+
+        injector.pending_restarts[name] = start_again
+        injector.later(start_again, 4, 6)
--- /dev/null
+++ b/swiftdeck/sim/faults/workers.py
@@ -0,0 +1,139 @@
+"""Faults of workers, of the store and of the platform's list of workers."""
+
+from swiftdeck.sim.faults.injector import FaultGroup
+
+QUIRKS = [
+    "lose reports",
+    "double reports",
+    "late reports",
+    "old reports",
+    "die midway",
+    "foreign",
+    "repeat",
+    "malformed",
+    "hang",
+]
+RELEASE_EVERY_S = 7
+
+
+class WorkerFaults(FaultGroup):
+    """Workers that are replaced or misbehave, and the loss of the store or of the platform."""
+
+    def drain(self):
+        """Replace a worker."""
+        self._replace(self.injector.pick([worker["name"] for worker in self.town.site.workers]))
+
+    def roll_workers(self):
+        """Replace all workers, one after another."""
+        for at, worker in enumerate(self.town.site.workers):
+            least_s = 1 + RELEASE_EVERY_S * at
+            name = worker["name"]
+            self.injector.later(lambda name=name: self._replace(name), least_s, least_s + 1)
+        self.injector.log("roll workers")
+
+    def _replace(self, name):
+        """Drain a worker, take it off the list, end it, and start a new one in its place."""
+        platform = self.town.up.get("platform")
+        plan = next(worker for worker in self.town.site.workers if worker["name"] == name)
+        if not self._may_drain(platform, plan):
+            return
+        platform.drain(name)
+        self.injector.log(f"drain {name}")
+        recoveries = []
+
+        def leave():
+            recoveries.append(self.injector.note_fault(name))
+            platform.remove(name)
+            self.town.world.kill(name)
+
+        def start_again():
+            self.injector.restart(name)
+            platform.add(plan)
+            for recovered in recoveries:
+                recovered()
+
+        self.injector.later(leave, 4, 5.5)
+        self.injector.later(start_again, 6, 7)
+
+    @staticmethod
+    def _may_drain(platform, plan):
+        """Whether a worker serves and another one of its model does too."""
+        shown = platform.workers.get(plan["name"])
+        serving = [
+            each
+            for each in platform.workers.values()
+            if not each["draining"] and each["model"] == plan["model"]
+        ]
+        return shown is not None and not shown["draining"] and len(serving) >= 2
+
+    def quirk(self):
+        """Let a worker misbehave for a while."""
+        name = self.injector.pick(self.injector.worker_names())
+        if not name:
+            return
+        worker, quirk = self.town.up[name], self.random.choice(QUIRKS)
+        worker.quirk = quirk
+        worker.record("quirk", quirk=quirk)
+        self.injector.log(f"quirk {name} {quirk}")
+
+        def mend():
+            if self.town.up.get(name) is worker:
+                worker.quirk = ""
+                worker.record("quirk", quirk="")
+
+        self.injector.later(mend, 1, 6)
+
+    def slow_links(self):
+        """Let fetches of prefixes from each worker take up to five seconds longer."""
+        for name in self.injector.worker_names():
+            self.town.up[name].link_s = self.random.choice([0.0, 0.5, 5.0])
+
+    def lose_store(self):
+        """Kill the store of prefixes; it comes back empty."""
+        world = self.town.world
+        if "store" in world.loops:
+            world.kill("store")
+            self.injector.log("kill store")
+            self.injector.later(self.town.start_store, 2, 10)
+
+    def lose_platform(self):
+        """Freeze the platform."""
+        world = self.town.world
+        if "platform" not in world.loops or world.loops["platform"].frozen:
+            return
+        world.freeze("platform")
+        recovered = self.injector.note_fault("platform")
+        self.injector.log("freeze platform")
+
+        def thaw():
+            world.thaw("platform")
+            recovered()
+
+        self.injector.later(thaw, 1, 14)
+
+    def cut_platform(self):
+        """Cut some routers from the platform, in one direction or both, and drain a worker."""
+        names = self.town.router_names()
+        some = self.random.sample(names, self.random.randint(1, len(names)))
+        addresses = [self.injector.address(name) for name in some]
+        both = self.random.random() < 0.5
+        pairs = self.town.world.net.cut(addresses, [self.injector.platform_address()], both)
+        recoveries = [self.injector.note_fault(name) for name in some]
+        self.injector.log(f"cut platform from {len(some)}")
+        self.injector.heal_later(pairs, recoveries, 1, 10)
+        self.drain()
+
+    def split_list(self):
+        """Cut the keeper and half of the routers from the platform and the others, then drain."""
+        keeper = self.town.keeper()
+        others = [name for name in self.town.router_names() if name != keeper]
+        if keeper is None or len(others) < 2:
+            return
+        near = [keeper, *self.random.sample(others, len(others) // 2)]
+        far = [self.injector.address(name) for name in others if name not in near]
+        recoveries = [self.injector.note_fault(name) for name in near]
+        addresses = [self.injector.address(name) for name in near]
+        pairs = self.town.world.net.cut(addresses, [self.injector.platform_address(), *far])
+        self.injector.log(f"split list {near}")
+        self.injector.later(self.drain, 2, 3)
+        self.injector.heal_later(pairs, recoveries, 8, 12)
--- a/swiftdeck/sim/folder.py
+++ b/swiftdeck/sim/folder.py
@@ -9,7 +9,7 @@
     def __init__(self):
         self.synced, self.written = {}, {}
         self.full = self.failing = False
-        self.stallS = 0.0
+        self.stall_s = 0.0
 
     def read(self, name: str) -> bytes:
         """All bytes of a file; empty when there is none."""
@@ -28,7 +28,7 @@
     async def sync(self, name: str):
         """Make a file last."""
         data = bytes(self.written.get(name, b""))
-        await asyncio.sleep(self.stallS or 0.0005)
+        await asyncio.sleep(self.stall_s or 0.0005)
         if self.failing:
             raise OSError(5, "input/output error")
         self.synced[name] = max(self.synced.get(name, b""), data, key=len)
@@ -37,7 +37,7 @@
         """Put new contents in place of a file, whole or not at all."""
         if self.full:
             raise OSError(28, "no space left on device")
-        await asyncio.sleep(self.stallS or 0.001)
+        await asyncio.sleep(self.stall_s or 0.001)
         if self.failing:
             raise OSError(5, "input/output error")
         self.written[name], self.synced[name] = bytearray(data), bytes(data)
--- a/swiftdeck/sim/town.py
+++ b/swiftdeck/sim/town.py
@@ -246,5 +246,5 @@
             box.append(await make())
 
         loop = self.world.loops["callers"]
-        self.world._within(loop, lambda: loop.create_task(main()))
+        self.world.run_in("callers", lambda: loop.create_task(main()))
         return box
--- a/swiftdeck/sim/world.py
+++ b/swiftdeck/sim/world.py
@@ -93,6 +93,10 @@
         self._within(loop, lambda: setattr(loop, "main", loop.create_task(main())))
         return loop
 
+    def run_in(self, name, action):
+        """Call a plain function at once, with the loop of a process as the running one."""
+        self._within(self.loops[name], action)
+
     def _within(self, loop, action):
         asyncio._set_running_loop(loop)
         try:
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -506,7 +506,7 @@
 
         town.world.do("platform", swap)
         town.world.run(2)
-        town.up[moved["worker"]].linkS = 30.0
+        town.up[moved["worker"]].link_s = 30.0
         at_s = town.world.now
         back = town.call("saga", "check", [*moved["parts"], "said", "y"])
         self.assertTrue(back["whole"])
--- a/tests/cases/config.py
+++ b/tests/cases/config.py
@@ -268,9 +268,9 @@
         town.folders[head].full = False
         self.settle(town)
         middle = self.member(town, 1)
-        town.folders[middle].stallS = 30.0
+        town.folders[middle].stall_s = 30.0
         self.insist(town, 16)
-        town.folders[middle].stallS = 0.0
+        town.folders[middle].stall_s = 0.0
         town.world.run(40)
         self.settle(town)
         self.assertEqual(check(town.records), {})
@@ -282,7 +282,7 @@
             town = self.town()
             town.world.run(3)
             head, tail = self.member(town, 0), self.member(town, 2)
-            town.folders[head].stallS = 0.9
+            town.folders[head].stall_s = 0.9
             if kind == "claim":
                 town.spawn(
                     lambda: town.caller.call("saga", "check", ["b", "x"], idempotency="bill")
@@ -298,7 +298,7 @@
             seen = (known.state.stored.version, len(known.state.stored.claims), known.serial)
             town.world.kill(head)
             town.folders[head].lose_power()
-            town.folders[head].stallS = 0.0
+            town.folders[head].stall_s = 0.0
             town.start_core(head)
             town.world.run(3)
             self.settle(town)
--- a/tests/cases/cores.py
+++ b/tests/cases/cores.py
@@ -275,14 +275,14 @@
     def test_an_answer_of_the_tail_waits_for_its_own_disk(self):
         town = self.started(3)
         names = sorted(town.core_names(), key=lambda name: town.up[name].agreement.position())
-        town.folders[names[2]].stallS = 0.9
+        town.folders[names[2]].stall_s = 0.9
         at_s = town.world.now
         self.assertEqual(town.change("PATCH", self.cap(13), name=names[0])[0], 200)
         self.assertGreater(town.world.now - at_s, 0.9)
 
     def tells_while_tail_syncs(self, town, head, tail):
         """Change the configuration through a head while the tail's disk is slow; gives the newest version told meanwhile."""
-        town.folders[tail].stallS = 0.9
+        town.folders[tail].stall_s = 0.9
         town.spawn(
             lambda: fetch_json(
                 town.addresses[head]["http"],
@@ -310,7 +310,7 @@
         told = self.tells_while_tail_syncs(town, "core1", "core1")
         town.world.kill("core1")
         town.folders["core1"].lose_power()
-        town.folders["core1"].stallS = 0.0
+        town.folders["core1"].stall_s = 0.0
         town.start_core("core1")
         town.world.run(5)
         self.assertTrue(self.serves_again(town))
@@ -328,7 +328,7 @@
         told = self.tells_while_tail_syncs(town, head, tail)
         self.lose(town, [head], wiped=True)
         self.lose(town, [tail])
-        town.folders[tail].stallS = 0.0
+        town.folders[tail].stall_s = 0.0
         for name in (head, other, tail):
             town.start_core(name)
         town.world.run(5)
--- a/tests/sim/test_storm.py
+++ b/tests/sim/test_storm.py
@@ -2,13 +2,21 @@
 
 import unittest
 
-from swiftdeck.sim.storm import BITES, SCENARIOS, Storm, idle
+from swiftdeck.sim.faults.scenarios import EXPECTED_COUNTERS, SCENARIOS, unexercised
+from swiftdeck.sim.storm import Storm
 
 
 class StormTest(unittest.TestCase):
     def test_a_scenario_that_does_not_bite_is_found(self):
-        self.assertEqual(set(BITES), set(SCENARIOS))
-        self.assertEqual(idle("routers", {"takeovers": 3, "legsReclaimed": 0}), ["legsReclaimed"])
+        self.assertEqual(set(EXPECTED_COUNTERS), set(SCENARIOS))
+        self.assertEqual(
+            unexercised("routers", {"takeovers": 3, "legsReclaimed": 0}), ["legsReclaimed"]
+        )
+
+    def test_each_fault_of_each_scenario_can_be_injected(self):
+        storm = Storm("mix", 5, 8.0, routers=3)
+        names = {name for faults in SCENARIOS.values() for name in faults}
+        self.assertEqual([name for name in sorted(names) if not callable(storm.fault(name))], [])
 
     def test_a_seed_gives_the_same_trace_each_time(self):
         got = [Storm("mix", 5, 8.0, routers=3).run() for _ in range(2)]
