--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -261,7 +261,9 @@
     cores: Annotated[
         list[int], typer.Option(help="How many cores; may be given several times.")
     ] = [3],
-    workers_each: Annotated[float, typer.Option(help="Workers for each router.")] = scales.WORKERS_EACH,
+    workers_each: Annotated[
+        float, typer.Option(help="Workers for each router.")
+    ] = scales.WORKERS_EACH,
     seconds: Annotated[float, typer.Option(help="Simulated time that is measured.")] = 4.0,
     seed: int = 1,
     seeds: int = 1,
--- a/swiftdeck/traffic/book.py
+++ b/swiftdeck/traffic/book.py
@@ -9,7 +9,7 @@
 
 @attrs.define(eq=False)
 class Conversation:
-    """An admitted conversation: a growing prompt, from its first call until it has been idle for long."""
+    """An admitted conversation: a growing prompt, from its first call until it has been idle."""
 
     name: str
     tenant: str
@@ -68,7 +68,7 @@
         return min(paused, key=lambda each: each.idle_since_s, default=None)
 
     def survival(self):
-        """The share of returning calls whose whole earlier prompt was still kept, None while too few are known."""
+        """The share of returning calls whose earlier prompt was still kept; None if unknown."""
         return self.hits / self.returns if self.returns >= 5 else None
 
     def adapt(self, model):
--- a/swiftdeck/traffic/books.py
+++ b/swiftdeck/traffic/books.py
@@ -12,13 +12,18 @@
     model: str
     term: int
 
-    def config(self): ...
-    def is_ready(self) -> bool: ...
-    def mine(self) -> list: ...
+    def config(self):
+        """The model's entry in the configuration held."""
+
+    def is_ready(self) -> bool:
+        """Whether starts may be granted, all routers having been asked."""
+
+    def mine(self) -> list:
+        """The workers of the model."""
 
 
 class Books:
-    """Owner of the books: the other parts read them and change them only by its commands, each of which runs to its end."""
+    """Owner of the books: the other parts read them, and change them only by its commands."""
 
     def __init__(self, host: Host, board, decisions, holdLicenceMs=3000):
         self.host, self.board, self.decisions, self.holdLicenceMs = (
@@ -96,7 +101,7 @@
             conversation.idle_since_s = self.loop.time()
 
     def attempt_ended(self, conversation: Conversation, end):
-        """Take in what a router says of a attempt that is over, and close the conversation if it ends with it."""
+        """Take in that an attempt is over; close its conversation if that ends too."""
         conversation.is_over = conversation.is_over or end.is_over
         book = self.of(conversation.worker)
         if end.parts and conversation.turns > 1:
--- a/swiftdeck/traffic/budget.py
+++ b/swiftdeck/traffic/budget.py
@@ -4,9 +4,10 @@
 
 
 class Budget:
-    """Extra attempts in ten seconds: a share of the calls plus an allowance, which a new keeper does not have at first.
+    """Extra attempts in a window: a share of the calls and an allowance.
 
-    A attempt counts for as much longer as it may take from its grant to its worker.
+    A new coordinator begins without the allowance. An attempt counts for as
+    much longer as it may take from its grant to its worker.
     """
 
     def __init__(self, share=0.2, window_s=10.0, late_s=2.0, start_s=0.0):
--- a/swiftdeck/traffic/decisions.py
+++ b/swiftdeck/traffic/decisions.py
@@ -30,15 +30,15 @@
         return lost, [self.items[at] for at in range(start, len(self.items))]
 
     def about(self, name: str):
-        """Those that name a call or a conversation, and those of the conversations that they name."""
+        """Decisions that name a call or a conversation, and those of the conversations named."""
         direct = [
             item for item in self.items if name in (item.get("call"), item.get("conversation"))
         ]
         talks = {item["conversation"] for item in direct if item.get("conversation")}
         return [item for item in self.items if item in direct or item.get("conversation") in talks]
 
-    async def more(self, timeoutS):
+    async def more(self, timeout_s):
         """Wait for the next decision, or until the time is over."""
         done = asyncio.get_running_loop().create_future()
         self.waiting.append(done)
-        await asyncio.wait([done], timeout=timeoutS)
+        await asyncio.wait([done], timeout=timeout_s)
--- a/swiftdeck/traffic/fetches.py
+++ b/swiftdeck/traffic/fetches.py
@@ -6,7 +6,7 @@
 
 
 class FetchPlanner:
-    """Prefers the peer that keeps most, then the store; leaves a link alone for a while after it was slow."""
+    """Prefers the peer that keeps most, then the store; avoids a slow link for a while."""
 
     def __init__(self, host, index, workers, store=""):
         self.host, self.index, self.workers, self.store = host, index, workers, store
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper of a model: one process in which admission, placement and the retry budget are decided."""
+"""The admission coordinator of a model: decides admission, placement and the retry budget."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 class Keeper:
-    """Held by one router at a time; it composes the books and what reads them, and hands messages to them."""
+    """Held by one router at a time; composes the books and hands messages to their readers."""
 
     def __init__(self, model, router):
         self.model, self.router, self.board, self.settings = (
--- a/swiftdeck/traffic/lines.py
+++ b/swiftdeck/traffic/lines.py
@@ -56,7 +56,7 @@
         return await self._waited(waiting, waiting.done, start_s + ask.waitMs / 1000)
 
     async def _waited(self, waiting, done, end_s):
-        """One slice of a wait; the place in line outlasts it, so that a grant is never older than its question."""
+        """One slice of a wait; its place in line outlasts it, so that no grant is too old."""
         try:
             await asyncio.wait([done], timeout=max(0, end_s - self.loop.time()))
         finally:
@@ -161,20 +161,20 @@
         conversation = Conversation(name, ask.tenant, ask.group, book.worker, ask.weights)
         self.books.open(conversation)
         self.board.count["starts"] += 1
-        waitedMs = int((self.loop.time() - waiting.since_s) * 1000)
+        waited_ms = int((self.loop.time() - waiting.since_s) * 1000)
         self.router.decisions.add(
             "start",
             call=ask.call,
             tenant=ask.tenant,
             conversation=name,
             worker=book.worker,
-            waitedMs=waitedMs,
+            waitedMs=waited_ms,
             open=len(book.open),
             cap=book.cap,
         )
         got = self.grant(conversation, ask, waiting.sender, True)
         if not is_fault(got):
-            got.waitedMs = waitedMs
+            got.waitedMs = waited_ms
         self._give(waiting, got)
 
     def _give(self, waiting, got):
--- a/swiftdeck/traffic/moves.py
+++ b/swiftdeck/traffic/moves.py
@@ -6,7 +6,7 @@
 
 
 class Moves:
-    """A later call looks at no cap; its conversation moves when its worker can no longer serve it."""
+    """A later call is not capped; its conversation moves when its worker can no longer serve it."""
 
     def __init__(self, books, placement, router):
         self.books, self.placement, self.router = books, placement, router
--- a/swiftdeck/traffic/placement.py
+++ b/swiftdeck/traffic/placement.py
@@ -8,9 +8,9 @@
 class Placement:
     """Reads the books and the index, and changes neither."""
 
-    def __init__(self, host, books, index, virtualPlaces=128, placesWeighed=3):
+    def __init__(self, host, books, index, virtual_places=128, places_weighed=3):
         self.host, self.books, self.index = host, books, index
-        self.virtualPlaces, self.placesWeighed = virtualPlaces, placesWeighed
+        self.virtual_places, self.places_weighed = virtual_places, places_weighed
         self.ring = Ring([])
 
     def clear(self):
@@ -20,7 +20,7 @@
     def follow(self, serving):
         """Make the ring of these workers."""
         if serving != self.ring.workers:
-            self.ring = Ring(serving, self.virtualPlaces)
+            self.ring = Ring(serving, self.virtual_places)
 
     def other_weights(self, worker, weights) -> bool:
         """Whether a worker said that it has other weights loaded."""
@@ -44,8 +44,8 @@
         return good or fit
 
     def nominate(self, ask):
-        """The worker for a start: with room if one of the first places has it, and there the warmest."""
-        few = self.candidates(ask)[: self.placesWeighed]
+        """The worker for a start: the warmest of the first places that have room, if any has."""
+        few = self.candidates(ask)[: self.places_weighed]
         if not few:
             return None
         roomy = [
--- a/swiftdeck/traffic/ring.py
+++ b/swiftdeck/traffic/ring.py
@@ -9,7 +9,7 @@
 
 
 class Ring:
-    """The workers of one model in a circle of places; one coming or going moves few conversations."""
+    """The workers of one model on a hash ring; one coming or going moves few conversations."""
 
     def __init__(self, workers, places=128):
         self.workers = sorted(workers)
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -111,7 +111,7 @@
         self.board.note("router started", addr=self.settings.inner, http=self.settings.http)
 
     async def stop(self):
-        """Take no more calls, finish the open ones within the bound, hand leases and duties back."""
+        """Take no more calls, finish open ones within the bound, hand leases and duties back."""
         self.stopping = True
         self.http.stop()
         end_s = self.loop.time() + self.settings.stopMs / 1000
@@ -133,6 +133,7 @@
             self.keepers[name].start()
 
     def on_keeper_news(self, key, stamp, body):
+        """Learn who coordinates a model under which term."""
         model = key.removeprefix("duty/keeper/")
         if stamp > self.known.get(model, (0, ""))[0]:
             self.known[model] = (stamp, json.loads(body)["addr"])
@@ -147,11 +148,11 @@
             return keeper.duty.term, self.me.addr
         return self.known.get(model)
 
-    async def ask_keeper(self, keeper, ask, timeoutMs):
+    async def ask_keeper(self, keeper, ask, timeout_ms):
         """Ask a keeper, which may be this process."""
         if keeper[1] == self.me.addr:
             return await self.on_grant_ask(ask, self.me.addr)
-        return await self.mesh.ask(keeper[1], ask, timeoutMs)
+        return await self.mesh.ask(keeper[1], ask, timeout_ms)
 
     def tell_keeper(self, model, message):
         """Tell the keeper of a model something."""
@@ -186,13 +187,13 @@
         return None
 
     def attempt_sent(self, attempt):
-        """A byte of a attempt may have gone out: its conversation is open here, whatever the keeper knows."""
+        """A byte of an attempt may have gone out: its conversation is open from now on."""
         served = self.served.get(attempt.grant.conversation)
         if served:
             served.told.is_sent, served.is_start = True, False
 
     def is_grant_valid(self, name) -> bool:
-        """Whether a grant may still be acted on: its time counts from the question, or from the newest hold."""
+        """Whether a grant may be acted on: its time counts from the question or the newest hold."""
         running = self.running.get(name)
         return (
             running is not None
@@ -239,6 +240,7 @@
         )
 
     async def on_grant_ask(self, ask, sender):
+        """Answer a request for a place, if this process coordinates the model."""
         keeper = self.keepers.get(ask.model)
         if keeper is None or not keeper.duty.is_held() and keeper.term != keeper.duty.term:
             return NOT_KEEPER
@@ -247,14 +249,17 @@
         return await keeper.on_grant_ask(ask, sender)
 
     def on_attempt_end(self, end, sender):
+        """Hand the end of an attempt to the model's coordinator."""
         keeper = self.keepers.get(end.model)
         return keeper.on_attempt_end(end, sender) if keeper else None
 
     def on_grant_drop(self, drop, sender):
+        """Hand a call that nobody waits for any more to the model's coordinator."""
         keeper = self.keepers.get(drop.model)
         return keeper.on_grant_drop(drop, sender) if keeper else None
 
     async def on_hold(self, hold, sender):
+        """Renew what a router holds, if this process coordinates the model."""
         keeper = self.keepers.get(hold.model)
         return await keeper.on_hold(hold, sender) if keeper else NOT_KEEPER
 
@@ -292,7 +297,7 @@
                 self.served = dict(list(self.served.items())[-10000:])
 
     async def _hold(self, keeper, model, calls):
-        sentS = self.loop.time()
+        sent_s = self.loop.time()
         hold = Hold(router=self.me.name, model=model, calls=calls, term=keeper[0])
         got = await (
             self.on_hold(hold, self.me.addr)
@@ -306,7 +311,7 @@
                 self.running[name] for name in calls if name in self.running and name not in lost
             ]:
                 running.asked_s = (
-                    max(running.asked_s, sentS) if running.term == keeper[0] else running.asked_s
+                    max(running.asked_s, sent_s) if running.term == keeper[0] else running.asked_s
                 )
 
     async def handle(self, exchange):
@@ -417,7 +422,7 @@
             "version": held.version if held else 0,
             "lease": self.lease.is_held(),
             "list": {
-                "ageMs": self.workers.ageMs(),
+                "ageMs": self.workers.age_ms(),
                 "fresh": self.workers.is_fresh(),
                 "workers": [
                     msgspec.to_builtins(worker) for worker in self.workers.workers.values()
--- a/swiftdeck/traffic/takeover.py
+++ b/swiftdeck/traffic/takeover.py
@@ -21,7 +21,7 @@
         self.grace_s = -1e9
 
     async def run(self, term) -> bool:
-        """Gather until all have answered or a silent one's lease has run out; whether the duty is still held."""
+        """Gather until all answered or their leases ran out; whether the duty is still held."""
         now_s, config = self.loop.time(), self.host.config()
         self.grace_s = (
             now_s + GRACE_S - (min(config.idleMs, config.pauseMs) / 1000 if config else 0)
--- a/swiftdeck/traffic/workers.py
+++ b/swiftdeck/traffic/workers.py
@@ -29,11 +29,11 @@
 
 
 class WorkerList:
-    """Reads the list from the platform, and through neighbours when the platform is out of reach."""
+    """Reads the list from the platform, or through neighbours when that is out of reach."""
 
-    def __init__(self, platform, mesh, membership, board, listMs=500, old_ms=2500):
+    def __init__(self, platform, mesh, membership, board, list_ms=500, old_ms=2500):
         self.platform, self.mesh, self.membership, self.board = platform, mesh, membership, board
-        self.listMs, self.old_ms = listMs, old_ms
+        self.list_ms, self.old_ms = list_ms, old_ms
         self.workers, self.read_s, self.body = {}, -1e9, b""
         self.watchers = []
         mesh.on(ListAsk, self.on_list_ask)
@@ -43,13 +43,13 @@
         self.loop = asyncio.get_running_loop()
         self.task = asyncio.ensure_future(self._reading())
 
-    def ageMs(self) -> int:
+    def age_ms(self) -> int:
         """Time since the sending of the request that brought the list."""
         return int((self.loop.time() - self.read_s) * 1000)
 
     def is_fresh(self) -> bool:
         """Whether attempts may be sent by the list."""
-        return self.ageMs() <= self.old_ms
+        return self.age_ms() <= self.old_ms
 
     def may_take(self, name) -> bool:
         """Whether a worker is listed, not draining, and the list fresh enough to say so."""
@@ -61,7 +61,8 @@
         return [worker for worker in self.workers.values() if worker.model == model]
 
     def on_list_ask(self, ask, sender):
-        return ListReturn(ageMs=min(self.ageMs(), 1 << 40), body=self.body)
+        """Give a neighbour the list held here, with its age."""
+        return ListReturn(ageMs=min(self.age_ms(), 1 << 40), body=self.body)
 
     async def _reading(self):
         while True:
@@ -73,20 +74,20 @@
             )
             if got and got[0] == 200:
                 self._take(msgspec.json.encode(got[1]), start_s)
-            if self.ageMs() > self.old_ms / 2:
+            if self.age_ms() > self.old_ms / 2:
                 await self._through_others()
             self.board.put("list", "fresh" if self.is_fresh() else "old")
-            await asyncio.sleep(max(0.05, self.listMs / 1000 - (self.loop.time() - start_s)))
+            await asyncio.sleep(max(0.05, self.list_ms / 1000 - (self.loop.time() - start_s)))
 
     async def _through_others(self):
         others = self.membership.alive("router")
-        sentS = self.loop.time()
+        sent_s = self.loop.time()
         got = await asyncio.gather(*(self.mesh.ask(each.addr, ListAsk(), 400) for each in others))
         heard = [each for each in got if not is_fault(each)]
         for each in sorted(heard, key=lambda each: each.ageMs)[:1]:
-            if each.body and sentS - each.ageMs / 1000 > self.read_s:
+            if each.body and sent_s - each.ageMs / 1000 > self.read_s:
                 self.board.count["listsFromNeighbours"] += 1
-                self._take(each.body, sentS - each.ageMs / 1000)
+                self._take(each.body, sent_s - each.ageMs / 1000)
 
     def _take(self, body, read_s):
         try:
