--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -88,7 +88,7 @@
         self._drain()
 
     def _drain(self):
-        while self.inbox and not self.gone:
+        while self.inbox and not self.gone and self.protocol is not None:
             item = self.inbox[0]
             if isinstance(item, bytes) and self.read_paused and not self.closing:
                 return
@@ -222,6 +222,7 @@
         def accept():
             far.protocol = server_factory()
             far.protocol.connection_made(far)
+            far._drain()
 
         def made():
             if done.done():
@@ -231,6 +232,7 @@
             near.protocol = factory()
             near.protocol.connection_made(near)
             done.set_result((near, near.protocol))
+            near._drain()
 
         server.call_soon(accept)
         self.world.at(
@@ -275,10 +277,7 @@
 
     def _arrive(self, transport, item):
         if not transport.gone:
-            if transport.protocol is None:
-                transport.loop.call_soon(self._arrive, transport, item)
-            else:
-                transport.arrive(item)
+            transport.arrive(item)
 
     def datagram(self, loop, factory, local):
         """Open a datagram endpoint."""
--- a/tests/sim/test_net.py
+++ b/tests/sim/test_net.py
@@ -34,3 +34,27 @@
         world.net.heal()
         world.run(3)
         self.assertEqual(b"".join(got), b"012345")
+
+    def test_what_comes_before_the_caller_knows_that_it_is_connected_waits_for_it(self):
+        for seed in range(8):
+            world, got = World(seed), []
+
+            class Greeter(asyncio.Protocol):
+                def connection_made(self, transport):
+                    transport.write(b"hello ")
+                    transport.write(b"there")
+
+            class Caller(asyncio.Protocol):
+                def data_received(self, data, got=got):
+                    got.append(data)
+
+            async def serve(greeter=Greeter):
+                await asyncio.get_running_loop().create_server(greeter, "10.0.0.1", 80)
+
+            async def call(caller=Caller):
+                await asyncio.get_running_loop().create_connection(caller, "10.0.0.1", 80)
+
+            world.start("s", "10.0.0.1", serve)
+            world.start("c", "10.0.0.2", call)
+            world.run(until=lambda world=world: world.steps > 100, limit_s=1)
+            self.assertEqual(b"".join(got), b"hello there", seed)
