--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -25,10 +25,12 @@
 )
 from swiftdeck.wire.messages import (
     ChainEntry,
+    CommitAsk,
     ConfigAsk,
     ConfigReturn,
     CopyAsk,
     CopyReturn,
+    Done,
     LeaseAsk,
     LeaseReturn,
     Nudge,
@@ -43,6 +45,7 @@
 )
 
 PASS_ENTRIES, PASS_BYTES, KEPT_ENTRIES, KNOWN_KEPT = 256, 4 << 20, 4096, 64
+COMMIT_WAIT_MS, COMMIT_ASK_MS = 600, 800
 
 
 @attrs.frozen
@@ -53,6 +56,15 @@
     config: object
 
 
+@attrs.frozen
+class Refusal:
+    """A change that the head's own entries speak against, the last of them by its serial in a view."""
+
+    fault: object
+    view: int
+    serial: int
+
+
 @attrs.define
 class Holder:
     """A router that may hold a lease for a configuration."""
@@ -84,6 +96,8 @@
         self.losses_borne = losses_borne
         self.state, self.serial, self.entries, self.synced = ChainState(**bounds), 0, {}, 0
         self.durable = Durable(0, self.state.config)
+        self.committed_in, self.committed = 0, 0
+        self.committed_config = self.state.config
         self.fault, self.needs_copy, self.must_compare, self.is_partial = None, False, False, False
         self.whole_in, self.last_in, self.whole_since_s = 0, 0, 0.0
         self.incoming, self.committers, self.holders = [], [], {}
@@ -97,6 +111,7 @@
             (Pass, self.on_pass),
             (CopyAsk, self.on_copy_ask),
             (OutcomeAsk, self.on_outcome_ask),
+            (CommitAsk, self.on_commit_ask),
             (ConfigAsk, self.on_config_ask),
             (PeekAsk, self.on_peek_ask),
             (LeaseAsk, self.on_lease_ask),
@@ -199,8 +214,12 @@
     def _has_copies(self):
         return len(self.agreement.decided.members) > self.losses_borne
 
+    def _may_write(self):
+        """Whether this is the head and may take changes now."""
+        return self.is_first() and self.agreement.mayServe() and self.is_whole()
+
     async def on_write(self, ask, sender):
-        if not self.is_first() or not self.agreement.mayServe() or not self.is_whole():
+        if not self._may_write():
             return NOT_HEAD
         if not self._has_copies():
             return NO_VIEW.because(
@@ -216,7 +235,8 @@
         done = self.loop.create_future()
         self.incoming.append((change, done))
         self.owner.send(self._take_incoming)
-        return await done
+        got = await done
+        return await self._confirmed(got) if isinstance(got, Refusal) else got
 
     async def _take_incoming(self):
         taken, self.incoming = self.incoming, []
@@ -224,11 +244,11 @@
             return
         view, waiting = self.agreement.decided.number, []
         for change, done in taken:
-            got = self._take_one(change)
+            got = self._take_one(change) if self._may_write() else NOT_HEAD
             if is_fault(got):
                 self._finish(done, got)
             else:
-                waiting.append((done, WriteReturn(serial=self.serial, view=view)))
+                waiting.append((done, got or WriteReturn(serial=self.serial, view=view)))
         if await self._sync():
             for done, got in waiting:
                 self._finish(done, got)
@@ -240,6 +260,55 @@
             for done, _ in waiting:
                 self._finish(done, OLD_VIEW.because("synced nowhere"))
 
+    async def _confirmed(self, refusal):
+        """A refusal, once what it rests on is committed.
+
+        Until then another head may have none of it, and the change is proper after all.
+        """
+        is_same = self.agreement.decided.number == refusal.view
+        if is_same and await self.is_committed(refusal.serial):
+            return refusal.fault
+        self.board.count["refusalsWithheld"] += 1
+        return NOT_HEAD.because("what speaks against the change is not committed")
+
+    async def is_committed(self, serial):
+        """Whether the tail of the view has this head's entries up to a serial, hence every member and each later view."""
+        view = self.agreement.decided
+        if self.committed_in == view.number and self.committed >= serial:
+            return True
+        ask = CommitAsk(view=view.number, serial=serial, wait_ms=COMMIT_WAIT_MS)
+        if self.isLast():
+            got = await self.on_commit_ask(ask, "")
+        else:
+            got = await self.mesh.ask(view.members[-1].addr, ask, COMMIT_ASK_MS)
+        if is_fault(got):
+            return False
+        if view is self.agreement.decided:
+            known = self.committed if self.committed_in == view.number else 0
+            self.committed_in, self.committed = view.number, max(known, got.count)
+        return True
+
+    async def on_commit_ask(self, ask, sender):
+        """Whether entries of a view are on this tail's disk; both sides must be in that very view."""
+        end_s = self.loop.time() + min(ask.wait_ms, 30000) / 1000
+        while True:
+            is_its_tail = ask.view == self.agreement.decided.number and self.isLast()
+            if not is_its_tail or not self.is_whole() or not self._has_copies():
+                return NOT_TAIL
+            if self.synced >= ask.serial:
+                return Done(count=self.synced)
+            if self.loop.time() >= end_s:
+                return UNKNOWN_CHANGE.because(f"entry {ask.serial} is not here yet")
+            await self._await_commit(end_s)
+
+    async def known_committed(self):
+        """The newest configuration of this head that is known to be committed; where it has a newer one, the tail is asked."""
+        config, serial = self.state.config, self.serial
+        is_new = config is not self.committed_config
+        if is_new and self.is_whole() and await self.is_committed(serial):
+            self.committed_config = config
+        return self.committed_config
+
     @staticmethod
     def _finish(done, got):
         if not done.done():
@@ -250,8 +319,10 @@
             entry = self.state.examine(change)
         except (KeyError, TypeError, ValueError) as error:
             return BAD_FRAME.because(repr(error))
-        if entry is None or is_fault(entry):
-            return entry
+        if is_fault(entry):
+            return Refusal(entry, self.agreement.decided.number, self.serial)
+        if entry is None:
+            return None
         if entry["t"] == "claims":
             now_s = self.loop.time()
             entry["elapsedMs"] = int((now_s - (self.last_write_s or now_s)) * 1000)
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -237,6 +237,13 @@
     results: list[str] = bp.string_field(4)
 
 
+@message
+class CommitAsk(Wire):
+    view: int = bp.uint64_field(1)
+    serial: int = bp.uint64_field(2)
+    wait_ms: int = bp.uint32_field(3)
+
+
 @message
 class ConfigAsk(Wire):
     pass
@@ -545,5 +552,6 @@
     78: PeekAsk,
     79: PeekReturn,
     80: LoadNews,
+    84: CommitAsk,
 }
 NUMBERS = {cls: number for number, cls in KINDS.items()}
--- /dev/null
+++ b/tests/gateway/cases/orders.py
@@ -0,0 +1,173 @@
+"""Cases of operators' orders: who is confirmed and who refused while cores are cut off, killed or lose their disks' last writes."""
+
+import asyncio
+import unittest
+from unittest import mock
+
+from swiftdeck.chain.chain import Chain, Refusal
+from tests.gateway.orders import LOST_RACE, TAKEN, TRY_AGAIN, OrderTown
+from tests.gateway.town import MODEL
+
+FIRST = 3
+
+
+def early_refusal(self, change, take_one=Chain._take_one):
+    """A refusal that waits for nothing."""
+    got = take_one(self, change)
+    return got.fault if isinstance(got, Refusal) else got
+
+
+class OrderStorm:
+    """Rounds of operators on one base, with answers lost and cores cut off, killed or frozen meanwhile; one seed a storm."""
+
+    def __init__(self, seed, cores=3, rounds=5, lost_share=0.7):
+        self.town = OrderTown(seed, cores).start()
+        self.rng, self.town.lost_share = self.town.rng(), lost_share
+        self.newest, self.unanswered = FIRST, 0
+        for _ in range(rounds):
+            self.round()
+
+    def round(self):
+        """Some operators on the newest number, at most eight orders under way, and something that goes wrong."""
+        town, base = self.town, self.newest
+        orders = []
+        for _ in range(self.rng.choice((2, 2, 3, 8, 20))):
+            number = base + self.rng.randint(1, 3)
+            make = town.patch if self.rng.random() < 0.8 else self.whole
+            orders.append(make(number, base))
+        town.world.at(self.rng.uniform(0.0, 0.02), self.break_something)
+        task = town.beside(lambda: self.together(orders))
+        town.world.run(until=task.done, limit_s=90)
+        town.world.run(self.rng.uniform(0, 3))
+        taken = [order for order in orders if TAKEN in order.statuses()]
+        self.unanswered += sum(not order.statuses() & {TAKEN, LOST_RACE} for order in orders)
+        self.newest = max((order.number for order in taken), default=base)
+
+    def whole(self, number, base):
+        return self.town.put(number, base, note=f"n{len(self.town.orders)}")
+
+    async def together(self, orders):
+        places = asyncio.Semaphore(8)
+
+        async def one(order):
+            async with places:
+                order.is_given_up = self.rng.random() < 0.2
+                limit_s = 0.9 if order.is_given_up else 60
+                return await self.town.insisting(order, limit_s, self.rng.random() < 0.3)
+
+        await asyncio.gather(*(one(order) for order in orders))
+
+    def break_something(self):
+        town = self.town
+        running = [name for name in town.cores() if not town.world.loops[name].frozen]
+        if len(running) < sum(name.startswith("core") for name in town.machines):
+            return
+        name = self.rng.choice([town.head() or running[0], self.rng.choice(running)])
+        what = self.rng.choice((self.kill, self.cut, self.freeze, self.all_lose_power, self.mute))
+        what(name)
+
+    def kill(self, name):
+        self.town.kill(name, back_s=self.rng.uniform(0.3, 4))
+        if self.rng.random() < 0.6:
+            self.town.folders[name].lose_power()
+
+    def freeze(self, name):
+        self.town.freeze(name, self.rng.uniform(0.5, 5))
+
+    def cut(self, name):
+        way = self.rng.choice(("both", "in", "out"))
+        others = self.rng.choice(("all", "core", "router"))
+        pairs = self.town.cut(name, others, way)
+        self.town.world.at(self.rng.uniform(0.5, 20), lambda: self.town.world.net.heal(pairs))
+
+    def mute(self, name):
+        """What a core says to the others is lost, and after a moment its power, before its disk has any use."""
+        pairs = self.town.cut(name, "core", "out")
+        self.town.world.at(self.rng.uniform(0.2, 1.2), lambda: self._mute_end(name, pairs))
+
+    def _mute_end(self, name, pairs):
+        if name in self.town.world.loops:
+            self.kill(name)
+        self.town.world.net.heal(pairs)
+
+    def all_lose_power(self, name):
+        for each in list(self.town.cores()):
+            self.town.kill(each, back_s=self.rng.uniform(0.3, 1))
+            self.town.folders[each].lose_power()
+
+    def found(self):
+        """What is wrong when all has come to rest."""
+        town = self.town
+        town.lost_share = 0.0
+        town.world.net.heal()
+        town.world.run(until=lambda: len(town.cores()) == len(town.folders), limit_s=10)
+        town.settle()
+        insisted = [order for order in town.orders if not order.is_given_up]
+        for order in insisted:
+            town.operate(lambda order=order: town.insisting(order, 20))
+        found = town.wrong() + [f"process failed: {fault}" for fault in town.world.faults]
+        unclear = [order for order in insisted if not order.statuses() & {200, 412, 400}]
+        return found + [f"{order.number} on {order.base} has no answer" for order in unclear]
+
+
+class OrdersCase(unittest.TestCase):
+    def assert_falls_without(self, patch, case):
+        """With a mechanism taken out, the case finds something."""
+        with patch:
+            self.assertNotEqual(case(), [])
+
+    def orders_at_a_cut_off_head(self, cores=3, seed=1):
+        """Two operators on one base at a head that nobody hears; the first of them then gives up."""
+        town = OrderTown(seed, cores).start()
+        head = town.member(0)
+        pairs = town.cut(head)
+        given_up, proper = town.patch(5, FIRST), town.patch(7, FIRST)
+        for order in (given_up, proper):
+            town.beside(lambda order=order: town.sending(order, head))
+        town.world.run(5)
+        found = [
+            f"said {order.statuses()}"
+            for order in (given_up, proper)
+            if order.statuses() != {TRY_AGAIN}
+        ]
+        found += ["no other head"] * (town.head() in (head, None))
+        town.operate(lambda: town.insisting(proper))
+        town.world.net.heal(pairs)
+        town.settle()
+        return found + town.wrong()
+
+    def test_no_order_is_refused_for_one_that_only_a_cut_off_head_has(self):
+        for cores in (3, 5):
+            self.assertEqual(self.orders_at_a_cut_off_head(cores), [])
+        self.assert_falls_without(
+            mock.patch.object(Chain, "is_committed", mock.AsyncMock(return_value=True)),
+            self.orders_at_a_cut_off_head,
+        )
+
+    def orders_at_a_head_whose_disk_hangs(self):
+        """Two orders in one write to a hanging disk, whose machine loses its power before it is done."""
+        town = OrderTown(2).start()
+        head = town.member(0)
+        town.folders[head].stallS = 0.5
+        town.beside(lambda: town.operator.name(MODEL, 2))
+        town.world.run(0.05)
+        for order in (town.patch(5, FIRST), town.patch(7, FIRST)):
+            town.beside(lambda order=order: town.sending(order, head))
+        town.world.run(0.7)
+        town.kill(head, back_s=1)
+        town.folders[head].lose_power()
+        town.folders[head].stallS = 0.0
+        town.world.run(2)
+        town.settle()
+        return town.wrong()
+
+    def test_no_order_is_refused_for_one_that_goes_with_the_power(self):
+        self.assertEqual(self.orders_at_a_head_whose_disk_hangs(), [])
+        self.assert_falls_without(
+            mock.patch.object(Chain, "_take_one", early_refusal),
+            self.orders_at_a_head_whose_disk_hangs,
+        )
+
+    def test_storms_of_operators_on_one_number(self):
+        for seed in range(1, 4):
+            self.assertEqual(OrderStorm(seed, (3, 5)[seed % 2]).found(), [], seed)
