--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -555,9 +555,9 @@
         stored = self.state.stored
         if changeId in stored.batches:
             return OutcomeReturn(results=stored.batches[changeId])
-        change = stored.changes.get(changeId)
-        if change and self.is_in_force(change[0]):
-            return OutcomeReturn(version=change[0])
+        change = self.state.outcomes.find(changeId)
+        if change and self.is_in_force(change.version):
+            return OutcomeReturn(version=change.version)
         self.board.count["acksHeld"] += bool(change)
         return None
 
@@ -568,8 +568,8 @@
 
     def _ack_s(self, changeId):
         """When a change is acknowledged at the latest, as far as is known."""
-        change = self.state.stored.changes.get(changeId)
-        known_s = self._known_since(change[0]) if change else None
+        change = self.state.outcomes.find(changeId)
+        known_s = self._known_since(change.version) if change else None
         return (
             self.loop.time() + 1
             if known_s is None or not self.ackWaitMs
--- a/swiftdeck/chain/change_writer.py
+++ b/swiftdeck/chain/change_writer.py
@@ -6,6 +6,8 @@
 
 from swiftdeck.fault import (
     BAD_FRAME,
+    BASE_AHEAD,
+    FORGOTTEN,
     INVALID,
     LOST_RACE,
     NO_VIEW,
@@ -22,7 +24,7 @@
 from swiftdeck.wire.messages import OutcomeAsk, Write
 
 REFUSALS = {LOST_RACE.code, INVALID.code, REUSED_CHANGE.code, BAD_FRAME.code}
-NEVER_TAKEN = {UNREACHABLE.code, NOT_HEAD.code, NO_VIEW.code}
+NEVER_TAKEN = {UNREACHABLE.code, NOT_HEAD.code, NO_VIEW.code, BASE_AHEAD.code}
 
 
 class ChangeWriter:
@@ -59,6 +61,8 @@
                     if not may_be_taken or got.code == REUSED_CHANGE.code
                     else await self._settle(changeId, got, end_s)
                 )
+            if got.code == FORGOTTEN.code:
+                return UNDECIDED.because(f"{changeId}: {got.reason}")
             may_be_taken = may_be_taken or got.code not in NEVER_TAKEN
             last = got
             self.cluster_map.refresh()
--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -4,11 +4,19 @@
 
 import msgspec
 
+from swiftdeck.chain.outcomes import DIGEST_CHARS, Outcomes
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.config.document import EDITION, merge
-from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, is_fault
-
-CHANGES_KEPT, BATCHES_KEPT, DELTAS_KEPT = 5000, 4000, 64
+from swiftdeck.fault import (
+    BASE_AHEAD,
+    FORGOTTEN,
+    INVALID,
+    LOST_RACE,
+    REUSED_CHANGE,
+    is_fault,
+)
+
+BATCHES_KEPT, DELTAS_KEPT = 4000, 64
 FREED_KEPT_MS = 600000
 CLAIM, FINISH, RELEASE = 0, 1, 2
 HELD, OVER, WITHDRAWN, FULL = "claimed", "finished", "withdrawn", "full"
@@ -21,6 +29,8 @@
     document: bytes = b"{}"
     elapsedMs: int = 0
     changes: dict[str, list] = {}
+    older: dict[bytes, bytes] = {}
+    forgotten: tuple[int, int] = (0, 0)
     batches: dict[str, list] = {}
     claims: dict[str, list] = {}
     freed: dict[str, list] = {}
@@ -31,6 +41,7 @@
 
     def __init__(self, keepMs=86400000, claimsMost=200000):
         self.stored = Stored()
+        self.outcomes = Outcomes(self.stored)
         self.keepMs, self.claimsMost = keepMs, claimsMost
         self.on_config = lambda entry: None
         self.config, self.deltas, self.is_true = Configuration.empty(), {}, True
@@ -47,6 +58,7 @@
         if is_fault(config):
             raise msgspec.DecodeError(config.reason)
         self.stored, self.config, self.deltas, self.is_true = stored, config, {}, True
+        self.outcomes = Outcomes(stored)
 
     def since(self, version: int, digest: bytes, newest: int | None = None):
         """The changes that lead from a version with this digest to a newer one, or none if they are not kept."""
@@ -64,9 +76,10 @@
         if change["t"] != "config":
             return change | {"keepMs": self.keepMs, "most": self.claimsMost}
         digest = self._digest(change)
-        old = self.stored.changes.get(change["id"])
+        old = self.outcomes.find(change["id"])
         if old:
-            return None if old[1] == digest else REUSED_CHANGE.because(change["id"])
+            is_same = old.digest == digest[:DIGEST_CHARS]
+            return None if is_same else REUSED_CHANGE.because(change["id"])
         delta = self._delta(change)
         if is_fault(delta):
             return delta
@@ -111,18 +124,28 @@
 
     def _outpaced(self, change):
         """A fault where the change builds on another version or edition than the present one."""
-        if "edition" not in change:
-            base, newest = change["base"], self.stored.version
-            return None if base == newest else LOST_RACE.because(f"base {base}, newest {newest}")
+        if "edition" in change:
+            return self._outpaced_edition(change["edition"], change["onEdition"])
+        base, newest = change["base"], self.stored.version
+        if base < newest and base < self.outcomes.horizon().version:
+            return FORGOTTEN.because(f"base {base}, newest {newest}")
+        return None if base == newest else LOST_RACE.because(f"base {base}, newest {newest}")
+
+    def _outpaced_edition(self, edition, base):
+        """A fault where a change of the operator's own numbers is not the next one.
+
+        One that is told to have lost can never be taken later, since numbers only go up. For one that builds on a number to
+        come this cannot be said: another copy of it, held up on its way, may be taken once that number is there.
+        """
         held = self.config.document.edition.get(EDITION)
         number = held.number if held else 0
-        if change["onEdition"] != number:
-            return LOST_RACE.because(f"on edition {change['onEdition']}, newest {number}")
-        return (
-            None
-            if change["edition"] > number
-            else INVALID.because(f"$.edition: {change['edition']} is not above {number}")
-        )
+        if edition <= base:
+            return INVALID.because(f"$.edition: {edition} is not above {base}")
+        if base > number:
+            return BASE_AHEAD.because(f"on edition {base}, newest {number}")
+        if base < number and edition <= self.outcomes.horizon().edition:
+            return FORGOTTEN.because(f"on edition {base}, newest {number}")
+        return None if base == number else LOST_RACE.because(f"on edition {base}, newest {number}")
 
     def _edition(self, change):
         """The table of the edition after a change: whole where it is replaced, else what is told of it merged in."""
@@ -173,8 +196,14 @@
 
     def _note(self, entry):
         """Keep what became of a change."""
-        self.stored.changes[entry["id"]] = [entry["version"], entry["digest"], entry["author"]]
-        self._bound(self.stored.changes, CHANGES_KEPT)
+        held = self.config.document.edition.get(EDITION)
+        self.outcomes.note(
+            entry["id"],
+            entry["version"],
+            entry["digest"],
+            entry["author"],
+            held.number if held else 0,
+        )
 
     def _change(self, entry):
         """The next configuration, from its change, or from its whole text as an earlier form of the log has it."""
--- a/swiftdeck/fault.py
+++ b/swiftdeck/fault.py
@@ -85,6 +85,8 @@
 UNKNOWN_CHANGE = _fault(203, "change id is not known", 404)
 REUSED_CHANGE = _fault(204, "change id was used for another change", 409)
 BAD_OPERATOR = _fault(205, "operator key is wrong", 401)
+BASE_AHEAD = _fault(206, "base version is not there yet", 503, retry_ms=300)
+FORGOTTEN = _fault(207, "change is too old to tell what became of it", 503, retry_ms=1000)
 NOT_HEAD = _fault(300, "not the head of the present view", 503, retry_ms=500)
 NOT_TAIL = _fault(301, "not the tail of the present view", 503, retry_ms=500)
 NO_VIEW = _fault(302, "no view is in force", 503, retry_ms=1000)
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -4,8 +4,13 @@
 import unittest
 from unittest import mock
 
+from swiftdeck.chain import outcomes
 from swiftdeck.chain.chain import Chain, Refusal
-from tests.gateway.orders import LOST_RACE, TAKEN, TRY_AGAIN, OrderTown
+from swiftdeck.chain.outcomes import Horizon, Outcomes
+from swiftdeck.chain.state import ChainState
+from swiftdeck.fault import BASE_AHEAD, is_fault
+from swiftdeck.fault import LOST_RACE as LOST_RACE_FAULT
+from tests.gateway.orders import INVALID, LOST_RACE, TAKEN, TRY_AGAIN, OrderTown
 from tests.gateway.town import MODEL
 
 FIRST = 3
@@ -171,3 +176,73 @@
     def test_storms_of_operators_on_one_number(self):
         for seed in range(1, 4):
             self.assertEqual(OrderStorm(seed, (3, 5)[seed % 2]).found(), [], seed)
+
+    def chain_of_orders(self, seed=3, cores=3, lost_share=0.7):
+        """Eight orders under way at once, each on top of the one before, while the head is cut off."""
+        town = OrderTown(seed, cores).start()
+        town.lost_share = lost_share
+        orders = [town.patch(number + 2, number) for number in range(FIRST, FIRST + 16, 2)]
+        town.order_rng.shuffle(orders)
+        pairs = town.cut(town.member(0), "core")
+        tasks = [town.beside(lambda order=order: town.insisting(order, 40)) for order in orders]
+        town.world.at(3, lambda: town.world.net.heal(pairs))
+        town.world.run(until=lambda: all(task.done() for task in tasks), limit_s=45)
+        town.settle()
+        return [
+            f"{order.number} on {order.base}: {order.statuses()}"
+            for order in orders
+            if TAKEN not in order.statuses() or order.statuses() & {LOST_RACE, INVALID}
+        ] + town.wrong()
+
+    def test_orders_on_numbers_that_are_still_under_way_are_all_taken(self):
+        for seed, cores in ((3, 3), (4, 5)):
+            self.assertEqual(self.chain_of_orders(seed, cores), [])
+
+        def refuses_what_is_ahead(self, edition, base, outpaced=ChainState._outpaced_edition):
+            got = outpaced(self, edition, base)
+            is_ahead = is_fault(got) and got.code == BASE_AHEAD.code
+            return LOST_RACE_FAULT if is_ahead else got
+
+        self.assert_falls_without(
+            mock.patch.object(ChainState, "_outpaced_edition", refuses_what_is_ahead),
+            self.chain_of_orders,
+        )
+
+    @mock.patch.object(outcomes, "CHANGES_KEPT", 3)
+    def orders_sent_again_late(self, older_kept=20):
+        """Orders are sent again to every core, one and many changes later, before and after all cores lost their power."""
+        town = OrderTown(6).start()
+        with mock.patch.object(outcomes, "OLDER_KEPT", older_kept):
+            for number in range(5, 27, 2):
+                self.assertEqual(town.send(town.patch(number, number - 2), "core1"), TAKEN)
+                self.send_again(town, town.orders[-1:])
+            again = list(town.orders)
+            self.send_again(town, again)
+            for name in list(town.cores()):
+                town.kill(name, back_s=0.5)
+                town.folders[name].lose_power()
+            wiped = town.member(1) if town.head() else "core2"
+            town.folders[wiped].wipe()
+            town.world.run(3)
+            town.settle()
+            self.send_again(town, again)
+            lost = town.patch(28, 5)
+            town.send(lost, "core1")
+        return [
+            f"{order.number}: {order.statuses()}"
+            for order in again
+            if order.statuses() - {TAKEN, TRY_AGAIN}
+        ] + [f"{lost.statuses()}"] * (lost.statuses() != {LOST_RACE})
+
+    def send_again(self, town, orders):
+        """Send orders to every core at once, one order after the other."""
+        for order in orders:
+            town.operate(lambda order=order: town.sending_to_all(order))
+
+    def test_an_order_that_was_taken_is_never_refused_however_late_it_comes_again(self):
+        self.assertEqual(self.orders_sent_again_late(), [])
+        self.assertEqual(self.orders_sent_again_late(older_kept=4), [])
+        self.assert_falls_without(
+            mock.patch.object(Outcomes, "horizon", lambda self: Horizon(0, 0)),
+            lambda: self.orders_sent_again_late(older_kept=4),
+        )
