--- a/swiftdeck/gateway/swap.py
+++ b/swiftdeck/gateway/swap.py
@@ -43,6 +43,9 @@
     A view's number is on the disks of a majority before it is in force, so no fence is used twice; a new head first waits
     until no order of the one before can be on its way, and for as long as two holders must lie apart. A head that only started
     again counts this from its start: nobody else ordered under its view, and the head before it had lost its lease by then.
+
+    Weights are ordered only once their naming is committed: what this core alone has taken in may be lost with it, and a
+    worker can't be taken back to older weights.
     """
 
     def __init__(self, core, orders):
@@ -97,7 +100,8 @@
             if self.waited_in != self._waited(fence):
                 self.waited_in = self._waited(fence)
                 self.noting = asyncio.ensure_future(self._note_waited(fence))
-            for model, entry in self.core.chain.state.config.document.models.items():
+            config = await self.core.chain.known_committed()
+            for model, entry in config.document.models.items():
                 if entry.weights.isdecimal():
                     self._order_some(model, int(entry.weights))
 
--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -300,13 +300,15 @@
         self.world.at(self.delay_s(a, b), land)
 
     def drop(self, loop, silent):
-        """Take all ends of a dead process away."""
+        """Take all ends of a dead process away; a machine without power also loses what a cut held up."""
         self.listeners = {
             key: value for key, value in self.listeners.items() if value[0] is not loop
         }
         self.datagrams = {
             key: value for key, value in self.datagrams.items() if value[0] is not loop
         }
+        if silent:
+            self.stuck = [held for held in self.stuck if held[0].loop is not loop]
         for transport in [each for each in self.open if each.loop is loop]:
             del self.open[transport]
             if not silent and not transport.gone and not transport.closing:
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -10,6 +10,8 @@
 from swiftdeck.chain.state import ChainState
 from swiftdeck.fault import BASE_AHEAD, is_fault
 from swiftdeck.fault import LOST_RACE as LOST_RACE_FAULT
+from swiftdeck.http.client import fetch_json
+from swiftdeck.platform.operator_door import WEIGHTS_PATH
 from tests.gateway.orders import INVALID, LOST_RACE, TAKEN, TRY_AGAIN, OrderTown
 from tests.gateway.town import MODEL
 
@@ -72,8 +74,9 @@
         what(name)
 
     def kill(self, name):
-        self.town.kill(name, back_s=self.rng.uniform(0.3, 4))
-        if self.rng.random() < 0.6:
+        has_power = self.rng.random() < 0.4
+        self.town.kill(name, silent=not has_power, back_s=self.rng.uniform(0.3, 4))
+        if not has_power:
             self.town.folders[name].lose_power()
 
     def freeze(self, name):
@@ -246,3 +249,34 @@
             mock.patch.object(Outcomes, "horizon", lambda self: Horizon(0, 0)),
             lambda: self.orders_sent_again_late(older_kept=4),
         )
+
+    def weights_at_a_head_that_nobody_hears(self):
+        """New weights are named at a head just before it loses its power, and nobody else hears of them."""
+        town = OrderTown(7).start()
+        town.world.run(6)
+        head = town.member(0)
+        town.cut(head, "core", "out")
+        town.operator.named[MODEL] = 2
+        weights = (f"{town.machines[head]}:8080", "POST", WEIGHTS_PATH)
+        town.beside(lambda: fetch_json(*weights, {"model": MODEL, "version": 2}))
+        town.world.run(1.0)
+        town.kill(head, silent=True, back_s=1)
+        town.folders[head].wipe()
+        town.world.net.heal()
+        town.world.run(2)
+        town.settle()
+        named = town.up[town.head()].chain.state.config.document.models[MODEL].weights
+        return [
+            f"order of {item['version']}" for item in town.records if item["kind"] == "order"
+        ] + ([f"named {named}"] * (named != "1"))
+
+    def test_no_worker_is_ordered_onto_weights_whose_naming_may_be_lost(self):
+        self.assertEqual(self.weights_at_a_head_that_nobody_hears(), [])
+
+        async def taken_in(self):
+            return self.state.config
+
+        self.assert_falls_without(
+            mock.patch.object(Chain, "known_committed", taken_in),
+            self.weights_at_a_head_that_nobody_hears,
+        )
