--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -88,7 +88,7 @@
         self._drain()
 
     def _drain(self):
-        while self.inbox and not self.gone:
+        while self.inbox and not self.gone and self.protocol is not None:
             item = self.inbox[0]
             if isinstance(item, bytes) and self.read_paused and not self.closing:
                 return
@@ -222,6 +222,7 @@
         def accept():
             far.protocol = server_factory()
             far.protocol.connection_made(far)
+            far._drain()
 
         def made():
             if done.done():
@@ -231,6 +232,7 @@
             near.protocol = factory()
             near.protocol.connection_made(near)
             done.set_result((near, near.protocol))
+            near._drain()
 
         server.call_soon(accept)
         self.world.at(
@@ -275,10 +277,7 @@
 
     def _arrive(self, transport, item):
         if not transport.gone:
-            if transport.protocol is None:
-                transport.loop.call_soon(self._arrive, transport, item)
-            else:
-                transport.arrive(item)
+            transport.arrive(item)
 
     def datagram(self, loop, factory, local):
         """Open a datagram endpoint."""
@@ -301,13 +300,15 @@
         self.world.at(self.delay_s(a, b), land)
 
     def drop(self, loop, silent):
-        """Take all ends of a dead process away."""
+        """Take all ends of a dead process away; a machine without power also loses what a cut held up."""
         self.listeners = {
             key: value for key, value in self.listeners.items() if value[0] is not loop
         }
         self.datagrams = {
             key: value for key, value in self.datagrams.items() if value[0] is not loop
         }
+        if silent:
+            self.stuck = [held for held in self.stuck if held[0].loop is not loop]
         for transport in [each for each in self.open if each.loop is loop]:
             del self.open[transport]
             if not silent and not transport.gone and not transport.closing:
