--- a/swiftdeck/bench/outer/checker.py
+++ b/swiftdeck/bench/outer/checker.py
@@ -6,6 +6,8 @@
 import attrs
 
 PROMISES, TURNED_AWAY = (408, 421, 429, 503), (401, 403, 404)
+DENIED_MOST, DENIED_EACH = 5, 500
+OWN_ENDS = ("silence or deadline", "not reached")
 FOREVER = 1 << 60
 
 
@@ -23,6 +25,9 @@
     extra_retries: int = 20
     checks_fences: bool = True
     troubles: list = attrs.Factory(list)
+    grace_ms: int = 8000
+    loss_slack_ms: int = 200
+    recovery_ms: int = 12000
 
     def in_touch(self, machine, at_ms, since_ms=None):
         """Whether a machine and the core were calm for long enough before a time, and since another."""
@@ -141,6 +146,9 @@
         name, own = item["id"], answers[item["id"]]
         if item["status"] and item["ownId"] not in ("", name):
             yield f"{name} got an answer to {item['ownId']}"
+        sealed = {each["status"] for each in own if each["seal"] == item["seal"]}
+        if item["seal"] and item["status"] >= 300 and item["status"] not in sealed:
+            yield f"{name} has a failure {item['status']} under the seal of {sorted(sealed)}"
         if not 200 <= item["status"] < 300 or not item["complete"]:
             continue
         made = next((each for each in own if each["seal"] == item["seal"] and item["seal"]), None)
@@ -382,6 +390,92 @@
             yield f"read back {got and got['version']}, acknowledged {newest}"
 
 
+def denied(records, bounds):
+    """Too many proper requests that machines in touch end with a 3xx or 4xx of their own, which is no promise."""
+    made = {(item["id"], item["status"]) for item in records.of("answer")}
+    found = []
+    for item in records.of("result"):
+        status, asked = item["status"], records.tries[item["id"]]
+        if not 300 <= status < 500 or status in PROMISES or (item["id"], status) in made:
+            continue
+        settled_ms = asked["atMs"] - bounds.apply_within_ms
+        newest = max(
+            (each.version for each in records.configs if each.told_ms < settled_ms), default=0
+        )
+        may = [
+            each.services(asked)
+            for each in records.configs
+            if each.version >= newest and each.sent_ms <= item["atMs"]
+        ]
+        if may and all(may) and bounds.in_touch(asked["router"], item["atMs"], asked["atMs"]):
+            found.append(f"{item['id']} got {status}")
+    if len(found) > DENIED_MOST + len(records.tries) / DENIED_EACH:
+        yield from found
+
+
+def lost(records, bounds):
+    """A request that was cut off around planned work, after it was passed on or held for a while."""
+    arrived, ended = {item["id"] for item in records.of("arrive")}, defaultdict(list)
+    for item in records.of("ran"):
+        ended[item["id"]].append(item["atMs"])
+    for item in records.of("result"):
+        asked, end_ms = records.tries[item["id"]], item["atMs"]
+        if item["complete"] or not item.get("sent") or item["end"] in OWN_ENDS:
+            continue
+        if not any(_bears_on(each, asked, end_ms, bounds) for each in records.of("planned")):
+            continue
+        is_excused = (
+            not bounds.in_touch(asked["router"], end_ms, asked["atMs"])
+            or any(run.get("quirk") for run in records.runs[item["id"]])
+            or any(
+                each["machine"] == asked["router"]
+                and each["what"] == "term"
+                and max(ended[item["id"]], default=0) >= each["atMs"] + bounds.grace_ms // 2
+                for each in records.of("planned")
+            )
+            or end_ms >= asked["atMs"] + _held_ms(records, asked)
+        )
+        held_ms = end_ms - asked["atMs"]
+        if not is_excused and (item["id"] in arrived or held_ms > bounds.loss_slack_ms):
+            yield f"{item['id']} was cut off by {asked['router']} after {held_ms} ms"
+
+
+def _held_ms(records, asked):
+    """How long a try may be held: what its client waits and its route's timeout."""
+    found = records.route(asked)
+    return min(asked.get("end_ms", FOREVER), found.get("timeout-ms", FOREVER) if found else FOREVER)
+
+
+def _bears_on(planned, asked, end_ms, bounds):
+    """Whether planned work at a machine may have cut a request off."""
+    if planned["machine"] != asked["router"]:
+        return False
+    begin_ms = planned["atMs"]
+    if planned["what"] == "hup":
+        return begin_ms <= end_ms and asked["atMs"] <= begin_ms + bounds.apply_within_ms
+    return begin_ms <= end_ms <= begin_ms + bounds.grace_ms + 1000
+
+
+def recover(records, bounds):
+    """Few requests are served after the closing fault, though many were before it."""
+    for back in records.of("back"):
+        served = {
+            item["id"]
+            for item in records.of("result")
+            if item["complete"] and 200 <= item["status"] < 300
+        }
+        before = [each for each in records.tries.values() if each["atMs"] < back["downMs"]]
+        late_ms = back["atMs"] + bounds.recovery_ms
+        after = [each for each in records.tries.values() if each["atMs"] > late_ms]
+        shares = [
+            sum(each["id"] in served for each in some) / len(some)
+            for some in (before, after)
+            if some
+        ]
+        if len(shares) == 2 and shares[0] >= 0.25 > shares[1]:
+            yield f"{shares[0]:.2f} served before {back['downMs']}, {shares[1]:.2f} after {late_ms}"
+
+
 RULES = {
     "MIXED": mixed,
     "UNASKED": unasked,
@@ -396,6 +490,9 @@
     "VERSION": version,
     "DRAIN": drain,
     "CONFIG": config,
+    "DENIED": denied,
+    "LOST": lost,
+    "RECOVER": recover,
 }
 
 
--- a/tests/bench/outer/test_checker.py
+++ b/tests/bench/outer/test_checker.py
@@ -197,6 +197,13 @@
         ]:
             self.caught("MIXED", change=[(fits, fields)])
         self.caught("MIXED", line(800, "surplus", data="HTTP"))
+        for status in (500, 502, 404):
+            sealed = result(820, "e", status=status, seal="s5")
+            made = answer(815, "e", "w#9", "s5", status=503)
+            self.caught("MIXED", asked(800, "e"), *ran(810, "e", "w#9"), made, sealed)
+            honest = made | {"status": status}
+            day = [*good(), asked(800, "e"), *ran(810, "e", "w#9"), honest, sealed]
+            self.assertEqual(check(day), {})
 
     def test_unasked(self):
         for fields in (
@@ -331,6 +338,72 @@
         for back in (None, DOCUMENT, DOCUMENT | {"version": 2, "routes": []}):
             self.caught("CONFIG", change=[({"kind": "readBack"}, {"document": back})])
 
+    def turned_away(self, count, status, at_ms=1000, **more):
+        """So many requests, each ended with a status."""
+        return [
+            each
+            for number in range(count)
+            for each in (
+                asked(at_ms + number, f"e{number}", **more),
+                result(at_ms + number + 5, f"e{number}", status=status),
+            )
+        ]
+
+    def test_denied(self):
+        for status in (301, 400, 405, 409, 431, 499):
+            self.caught("DENIED", *self.turned_away(6, status))
+            self.assertEqual(check([*good(), *self.turned_away(5, status)]), {})
+        for status in (408, 421, 429, 503, 502):
+            self.assertEqual(check([*good(), *self.turned_away(6, status)]), {})
+        troubled = Bounds(troubles=[["router1", 900, 900]])
+        self.assertEqual(check([*good(), *self.turned_away(6, 400)], troubled), {})
+        self.assertEqual(check([*good(), *self.turned_away(6, 404, target="/no/")]), {})
+        own = [answer(1002 + at, f"e{at}", "w#9", "", status=400) for at in range(6)]
+        self.assertEqual(check([*good(), *self.turned_away(6, 400), *own]), {})
+
+    def cut(self, at_ms, end_ms, runs=(), **more):
+        """A request that is cut off."""
+        got = result(end_ms, "e", status=0, complete=False) | {"sent": True, "end": "cut"}
+        return [asked(at_ms, "e"), *runs, got | more]
+
+    def test_lost(self):
+        term = line(1000, "planned", machine="router1", what="term")
+        hup = line(1000, "planned", machine="router1", what="hup")
+        run = ran(1005, "e", "w#9")
+        self.caught("LOST", term, *self.cut(990, 1020, run))
+        self.caught("LOST", hup, *self.cut(2900, 2920, ran(2905, "e", "w#9")))
+        self.caught("LOST", term, *self.cut(990, 1300))
+        self.caught("LOST", term, *self.cut(4000, 9000, ran(4100, "e", "w#9")))
+        for more in (
+            self.cut(990, 1100),
+            self.cut(990, 1300, end="silence or deadline"),
+            self.cut(990, 1300, sent=False, end="not reached"),
+            self.cut(990, 1300, run, complete=True),
+            self.cut(10100, 10400, ran(10200, "e", "w#9")),
+            self.cut(990, 1020, [each | {"quirk": "cut"} for each in run]),
+            self.cut(990, 6000, ran(5500, "e", "w#9")),
+        ):
+            self.assertEqual(check([*good(), term, *more]), {}, more)
+        elsewhere = term | {"machine": "router2"}
+        self.assertEqual(check([*good(), elsewhere, *self.cut(990, 1020, run)]), {})
+        troubled = Bounds(troubles=[["router1", 0, 500]])
+        self.assertEqual(check([*good(), term, *self.cut(990, 1020, run)], troubled), {})
+
+    def test_recover(self):
+        back = line(2000, "back", downMs=900)
+        late = self.turned_away(8, 503, at_ms=20000)
+        self.caught("RECOVER", back, *late)
+        served = [
+            *self.turned_away(6, 503, at_ms=20000),
+            *(asked(20100 + at, f"f{at}") for at in range(2)),
+            *(each for at in range(2) for each in ran(20105 + at, f"f{at}", f"w#{20 + at}")),
+            *(answer(20110 + at, f"f{at}", f"w#{20 + at}", f"t{at}", body="B") for at in range(2)),
+            *(result(20120 + at, f"f{at}", seal=f"t{at}", body="B") for at in range(2)),
+        ]
+        self.assertEqual(check([*good(), back, *served]), {})
+        soon = self.turned_away(8, 503, at_ms=13000)
+        self.assertEqual(check([*good(), back, *soon]), {})
+
     def test_each_rule_has_a_planted_breach(self):
         self.assertEqual(
             {name.lower() for name in RULES} - {name.removeprefix("test_") for name in dir(self)},
--- a/tests/gateway/cases/clients.py
+++ b/tests/gateway/cases/clients.py
@@ -154,10 +154,7 @@
         town = self.town(seed, rate=12)
         for _ in range(8):
             town.world.run(0.37)
-            ip = town.machines["router2"]
-            for each in [each for each in town.world.net.open if each.loop.ip == ip]:
-                town._do("router2", each.abort)
-            town.troubles.append(["router2", town.now_ms(), town.now_ms()])
+            town.reset_connections("router2")
         town.world.run(1)
         return town
 
--- a/tests/gateway/cases/routers.py
+++ b/tests/gateway/cases/routers.py
@@ -75,6 +75,24 @@
         )
         self.assert_kept(town)
 
+    def roll(self, rate=14):
+        """Routers are told to stop in turn while they are busy, and come back."""
+        town = self.town(16, rate)
+        for name in ("router1", "router2"):
+            stopping = town.terminate(name)
+            town.world.run(until=stopping.done, limit_s=8)
+            town.world.kill(name)
+            town.world.run(0.3)
+            town.start_router(name)
+            town.world.run(1.5)
+        return town
+
+    def test_a_busy_router_that_is_told_to_stop_loses_nothing(self):
+        self.assert_kept(self.roll())
+        self.assert_falls_without(
+            mock.patch.object(Gateway, "stop", stops_at_once), self.roll, "LOST"
+        )
+
     def test_a_long_stream_is_finished_by_a_router_that_stops(self):
         def events():
             town = PlatformTown(7).start()
--- a/tests/gateway/town.py
+++ b/tests/gateway/town.py
@@ -430,6 +430,18 @@
             start = self.start_core if name.startswith("core") else self.start_router
             self.world.at(back_s, lambda: start(name))
 
+    def terminate(self, name):
+        """Tell a router to stop, as planned work does; gives the task of its stopping."""
+        self.record("plan")("planned", machine=name, what="term")
+        return self.beside(self.up[name].stop, name)
+
+    def reset_connections(self, name):
+        """Reset all connections of a machine."""
+        self.trouble(name, lambda: None)
+        ip = self.machines[name]
+        for each in [each for each in self.world.net.open if each.loop.ip == ip]:
+            self._do(name, each.abort)
+
     def freeze(self, name, for_s):
         """Stop a process in its tracks for a while."""
         self.trouble(name, lambda: self.world.freeze(name), for_s)
@@ -466,5 +478,6 @@
                 BOUNDS["extra_retries"],
                 True,
                 self.troubles,
+                BOUNDS["grace_s"] * 1000,
             ),
         )
