--- a/swiftdeck/http/kept.py
+++ b/swiftdeck/http/kept.py
@@ -33,6 +33,8 @@
         return got
 
     async def _fetch(self, method, path, body, headers):
+        if self.link is not None and self.link.conn.trailing_data[0]:
+            self.close()
         if self.link is None or self.link.gone:
             ip, _, port = self.addr.rpartition(":")
             link = await connect(ip, int(port), 1000)
