--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -2,6 +2,8 @@
 
 import asyncio
 import re
+import socket
+import struct
 from collections import Counter
 from urllib.parse import parse_qsl, unquote, urlsplit
 
@@ -11,6 +13,7 @@
 from swiftdeck.fault import BAD_REQUEST, HANDLER_FAILED, SLOW_REQUEST, TOO_LARGE, Fault, is_fault
 
 HEAD_LIMIT = 32768
+RESET = struct.pack("ii", 1, 0)
 HEAD_END, CHUNKS_END = re.compile(rb"\n\r?\n"), b"\r\n\r\n"
 
 
@@ -337,7 +340,11 @@
         return self.task is not None and not self.dropping
 
     def abort(self):
+        """Cut the connection; for a client that takes its end for the end of an answer, by a reset."""
         if self.transport and not self.gone:
+            sock = self.transport.get_extra_info("socket")
+            if sock is not None and self.conn.their_http_version == b"1.0":
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             self.transport.abort()
 
     def connection_lost(self, error):
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -101,3 +101,27 @@
         for size in (1, 7, 64, len(data)):
             got = self.talk([data[at : at + size] for at in range(0, len(data), size)])
             self.assertEqual((got.count(b" 200 "), got.count(b'"size":5')), (3, 2), size)
+
+    def test_an_answer_without_length_that_is_cut_ends_in_a_reset(self):
+        async def begins_and_fails(exchange):
+            exchange.begin(200, [("transfer-encoding", "chunked")])
+            await exchange.piece(b"half")
+            raise RuntimeError("worker broke off")
+
+        async def talk(lead):
+            server = HttpServer(begins_and_fails)
+            await server.start("127.0.0.1", 0)
+            port = server.server.sockets[0].getsockname()[1]
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(lead + b"Host: x\r\n\r\n")
+            try:
+                return await reader.read(-1)
+            except ConnectionResetError:
+                return "reset"
+            finally:
+                writer.close()
+                server.stop()
+
+        self.assertEqual(asyncio.run(talk(b"GET / HTTP/1.0\r\n")), "reset")
+        cut = asyncio.run(talk(b"GET / HTTP/1.1\r\n"))
+        self.assertTrue(cut == "reset" or not cut.endswith(b"0\r\n\r\n"), cut)
