--- a/swiftdeck/bench/outer/checker.py
+++ b/swiftdeck/bench/outer/checker.py
@@ -6,7 +6,7 @@
 import attrs
 
 PROMISES, TURNED_AWAY = (408, 421, 429, 503), (401, 403, 404)
-DENIED_MOST, DENIED_EACH = 5, 500
+DENIED_MOST, DENIED_EACH, OVER_TRIES_MOST = 5, 500, 3
 OWN_ENDS = ("silence or deadline", "not reached")
 FOREVER = 1 << 60
 
@@ -268,7 +268,10 @@
 
 
 def budget(records, bounds):
-    """More arrivals past the first of each request in a window than its requests and the allowance pay for."""
+    """More arrivals past the first of each request in a window than its requests and the allowance pay for.
+
+    Or requests that ran on more workers than their route's tries.
+    """
     sent, extra, seen, window = defaultdict(list), defaultdict(list), set(), bounds.retry_window_ms
     for item in records.of("try"):
         for service in {service for config in records.configs for service in config.services(item)}:
@@ -290,6 +293,14 @@
             )
             if count > bounds.retry_ratio * most + bounds.extra_retries:
                 yield f"{service} got {count} further tries for {most} requests up to {end}"
+    over = []
+    for name, runs in records.runs.items():
+        found = records.route(records.tries[name]) if name in records.tries else None
+        workers = {item["worker"] for item in runs}
+        if found and len(workers) > found.get("tries", FOREVER):
+            over.append(f"{name} ran on {len(workers)} workers with {found['tries']} tries")
+    if len(over) > OVER_TRIES_MOST:
+        yield from over
 
 
 def one(records, bounds):
--- a/tests/bench/outer/test_checker.py
+++ b/tests/bench/outer/test_checker.py
@@ -272,6 +272,28 @@
         self.caught("BUDGET", *more, extra_retries=6)
         self.assertEqual(check([*good(), *more], Bounds(extra_retries=8)), {})
 
+    def test_budget_counts_the_workers_of_a_try(self):
+        def spread(count, workers):
+            return [
+                each
+                for number in range(count)
+                for each in (
+                    asked(800, f"e{number}", "/safe/1"),
+                    *(
+                        item
+                        for at in range(workers)
+                        for item in ran(
+                            801, f"e{number}", f"w{at}#{number}", "/safe/1", worker=f"w{at}"
+                        )
+                    ),
+                )
+            ]
+
+        self.caught("BUDGET", *spread(4, 3), extra_retries=50)
+        for count, workers in ((3, 3), (4, 2)):
+            day = [*good(), *spread(count, workers)]
+            self.assertEqual(check(day, Bounds(extra_retries=50)), {})
+
     def test_one(self):
         def order(at_ms, owner, fence, status=202):
             return line(
--- a/tests/gateway/cases/answers.py
+++ b/tests/gateway/cases/answers.py
@@ -9,8 +9,9 @@
 from swiftdeck.http.server import HttpConversation
 from swiftdeck.platform.speech import Workers
 from tests.gateway.case import SiteCase
-from tests.gateway.town import PlatformTown
+from tests.gateway.town import ROUTES, PlatformTown
 
+HELD_MS = 250
 VERDICT = Workers.verdict
 
 
@@ -40,6 +41,19 @@
 )
 
 
+def held_too_long(town):
+    """Requests that ended more than a quarter of a second past their route's timeout."""
+    asked = {item["id"]: item for item in town.records if item["kind"] == "try"}
+    timeouts = {fields[0]: fields[3]["timeout-ms"] for fields in ROUTES.values()}
+    return [
+        item["id"]
+        for item in town.records
+        if item["kind"] == "result"
+        for begun in [asked[item["id"]]]
+        if item["atMs"] - begun["atMs"] > timeouts[f"/{begun['target'].split('/')[1]}/"] + HELD_MS
+    ]
+
+
 class AnswersCase(SiteCase):
     def day(self, quirks, seed, share=0.4, keeps=True, seconds=4):
         """A site some of whose workers answer wrongly now and then."""
@@ -59,6 +73,7 @@
                 town = self.day(quirks, seed, keeps=keeps)
                 self.assertEqual(town.breaches(), {})
                 self.assertEqual(town.world.faults, [])
+                self.assertEqual(held_too_long(town), [])
 
     def test_without_each_look_at_an_answer_the_rules_fall(self):
         own_id = by_headers(b"swiftdeck-request-id", id=True)
@@ -75,6 +90,23 @@
             with self.subTest(quirk):
                 self.assert_falls_without(patch, lambda: self.day((quirk,), 31, 0.6), *rules)
 
+    def silent(self):
+        """Requests with more time than their route has, at workers that never answer."""
+        town = PlatformTown(34).start()
+        for name in town.workers:
+            town.up[name].quirk = "silence"
+        for name in ("r-once", "r-safe", "r-stream", "r-resume"):
+            town.beside(lambda name=name: town._asking(name, within_ms=9000, tries=1), "clients")
+        town.world.run(9.5)
+        return town
+
+    def test_a_worker_that_never_answers_holds_a_request_no_longer_than_its_route_says(self):
+        town = self.silent()
+        self.assertEqual(held_too_long(town), [])
+        self.assertEqual(town.breaches(), {})
+        ends = [item["status"] for item in town.records if item["kind"] == "result"]
+        self.assertEqual(set(ends) - {502, 504, 0}, set(), ends)
+
     def test_a_client_that_takes_nothing_holds_its_request_no_longer_than_the_route_says(self):
         town, never = PlatformTown(33).start(), HttpConversation.writable
 
