--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -27,9 +27,15 @@
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_DATA = re.compile(rb"(?:^|\n)data:")
 FRAMING = (b"content-length", b"transfer-encoding")
+BODILESS = (204, 304)
 MARGIN_S, WAIT_SHARE, ASKED_MOST = 0.015, 0.2, 6
 
 
+def _unframed(headers):
+    """Headers of an answer that has no body by its status or method, and so no chunks either."""
+    return [each for each in headers if each[0].lower() != b"transfer-encoding"]
+
+
 def _is_behind(event_id: bytes, last: str) -> bool:
     """Whether an event's id doesn't lie beyond the last one that was passed on."""
     return event_id.isdigit() and last.isdecimal() and int(event_id) <= int(last)
@@ -309,13 +315,16 @@
     async def _relay(self, attempt, worker, status, headers, sent_s):
         """Pass an answer on as it comes; complete events only where the stream could be taken up elsewhere."""
         self.rest, self.is_passing_on = b"", False
+        is_bodiless = status in BODILESS or self.request.method == b"HEAD"
         if not self.ledger.has_begun:
-            self.exchange.begin(status, self.gateway.workers_speak.passed_on(headers))
+            passed_on = self.gateway.workers_speak.passed_on(headers)
+            self.exchange.begin(status, _unframed(passed_on) if is_bodiless else passed_on)
             self.ledger.has_begun = True
         is_good = 200 <= status < 300
+        is_framed = is_bodiless or any(name.lower() in FRAMING for name, _ in headers)
         try:
             async with asyncio.timeout_at(self.ledger.deadline_s):
-                fault = await self._pass_on(worker, headers, is_good, sent_s)
+                fault = await self._pass_on(worker, is_framed, is_good, sent_s)
         except TimeoutError:
             if not self.is_passing_on:
                 self.gateway.judge.failed(worker, False)
@@ -328,7 +337,7 @@
         self._give_back()
         return None
 
-    async def _pass_on(self, worker, headers, is_good, sent_s):
+    async def _pass_on(self, worker, is_framed, is_good, sent_s):
         """Pass a body on to its end; a fault where it has none, or goes back behind what the client has."""
         is_first, is_stream = True, self.ledger.resumable and is_good
         while True:
@@ -336,7 +345,7 @@
             if is_fault(event):
                 return event
             if isinstance(event, h11.EndOfMessage):
-                if not any(name.lower() in FRAMING for name, _ in headers):
+                if not is_framed:
                     return STREAM_BROKEN.because("answer has no length")
                 if self.rest:
                     await self._give(self.rest)
--- a/tests/gateway/cases/answers.py
+++ b/tests/gateway/cases/answers.py
@@ -4,6 +4,7 @@
 import itertools
 from unittest import mock
 
+from swiftdeck.bench.outer.worker import PlatformWorker, digest
 from swiftdeck.gateway import proxied_request
 from swiftdeck.gateway.pool import WorkerConnection
 from swiftdeck.http.server import HttpConversation
@@ -90,6 +91,26 @@
             with self.subTest(quirk):
                 self.assert_falls_without(patch, lambda: self.day((quirk,), 31, 0.6), *rules)
 
+    def test_an_answer_without_body_and_length_is_whole(self):
+        async def no_content(worker, exchange, head, name, run, *_):
+            seal = f"{run}.seal"
+            worker.record("answer", id=name, run=run, seal=seal, status=204, body=digest(b""))
+            worker._say(
+                exchange,
+                204,
+                [("Swiftdeck-Request-Id", name), ("Swiftdeck-Server-Seal", seal)],
+            )
+            exchange.begun = exchange.finished = True
+            exchange.conversation.transport.pause_reading()
+            return True
+
+        with mock.patch.object(PlatformWorker, "_answer", no_content):
+            town = PlatformTown(35).start()
+            got = town.ask("r-once")
+            self.assertEqual((got["status"], got["complete"]), (204, True))
+            self.assertEqual((town.count("callsServed"), town.count("streamsBroken")), (1, 0))
+            self.assertEqual(town.breaches(), {})
+
     def silent(self):
         """Requests with more time than their route has, at workers that never answer."""
         town = PlatformTown(34).start()
