--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -2,6 +2,8 @@
 
 import asyncio
 import re
+import socket
+import struct
 from collections import Counter
 from urllib.parse import parse_qsl, unquote, urlsplit
 
@@ -11,6 +13,7 @@
 from swiftdeck.fault import BAD_REQUEST, HANDLER_FAILED, SLOW_REQUEST, TOO_LARGE, Fault, is_fault
 
 HEAD_LIMIT = 32768
+RESET = struct.pack("ii", 1, 0)
 HEAD_END, CHUNKS_END = re.compile(rb"\n\r?\n"), b"\r\n\r\n"
 
 
@@ -27,6 +30,11 @@
     return None
 
 
+def retry_after(fault: Fault) -> list:
+    """The header that says when to come back, where a fault does."""
+    return [("retry-after", str(max(1, -(-fault.retry_ms // 1000))))] if fault.retry_ms else []
+
+
 class HttpExchange:
     """One request and the return to it."""
 
@@ -94,8 +102,7 @@
 
     async def give_fault(self, fault: Fault, headers=(), **more):
         """A fault as the return, with Retry-After where it says when to come back."""
-        wait = [("retry-after", str(max(1, -(-fault.retry_ms // 1000))))] if fault.retry_ms else []
-        await self.give(fault.status, fault.as_body() | more, [*wait, *headers])
+        await self.give(fault.status, fault.as_body() | more, [*retry_after(fault), *headers])
 
     def begin(self, status, headers):
         """Start a return; its pieces follow."""
@@ -235,7 +242,10 @@
     async def serve(self, request, body, feed=None):
         exchange = None
         try:
-            exchange = HttpExchange(self, request, body)
+            try:
+                exchange = HttpExchange(self, request, body)
+            except ValueError as error:
+                return self.drop(BAD_REQUEST.because(f"target or headers can't be read: {error}"))
             exchange.feed = feed
             fault = await self.server.handler(exchange)
             if is_fault(fault):
@@ -245,8 +255,6 @@
             return
         except (ConnectionError, h11.LocalProtocolError):
             self.abort()
-        except UnicodeDecodeError:
-            return self.drop(BAD_REQUEST.because("target or headers are not text"))
         except Exception as error:
             self.server.count["faults.%d" % HANDLER_FAILED.code] += 1
             self.server.note("exchange failed", code=HANDLER_FAILED.code, reason=repr(error))
@@ -291,6 +299,7 @@
                         ("content-type", "application/json"),
                         ("content-length", str(len(data))),
                         ("connection", "close"),
+                        *retry_after(fault),
                     ],
                 )
             )
@@ -331,7 +340,11 @@
         return self.task is not None and not self.dropping
 
     def abort(self):
+        """Cut the connection; for a client that takes its end for the end of an answer, by a reset."""
         if self.transport and not self.gone:
+            sock = self.transport.get_extra_info("socket")
+            if sock is not None and self.conn.their_http_version == b"1.0":
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             self.transport.abort()
 
     def connection_lost(self, error):
