--- /dev/null
+++ b/swiftdeck/bench/scale/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements of what each role spends as the fleet grows."""
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -13,13 +13,15 @@
 
 import typer
 
-from swiftdeck.bench import scale as scales
 from swiftdeck.bench.caller import Caller
 from swiftdeck.bench.fleet import Fleet
 from swiftdeck.bench.growth import growth
 from swiftdeck.bench.measure import MEASURES
 from swiftdeck.bench.platform import Platform
 from swiftdeck.bench.record import FileRecord
+from swiftdeck.bench.scale.fleet import WORKERS_EACH, FleetSize, fleet_rows
+from swiftdeck.bench.scale.parts import parts
+from swiftdeck.bench.scale.table import FLEET_COLUMNS, PART_COLUMNS, table
 from swiftdeck.bench.store import Store
 from swiftdeck.bench.worker import Worker
 from swiftdeck.programs.loop import BootLoop, run_until_signal
@@ -261,7 +263,7 @@
     cores: Annotated[
         list[int], typer.Option(help="How many cores; may be given several times.")
     ] = [3],
-    workers_each: Annotated[float, typer.Option(help="Workers for each router.")] = scales.WORKERS_EACH,
+    workers_each: Annotated[float, typer.Option(help="Workers for each router.")] = WORKERS_EACH,
     seconds: Annotated[float, typer.Option(help="Simulated time that is measured.")] = 4.0,
     seed: int = 1,
     seeds: int = 1,
@@ -272,10 +274,10 @@
         typer.echo("scale: fleet, parts", err=True)
         raise typer.Exit(2)
     if what == "parts":
-        typer.echo("\n".join(scales.table(list(scales.parts()), scales.PARTS)))
+        typer.echo("\n".join(table(list(parts()), PART_COLUMNS)))
         return
     work = [
-        (number, count, chain, workers_each, seconds)
+        FleetSize(number, count, chain, workers_each, seconds)
         for count in routers
         for chain in cores
         for number in range(seed, seed + seeds)
@@ -284,7 +286,7 @@
         jobs, max_tasks_per_child=1, mp_context=multiprocessing.get_context("spawn")
     ) as pool:
         rows = []
-        for fresh in pool.map(scales.fleet, work):
+        for fresh in pool.map(fleet_rows, work):
             rows += fresh
             for row in fresh:
                 typer.echo(
@@ -292,7 +294,7 @@
                         {name: row[name] for name in ("role", "routers", "cores", "sentByKind")}
                     )
                 )
-    typer.echo("\n".join(scales.table(rows, scales.FLEET)))
+    typer.echo("\n".join(table(rows, FLEET_COLUMNS)))
 
 
 def main():
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -1,8 +1,10 @@
-"""Tests of `bench/scale.py`."""
+"""Tests of `bench/scale`."""
 
 import unittest
 
-from swiftdeck.bench.scale import FLEET, HollowFleet, held_bytes, table, timed
+from swiftdeck.bench.scale.fleet import HollowFleet
+from swiftdeck.bench.scale.table import FLEET_COLUMNS, table
+from swiftdeck.bench.scale.timing import held_bytes, timed
 
 
 class HollowFleetTest(unittest.TestCase):
@@ -70,4 +72,4 @@
             table([{"role": "tail", "cpuMsS": [1, 2, 3]}], ("role", "cpuMsS", "cores")),
             ["| role | cpuMsS | cores |", "|---|---|---|", "| tail | 1 / 2 / 3 |  |"],
         )
-        self.assertIn("cpuMsS", FLEET)
+        self.assertIn("cpuMsS", FLEET_COLUMNS)
