--- a/swiftdeck/bench/caller.py
+++ b/swiftdeck/bench/caller.py
@@ -1,4 +1,7 @@
-"""A stand-in for callers: agents with growing conversations, and short calls, with a record of every return."""
+"""A stand-in for callers: agents with growing conversations, and short calls.
+
+Every return is recorded.
+"""
 
 import asyncio
 
@@ -8,9 +11,53 @@
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import connect
 
+CONNECT_MS = 2000
+TOKENS_OF_A_PIECE = 16
+NOT_CONNECTED, NO_ANSWER = -1, -2
+
+
+class CallOptions(msgspec.Struct, frozen=True):
+    """How one call is made.
+
+    `leave_after` is the number of pieces after which the caller goes away, `slow_s` the pause
+    before each piece is read.
+    """
+
+    max_tokens: int = 64
+    idempotency: str = ""
+    timeout_s: float = 90
+    is_last: bool = False
+    stream: bool = True
+    talk: str = ""
+    turn: int = 0
+    leave_after: int | None = None
+    slow_s: float = 0.0
+
+
+def _headers(key, options):
+    headers = [("authorization", f"Bearer {key}"), ("content-type", "application/json")]
+    headers += [("idempotency-key", options.idempotency)] if options.idempotency else []
+    headers += [("conversation-end", "1")] if options.is_last else []
+    return headers
+
+
+def _empty_result():
+    return {
+        "status": 0,
+        "code": 0,
+        "notRun": False,
+        "call": "",
+        "run": "",
+        "whole": False,
+        "pieces": 0,
+        "wrong": "",
+    }
+
 
 class Caller:
-    """Makes calls as tenants do; each try carries a marker that every piece of its return must show."""
+    """Makes calls as tenants do; each try has a marker that every piece of its return must show."""
+
+    returns = 0
 
     def __init__(self, name, doors, record, random, keys, scale=1.0, routers=None):
         self.name, self.doors, self.record, self.random = name, doors, record, random
@@ -24,156 +71,114 @@
         return f"{self.name}/{tenant}/{self.serial}"
 
     async def call(
-        self,
-        tenant,
-        route,
-        parts,
-        maxTokens=64,
-        idempotency="",
-        timeoutS=90,
-        isLast=False,
-        stream=True,
-        key=None,
-        door=None,
-        marker="",
-        talk="",
-        turn=0,
-        leaveAfter=None,
-        slowS=0.0,
-        link=None,
+        self, tenant, route, parts, marker="", key=None, door=None, link=None, **options
     ):
-        """One try; gives what came back and records it. With the marker of an earlier try it is the same call again."""
+        """One try; returns what came back and records it.
+
+        With the marker of an earlier try it is the same call again. `options` are the fields of
+        CallOptions; `link` is a connection that is kept open.
+        """
+        options = CallOptions(**options)
         if not marker:
             marker = self._marker(tenant)
             parts = [*parts[:-1], f"{parts[-1]} [[{marker}]]"]
         door, key = door or self.random.choice(self.doors), key or self.keys[tenant]
+        self._record_try(marker, tenant, route, door, key, options)
+        result = _empty_result()
+        body = msgspec.json.encode(
+            {
+                "model": route,
+                "parts": parts,
+                "maxTokens": options.max_tokens,
+                "stream": options.stream,
+            }
+        )
+        try:
+            async with asyncio.timeout(options.timeout_s):
+                await self._talk(door, _headers(key, options), body, marker, result, options, link)
+        except TimeoutError:
+            result["gaveUp"] = True
+        self.record("return", marker=marker, tenant=tenant, route=route, **result)
+        return result | {"parts": parts, "marker": marker}
+
+    def _record_try(self, marker, tenant, route, door, key, options):
         self.record(
             "try",
             marker=marker,
             tenant=tenant,
             route=route,
-            idempotency=idempotency,
+            idempotency=options.idempotency,
             door=door,
-            talk=talk,
-            turn=turn,
+            talk=options.talk,
+            turn=options.turn,
             router=self.routers.get(door, ""),
             key=key_digest(key),
         )
-        result = {
-            "status": 0,
-            "code": 0,
-            "notRun": False,
-            "call": "",
-            "run": "",
-            "whole": False,
-            "pieces": 0,
-            "wrong": "",
-        }
-        try:
-            async with asyncio.timeout(timeoutS):
-                await self._talk(
-                    door,
-                    key,
-                    route,
-                    parts,
-                    maxTokens,
-                    idempotency,
-                    isLast,
-                    stream,
-                    marker,
-                    result,
-                    leaveAfter,
-                    slowS,
-                    link,
-                )
-        except TimeoutError:
-            result["gaveUp"] = True
-        self.record("return", marker=marker, tenant=tenant, route=route, **result)
-        return result | {"parts": parts, "marker": marker}
 
-    async def _talk(
-        self,
-        door,
-        key,
-        route,
-        parts,
-        maxTokens,
-        idempotency,
-        isLast,
-        stream,
-        marker,
-        result,
-        leaveAfter,
-        slowS,
-        kept,
-    ):
+    async def _talk(self, door, headers, body, marker, result, options, kept):
         ip, _, port = door.rpartition(":")
-        link = kept or await connect(ip, int(port), 2000)
+        link = kept or await connect(ip, int(port), CONNECT_MS)
         if is_fault(link):
-            result["status"] = -1
+            result["status"] = NOT_CONNECTED
             return
         try:
-            headers = [("authorization", f"Bearer {key}"), ("content-type", "application/json")]
-            headers += [("idempotency-key", idempotency)] if idempotency else []
-            headers += [("conversation-end", "1")] if isLast else []
-            body = msgspec.json.encode(
-                {"model": route, "parts": parts, "maxTokens": maxTokens, "stream": stream}
-            )
             got = await link.exchange("POST", "/v1/calls", headers, body, door)
             if is_fault(got):
-                result["status"] = -2
+                result["status"] = NO_ANSWER
                 return
             result["status"] = got.status
             result["retryAfter"] = got.headers.get("retry-after", "")
-            if got.headers.get("content-type") != "text/event-stream":
-                whole = await got.whole()
-                answer = {} if is_fault(whole) else msgspec.json.decode(whole)
-                result |= {
-                    name: answer[name]
-                    for name in ("code", "notRun", "call", "run", "reason")
-                    if name in answer
-                }
-                result["whole"] = bool(answer.get("end"))
-                result["sentTo"] = "" if result["whole"] else answer.get("worker", "")
-                due = "".join(f"[[{marker}]]{seq} " for seq in range(max(1, maxTokens // 16)))
-                if result["whole"] and answer.get("text") != due:
-                    result["wrong"] = f"text {answer.get('text', '')[:200]!r}"
-                return
-            await self._stream(got, marker, result, leaveAfter, slowS)
+            if got.headers.get("content-type") == "text/event-stream":
+                await self._read_stream(got, marker, result, options)
+            else:
+                await self._read_whole(got, marker, result, options)
         finally:
             if not kept:
                 link.close()
 
-    async def _stream(self, got, marker, result, leaveAfter, slowS):
+    async def _read_whole(self, got, marker, result, options):
+        whole = await got.whole()
+        answer = {} if is_fault(whole) else msgspec.json.decode(whole)
+        names = ("code", "notRun", "call", "run", "reason")
+        result |= {name: answer[name] for name in names if name in answer}
+        result["whole"] = bool(answer.get("end"))
+        result["sentTo"] = "" if result["whole"] else answer.get("worker", "")
+        pieces = max(1, options.max_tokens // TOKENS_OF_A_PIECE)
+        due = "".join(f"[[{marker}]]{seq} " for seq in range(pieces))
+        if result["whole"] and answer.get("text") != due:
+            result["wrong"] = f"text {answer.get('text', '')[:200]!r}"
+
+    async def _read_stream(self, got, marker, result, options):
         async for line in got.lines():
             if not line.startswith(b"data:"):
                 continue
-            if leaveAfter is not None and result["pieces"] >= leaveAfter:
+            if options.leave_after is not None and result["pieces"] >= options.leave_after:
                 result["left"] = True
                 return
-            if slowS:
-                await asyncio.sleep(slowS)
-            piece = msgspec.json.decode(line[5:])
-            if "code" in piece:
-                result["code"], result["sentTo"] = piece["code"], piece.get("worker", "")
-                continue
-            if result["run"] not in ("", piece["run"]):
-                result["wrong"] = "piece of another run"
-            result["run"], result["call"] = piece["run"], piece["call"]
-            if piece.get("end"):
-                result["whole"], result["usage"], result["worker"] = (
-                    True,
-                    piece.get("usage", {}),
-                    piece.get("worker", ""),
-                )
-                result["waitedMs"] = piece.get("waitedMs", 0)
-                continue
-            if piece["text"] != f"[[{marker}]]{result['pieces']} ":
-                result["wrong"] = f"piece {piece['text'][:60]!r} where {result['pieces']} was due"
-            result["pieces"] += 1
+            if options.slow_s:
+                await asyncio.sleep(options.slow_s)
+            self._take_piece(msgspec.json.decode(line[5:]), marker, result)
+
+    @staticmethod
+    def _take_piece(piece, marker, result):
+        """Add one piece of a stream to the result, and check that it belongs there."""
+        if "code" in piece:
+            result["code"], result["sentTo"] = piece["code"], piece.get("worker", "")
+            return
+        if result["run"] not in ("", piece["run"]):
+            result["wrong"] = "piece of another run"
+        result["run"], result["call"] = piece["run"], piece["call"]
+        if piece.get("end"):
+            result["whole"], result["usage"] = True, piece.get("usage", {})
+            result["worker"] = piece.get("worker", "")
+            result["waitedMs"] = piece.get("waitedMs", 0)
+            return
+        if piece["text"] != f"[[{marker}]]{result['pieces']} ":
+            result["wrong"] = f"piece {piece['text'][:60]!r} where {result['pieces']} was due"
+        result["pieces"] += 1
 
     async def agent(self, tenant, route="check", turns=5, grow=800, gap=None):
-        """One conversation: each prompt extends the one before; gives how many turns were served."""
+        """One conversation, each prompt an extension of the last; returns the turns served."""
         talk = self._marker(tenant)
         parts = [self.book[route], f"case {talk} " + "x" * grow * 4]
         for turn in range(turns):
@@ -182,7 +187,7 @@
                 route,
                 parts,
                 idempotency=self._marker(tenant),
-                isLast=turn == turns - 1,
+                is_last=turn == turns - 1,
                 talk=talk,
                 turn=turn,
             )
@@ -197,12 +202,13 @@
         return turns
 
     async def insist(self, tenant, route, parts, **more):
-        """A call whose caller comes back with the same key, at another router, at once or seconds later, whatever it met.
+        """A call whose caller comes back with the same key, whatever it met.
 
-        Some have little patience: they leave after three seconds, and come back like the others.
+        It comes back at another router, at once or seconds later. Some have little patience: they
+        leave after three seconds, and come back like the others.
         """
         is_hasty = self.returns and self.random.random() < 0.15
-        got = await self.call(tenant, route, parts, **more | ({"timeoutS": 3} if is_hasty else {}))
+        got = await self.call(tenant, route, parts, **more | ({"timeout_s": 3} if is_hasty else {}))
         for _ in range(self.returns):
             if got["whole"] or got.get("left") or self.stopping:
                 break
@@ -210,10 +216,8 @@
             got = await self.call(tenant, route, got["parts"], **more | {"marker": got["marker"]})
         return got
 
-    returns = 0
-
     def _gap_s(self):
-        """The paper's gaps: two in five are zero, the median a second, the longest seven and a half."""
+        """The paper's gaps: two in five are zero, the median is 1 s, the longest 7.5 s."""
         draw = self.random.random()
         return 0.0 if draw < 0.386 else min(7.5, self.random.expovariate(1 / 1.6)) * self.scale
 
@@ -228,25 +232,27 @@
         """Short calls until told to stop, each on its own."""
         while not self.stopping:
             asyncio.ensure_future(
-                self.call(tenant, route, [self.book[route], "ad"], maxTokens=16, **self._manner())
+                self.call(tenant, route, [self.book[route], "ad"], max_tokens=16, **self._manner())
             )
             await asyncio.sleep(self.random.expovariate(1 / every_s))
 
     def _manner(self):
-        """How a caller behaves: most read a stream to its end, some take it whole, go away midway, or read slowly."""
+        """How a caller behaves: most read a stream to its end.
+
+        Some take it whole, go away midway, or read slowly.
+        """
         draw = self.random.random() if self.returns else 1.0
-        return (
-            {"stream": False}
-            if draw < 0.3
-            else {"leaveAfter": 0}
-            if draw < 0.35
-            else {"slowS": 0.3}
-            if draw < 0.4
-            else {}
-        )
+        if draw < 0.3:
+            return {"stream": False}
+        if draw < 0.35:
+            return {"leave_after": 0}
+        return {"slow_s": 0.3} if draw < 0.4 else {}
 
     async def kept(self, tenant, route="tag", every_s=1.0):
-        """Short calls over one connection that is kept alive for as long as its router lives, with the key of its first day."""
+        """Short calls over one connection, with the key of its first day.
+
+        The connection is kept alive for as long as its router lives.
+        """
         key, link, door = self.keys[tenant], None, ""
         while not self.stopping:
             if link is None or link.gone:
@@ -258,12 +264,12 @@
                     tenant,
                     route,
                     [self.book[route], "ad"],
-                    maxTokens=16,
+                    max_tokens=16,
                     key=key,
                     door=door,
                     link=link,
                     stream=False,
-                    timeoutS=60,
+                    timeout_s=60,
                 )
                 if got["status"] < 1 or got.get("gaveUp"):
                     link.close()
--- a/swiftdeck/bench/growth.py
+++ b/swiftdeck/bench/growth.py
@@ -1,4 +1,4 @@
-"""What a configuration of many routes costs on real processes: acknowledgements, and the longest stall of a loop."""
+"""What many routes cost on real processes: acknowledgements, and the longest stall of a loop."""
 
 import asyncio
 import time
@@ -30,7 +30,10 @@
 
 
 async def growth(fleet, routes, changes=12):
-    """Grow to so many routes, then make small changes: least, median and most time of an ack, and stalls by process."""
+    """Grow to so many routes, then make small changes.
+
+    Returns the least, median and most time of an acknowledgement, and stalls by process.
+    """
     await fleet.configure()
     version, model, grow_ms = 1, fleet.site.model, []
     for start in range(0, routes, STEP):
--- a/swiftdeck/bench/measure.py
+++ b/swiftdeck/bench/measure.py
@@ -53,7 +53,7 @@
 
 
 def failover(seed):
-    """Simulated seconds from a kill until the next call is served, and until the next change is acknowledged."""
+    """Simulated seconds from a kill to the next call served and the next change acknowledged."""
     for victim in ("keeper", "head", "middle", "tail", "worker", "router"):
         town = Town(seed, routers=9, workers=6).start(cap=8)
         town.world.run(12)
@@ -78,12 +78,14 @@
             "check",
             ["a", f"{town.world.now}"],
             idempotency=f"k{town.world.now}",
-            isLast=True,
+            is_last=True,
         )["whole"]:
             town.world.run(0.1)
         served_s, base = town.world.now - start_s, town.version
         for _ in range(8):
-            got = town.change("PATCH", {"models": {"screener": {"cap": 9}}}, base, changeId="after")
+            got = town.change(
+                "PATCH", {"models": {"screener": {"cap": 9}}}, base, change_id="after"
+            )
             if got and got[0] == 200:
                 break
         yield {
@@ -117,22 +119,23 @@
         town = Town(seed, routers=2, workers=2, speed=1.0).start(
             cap=8, idleMs=60000, fetches=how != "recompute"
         )
-        first = town.call("saga", "check", ["long " * 80000, "mine"], isLast=False)
+        first = town.call("saga", "check", ["long " * 80000, "mine"], is_last=False)
         town.world.run(2)
         if how == "store":
             town.world.kill(first["worker"])
         if how == "slow peer":
             town.up[first["worker"]].link_s = 30.0
 
-        async def leave():
-            (town.up["platform"].remove if how == "store" else town.up["platform"].drain)(
-                first["worker"]
-            )
+        platform = town.up["platform"]
+        leave = platform.remove if how == "store" else platform.drain
+
+        async def take_away(leave=leave, worker=first["worker"]):
+            leave(worker)
 
-        town.world.do("platform", leave)
+        town.world.do("platform", take_away)
         town.world.run(2)
         start_s = town.world.now
-        moved = town.call("saga", "check", [*first["parts"], "said", "next"], maxTokens=16)
+        moved = town.call("saga", "check", [*first["parts"], "said", "next"], max_tokens=16)
         yield {
             "from": how,
             "turnMs": int((town.world.now - start_s) * 1000),
@@ -163,7 +166,10 @@
 
 
 def warm(seed):
-    """The traffic of each site on caches that hold the shared texts and little more, placed by warmth and without it."""
+    """The traffic of each site on small caches, placed by warmth and without it.
+
+    The caches hold the shared texts and little more.
+    """
     for site in ("hinokuni", "serraria"):
         for how in ("by warmth", "without regard"):
             with contextlib.ExitStack() as stack:
@@ -181,7 +187,10 @@
 
 
 def day(seed):
-    """A day of once-only calls, one a second, in a core: memory, the whole state, what is written, and the longest rewrite."""
+    """A day of once-only calls, one a second, in a core.
+
+    Gives memory, the whole state, what is written, and the longest rewrite.
+    """
     for per_s in (0.1, 1.0, 2.0):
         tracemalloc.start()
         state, log, written, rewrites, longest_ms, limit = ChainState(), 0, 0, 0, 0.0, 1 << 20
--- a/swiftdeck/bench/record.py
+++ b/swiftdeck/bench/record.py
@@ -9,7 +9,9 @@
 class Sink(typing.Protocol):
     """Takes what a stand-in saw."""
 
-    def __call__(self, kind: str, **fields): ...
+    def __call__(self, kind: str, **fields):
+        """Take one record of a kind."""
+        ...
 
 
 def boot_ms() -> int:
@@ -21,9 +23,11 @@
     """Appends to a file."""
 
     def __init__(self, path, who):
-        self.file, self.who = open(path, "ab", buffering=0), who
+        self.who = who
+        self.file = open(path, "ab", buffering=0)  # noqa: SIM115 - open for as long as its process
 
     def __call__(self, kind: str, **fields):
+        """Append one record of a kind, at the time on the machine's clock."""
         self.file.write(
             msgspec.json.encode({"atMs": boot_ms(), "who": self.who, "kind": kind} | fields) + b"\n"
         )
@@ -36,6 +40,7 @@
         self.items, self.who, self.clock = items, who, clock
 
     def __call__(self, kind: str, **fields):
+        """Append one record of a kind, at the time on the given clock in seconds."""
         self.items.append(
             {"atMs": int(self.clock() * 1000), "who": self.who, "kind": kind} | fields
         )
--- a/swiftdeck/bench/thrash.py
+++ b/swiftdeck/bench/thrash.py
@@ -1,4 +1,4 @@
-"""The paper's effect on our own stand-in: growing conversations on a finite cache, with and without a cap."""
+"""Cache thrash on our own stand-in: growing conversations, with and without a cap."""
 
 import asyncio
 import random
@@ -38,7 +38,7 @@
 
 
 class Thrash:
-    """Many agents on one worker whose cache holds about twenty conversations of the paper's size."""
+    """Many agents on one worker whose cache holds about twenty conversations of that size."""
 
     def __init__(
         self, cap, seed, agents=32, seconds=1800.0, room=ROOM_TOKENS, adapts=False, routers=2
@@ -49,7 +49,7 @@
         self.finished = {}
 
     async def _agent(self, tenant, number):
-        """Conversations, each begun as the one before ends; what they are hangs on the seed and the agent alone."""
+        """Conversations one after another; they depend on the seed and the agent alone."""
         caller, rng, begun = self.town.caller, random.Random(f"{self.seed}/{number}"), 0
         while True:
             begun += 1
@@ -63,9 +63,9 @@
                         tenant,
                         "check",
                         parts,
-                        maxTokens=144,
-                        timeoutS=4000,
-                        isLast=at == len(turns) - 1,
+                        max_tokens=144,
+                        timeout_s=4000,
+                        is_last=at == len(turns) - 1,
                         door=turn.door,
                     )
                 )["whole"]:
--- a/swiftdeck/bench/worker.py
+++ b/swiftdeck/bench/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model worker: a finite prefix cache, dear prefill, cheap extension, and a record of what it ran."""
+"""A stand-in for a model worker: a finite prefix cache, costly prefill, cheap extension."""
 
 import asyncio
 import json
@@ -148,7 +148,7 @@
         )
 
     def prefill_s(self, total, new):
-        """Seconds to compute the last `new` of `total` tokens: the paper's times fitted by a square law."""
+        """Seconds to compute the last `new` of `total` tokens, by a fitted square law."""
         kept = (total - new) / 1000
         whole = total / 1000
         return (
--- a/swiftdeck/sim/storm.py
+++ b/swiftdeck/sim/storm.py
@@ -153,5 +153,5 @@
         caller, tenant = self.town.caller, self.injector.pick(self.town.site.keys)
         parts = [caller.book[route], "again"]
         self.town.spawn(
-            lambda: caller.call(tenant, route, parts, maxTokens=16, isLast=True, timeoutS=10)
+            lambda: caller.call(tenant, route, parts, max_tokens=16, is_last=True, timeout_s=10)
         )
--- a/swiftdeck/sim/town.py
+++ b/swiftdeck/sim/town.py
@@ -19,7 +19,7 @@
 
 
 class Town:
-    """Starts, breaks and mends the processes of a site in virtual time, and collects the records."""
+    """Starts the processes of a site in virtual time, and collects the records."""
 
     def __init__(
         self,
@@ -52,6 +52,7 @@
         )
 
     def record(self, who):
+        """The sink that takes what one stand-in saw."""
         return ListRecord(self.records, who, lambda: self.world.now)
 
     def _settings(self, node):
@@ -188,7 +189,7 @@
         }
 
     def counters(self):
-        """All counters of all processes that ever ran, and those of the routers' workers' lists and doors."""
+        """All counters of all processes that ever ran, with those of their HTTP servers."""
         return sum(
             (
                 Counter(node.counters())
@@ -202,22 +203,22 @@
         """The books of the present keeper."""
         return next(iter(self.up[self.keeper()].keepers.values())).books.table
 
-    def ask(self, method, path, body=None, name=None, headers=(), timeoutMs=15000):
+    def ask(self, method, path, body=None, name=None, headers=(), timeout_ms=15000):
         """An operator's exchange with a process."""
         name = name or self.core_names()[0]
         return self.world.do(
             "operator",
             lambda: fetch_json(
-                self.addresses[name]["http"], method, path, body, headers, timeoutMs
+                self.addresses[name]["http"], method, path, body, headers, timeout_ms
             ),
         )
 
-    def change(self, method, document, base=None, name=None, changeId=None):
-        """An operator's change on the newest version, recorded with what came back."""
+    def change(self, method, document, base=None, name=None, change_id=None):
+        """An operator's change on the newest version or on `base`, recorded with what came back."""
         name = name or self.core_names()[0]
         base = self.version if base is None else base
-        headers = [("change-id", changeId)] if changeId else []
-        askedMs = int(self.world.now * 1000)
+        headers = [("change-id", change_id)] if change_id else []
+        asked_ms = int(self.world.now * 1000)
         got = self.ask(method, f"/v1/config?base={base}", document, name, headers)
         if got and got[0] == 200:
             self.version = max(self.version, got[1]["version"])
@@ -228,7 +229,7 @@
             document=document,
             status=got[0] if got else 0,
             answer=got[1] if got else {},
-            askedMs=askedMs,
+            askedMs=asked_ms,
         )
         return got
 
@@ -239,7 +240,7 @@
         )
 
     def spawn(self, make):
-        """Run a coroutine of the callers beside all else; gives a list that will hold its result."""
+        """Run a coroutine of the callers beside all else; its result will be in the list."""
         box = []
 
         async def main():
--- a/tests/bench/test_thrash.py
+++ b/tests/bench/test_thrash.py
@@ -8,7 +8,7 @@
 
 class ThrashTest(unittest.TestCase):
     def asked(self, seed, delays_seed):
-        """For each agent what it asked, in order, while messages are delayed as another seed has it."""
+        """What each agent asked, in order, while messages are delayed by another seed."""
         thrash, asked = Thrash(3, seed, agents=3, seconds=25.0), defaultdict(list)
         start = thrash.town.start
 
@@ -23,7 +23,7 @@
                         tenant,
                         [part.partition(" [[")[0] for part in parts],
                         more["door"],
-                        more["isLast"],
+                        more["is_last"],
                     )
                 )
                 return call(tenant, route, parts, **more)
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -68,7 +68,7 @@
             (again["status"], again["waitedMs"], again["usage"]["hitParts"]), (200, 0, 2)
         )
         self.assertFalse(waiting)
-        last = town.call("saga", "check", [*again["parts"], "said", "end"], isLast=True)
+        last = town.call("saga", "check", [*again["parts"], "said", "end"], is_last=True)
         self.assertTrue(last["whole"])
         town.world.run(3)
         self.assertTrue(waiting and waiting[0]["whole"])
@@ -85,13 +85,13 @@
         large = [
             town.spawn(
                 lambda number=number: town.caller.call(
-                    "chikugo", "check", ["b", str(number)], isLast=True, maxTokens=320
+                    "chikugo", "check", ["b", str(number)], is_last=True, max_tokens=320
                 )
             )
             for number in range(12)
         ]
         town.world.run(0.3)
-        small = town.spawn(lambda: town.caller.call("saga", "check", ["b", "small"], isLast=True))
+        small = town.spawn(lambda: town.caller.call("saga", "check", ["b", "small"], is_last=True))
         town.world.run(until=lambda: small, limit_s=60)
         self.assertLessEqual(sum(bool(each) for each in large), 3)
         self.assertTrue(small[0]["whole"])
@@ -133,7 +133,7 @@
         victim = next(name for name in town.router_names() if name != keeper)
         town.spawn(
             lambda: town.caller.call(
-                "saga", "check", ["b", "x"], maxTokens=20000, door=town.addresses[victim]["http"]
+                "saga", "check", ["b", "x"], max_tokens=20000, door=town.addresses[victim]["http"]
             )
         )
         town.world.run(1)
@@ -166,8 +166,8 @@
                     "saga",
                     "check",
                     ["b", str(number)],
-                    isLast=True,
-                    maxTokens=12000,
+                    is_last=True,
+                    max_tokens=12000,
                     door=town.addresses[name]["http"],
                 )
             )
@@ -228,8 +228,8 @@
                         "saga",
                         "check",
                         ["b", str(number)],
-                        maxTokens=20000,
-                        timeoutS=600,
+                        max_tokens=20000,
+                        timeout_s=600,
                         door=doors[number],
                     )
                 )
@@ -248,7 +248,7 @@
                 "cut": lambda: town.world.net.cut([ip], others),
             }[how]()
             at_s = town.world.now
-            start = town.spawn(lambda: town.caller.call("oita", "check", ["b", "new"], timeoutS=5))
+            start = town.spawn(lambda: town.caller.call("oita", "check", ["b", "new"], timeout_s=5))
             town.world.run(until=lambda: town.keeper() not in (None, old), limit_s=20)
             self.assertLess(town.world.now - at_s, 12, how)
             town.world.run(1)
@@ -275,7 +275,7 @@
             doors = [town.addresses[name]["http"] for name in town.router_names() if name != old]
             long = town.spawn(
                 lambda: town.caller.call(
-                    "saga", "check", ["b", "long"], isLast=True, maxTokens=4800, door=doors[0]
+                    "saga", "check", ["b", "long"], is_last=True, max_tokens=4800, door=doors[0]
                 )
             )
             town.world.run(1)
@@ -283,7 +283,7 @@
             for at, tenant in enumerate(order):
                 town.spawn(
                     lambda tenant=tenant, at=at: town.caller.call(
-                        tenant, "check", ["b", tenant], isLast=True, door=doors[at % 3]
+                        tenant, "check", ["b", tenant], is_last=True, door=doors[at % 3]
                     )
                 )
                 town.world.run(0.23)
@@ -311,7 +311,7 @@
         others = [
             town.spawn(
                 lambda: town.caller.call(
-                    "oita", "check", ["b", "z"], isLast=True, door=doors["keeper"]
+                    "oita", "check", ["b", "z"], is_last=True, door=doors["keeper"]
                 )
             )
         ]
@@ -342,7 +342,7 @@
                     "saga",
                     "check",
                     [*talk["parts"], "said", "end"],
-                    isLast=True,
+                    is_last=True,
                     door=doors["keeper"],
                 )
         town.world.run(until=lambda: late and others[0], limit_s=60)
@@ -377,7 +377,7 @@
         name = next(name for name in town.router_names() if town.addresses[name]["http"] == frozen)
         first = town.spawn(
             lambda: town.caller.call(
-                "saga", "check", ["b", "x"], isLast=True, maxTokens=800, door=door
+                "saga", "check", ["b", "x"], is_last=True, max_tokens=800, door=door
             )
         )
         town.world.run(0.5)
@@ -389,7 +389,7 @@
         town.world.run(until=lambda: first, limit_s=60)
         town.world.run(5)
         long = town.spawn(
-            lambda: town.caller.call("saga", "check", ["b", "z"], maxTokens=8000, door=other)
+            lambda: town.caller.call("saga", "check", ["b", "z"], max_tokens=8000, door=other)
         )
         town.world.run(2)
         self.assertEqual(self.open(town), 1)
@@ -429,14 +429,14 @@
                     "check",
                     ["b", "y"],
                     idempotency="k",
-                    maxTokens=3200,
+                    max_tokens=3200,
                     door=town.addresses[name]["http"],
                 )
             )
             town.world.run(6)
             long = town.spawn(
                 lambda: town.caller.call(
-                    "saga", "check", ["b", "z"], maxTokens=3200, door=town.addresses[other]["http"]
+                    "saga", "check", ["b", "z"], max_tokens=3200, door=town.addresses[other]["http"]
                 )
             )
             town.world.run(1)
@@ -456,7 +456,7 @@
         self.assertEqual(sorted(len(book.open) for book in town.books().values()), [2, 2])
         stream = town.spawn(
             lambda: town.caller.call(
-                "saga", "check", [*talks[0]["parts"], "a", "b"], maxTokens=4000
+                "saga", "check", [*talks[0]["parts"], "a", "b"], max_tokens=4000
             )
         )
         town.world.run(0.5)
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -74,9 +74,9 @@
                     "oita",
                     "check",
                     ["b", "long"],
-                    isLast=True,
+                    is_last=True,
                     door=other,
-                    maxTokens=1 if is_granted else 300,
+                    max_tokens=1 if is_granted else 300,
                 )
             )
             town.world.run(0.8 if is_granted else 0.3)
@@ -131,7 +131,7 @@
         warm = town.call("saga", "tag", ["book", "0"])["worker"]
         town.up[warm].quirk = "die midway"
         got = [
-            town.call("saga", "tag", ["book", str(number)], stream=False, maxTokens=64)
+            town.call("saga", "tag", ["book", str(number)], stream=False, max_tokens=64)
             for number in range(3)
         ]
         self.assertEqual({each["status"] for each in got}, {200})
@@ -315,7 +315,7 @@
             return TIMED_OUT if lost and lost.pop() else take(router, call, attempt, grant, asked_s)
 
         with mock.patch.object(Router, "take_grant", loses):
-            self.assertTrue(town.call("saga", "check", ["book", "x"], maxTokens=16)["whole"])
+            self.assertTrue(town.call("saga", "check", ["book", "x"], max_tokens=16)["whole"])
         self.assertEqual((lost, sum(len(book.open) for book in town.books().values())), ([], 1))
 
     def test_extra_tries_of_all_models_together_stay_within_one_allowance(self):
@@ -337,7 +337,7 @@
         box = [
             town.spawn(
                 lambda route=route: town.caller.call(
-                    "saga", route, ["book", "x"], stream=False, maxTokens=16
+                    "saga", route, ["book", "x"], stream=False, max_tokens=16
                 )
             )
             for route in ("tag", "ad") * 4
@@ -527,7 +527,7 @@
         door = town.addresses[other]["http"]
         first = town.spawn(
             lambda: town.caller.call(
-                "saga", "check", ["book", "a"], maxTokens=2000, door=town.addresses[keeper]["http"]
+                "saga", "check", ["book", "a"], max_tokens=2000, door=town.addresses[keeper]["http"]
             )
         )
         town.world.run(0.5)
--- a/tests/cases/config.py
+++ b/tests/cases/config.py
@@ -44,7 +44,7 @@
         """Send one change again and again under one id until it is acknowledged; gives how long that took."""
         base, start_s = town.version, town.world.now
         for _ in range(10):
-            got = town.change("PATCH", self.cap(number), base, name, changeId=f"insist-{number}")
+            got = town.change("PATCH", self.cap(number), base, name, change_id=f"insist-{number}")
             if got and got[0] == 200:
                 return town.world.now - start_s
             self.assertNotIn(got[0] if got else 0, (409, 422), got)
@@ -62,10 +62,13 @@
         invalid = town.change("PATCH", {"routes": {"check": {"model": "nobody"}}})
         self.assertEqual((invalid[0], invalid[1]["code"]), (422, INVALID.code))
         self.assertIn("$.routes.check.model", invalid[1]["reason"])
-        self.assertEqual(town.change("PATCH", self.cap(7), changeId="one")[1]["version"], 2)
-        self.assertEqual(town.change("PATCH", self.cap(7), base=1, changeId="one")[1]["version"], 2)
+        self.assertEqual(town.change("PATCH", self.cap(7), change_id="one")[1]["version"], 2)
         self.assertEqual(
-            town.change("PATCH", self.cap(8), base=1, changeId="one")[1]["code"], REUSED_CHANGE.code
+            town.change("PATCH", self.cap(7), base=1, change_id="one")[1]["version"], 2
+        )
+        self.assertEqual(
+            town.change("PATCH", self.cap(8), base=1, change_id="one")[1]["code"],
+            REUSED_CHANGE.code,
         )
         version, document = (
             town.ask("GET", "/v1/config")[1][name] for name in ("version", "document")
@@ -436,10 +439,10 @@
         door = next(name for name in town.core_names() if name != head)
         head_ip = town.addresses[head]["inner"].rpartition(":")[0]
         town.world.net.cut([head_ip], [ip for ip in lost if ip != head_ip], both=False)
-        got = town.change("PATCH", self.cap(19), name=door, changeId="late")
+        got = town.change("PATCH", self.cap(19), name=door, change_id="late")
         town.world.net.heal()
         town.world.run(6)
-        again = town.change("PATCH", self.cap(19), base=1, name=door, changeId="late")
+        again = town.change("PATCH", self.cap(19), base=1, name=door, change_id="late")
         if got[0] != 200:
             self.assertEqual(got[1]["code"], UNDECIDED.code)
         self.assertEqual((again[0], again[1]["version"]), (200, 2))
@@ -527,7 +530,7 @@
     def test_a_key_that_is_taken_while_its_call_waits_ends_the_call_at_once(self):
         town = self.town(routers=2, workers=1)
         self.assertEqual(town.change("PATCH", self.cap(1))[0], 200)
-        town.spawn(lambda: town.caller.call("oita", "check", ["b", "long"], maxTokens=6400))
+        town.spawn(lambda: town.caller.call("oita", "check", ["b", "long"], max_tokens=6400))
         town.world.run(1)
         box = town.spawn(lambda: town.caller.call("saga", "check", ["b", "x"]))
         town.world.run(1)
--- a/tests/cases/cores.py
+++ b/tests/cases/cores.py
@@ -66,7 +66,7 @@
         """Send one change until it is acknowledged; gives how long that took."""
         base, start_s = town.version, town.world.now
         for _ in range(20):
-            got = town.change("PATCH", self.cap(number), base, name, changeId=f"insist-{number}")
+            got = town.change("PATCH", self.cap(number), base, name, change_id=f"insist-{number}")
             if got and got[0] == 200:
                 return town.world.now - start_s
             self.assertNotIn(got[0] if got else 0, (409, 422), got)
@@ -216,7 +216,7 @@
         town = self.started()
         self.lose(town, ["core3", "core4", "core5"])
         self.assertNotEqual(
-            town.change("PATCH", self.cap(10), name="core1", changeId="insist-10")[0], 200
+            town.change("PATCH", self.cap(10), name="core1", change_id="insist-10")[0], 200
         )
         for name in ("core3", "core4"):
             town.start_core(name)
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -35,7 +35,7 @@
         waiting = town.spawn(lambda: town.caller.call("oita", "check", ["b", "other"]))
         self.assertEqual(town.change("PATCH", {"models": {"screener": {"weights": "w2"}}})[0], 200)
         town.world.run(3)
-        again = town.call("saga", "check", [*got["parts"], "said", "more"], isLast=True)
+        again = town.call("saga", "check", [*got["parts"], "said", "more"], is_last=True)
         self.assertEqual(
             (again["whole"], again["waitedMs"], again["usage"]["hitParts"]), (True, 0, 0)
         )
@@ -117,7 +117,7 @@
         town.start_worker("worker1", weights="w1", load_s=4.0)
         got = []
         for number in range(20):
-            got.append(town.call("saga", "check", ["b", str(number)], isLast=True))
+            got.append(town.call("saga", "check", ["b", str(number)], is_last=True))
         self.assertTrue(all(each["whole"] for each in got))
         self.assertFalse([item for item in town.records if item["kind"] == "refused"])
         town.world.run(6)
