--- a/tests/bench/test_checker.py
+++ b/tests/bench/test_checker.py
@@ -51,18 +51,18 @@
             *self.served(50, "1", "r-1", talk="t", turn=0),
         ]
 
-    def served(self, atMs, marker, run, **more):
+    def served(self, at_ms, marker, run, **more):
         """The lines of one call that is served whole."""
         call = run.split("-")[0]
         return [
-            self.try_(atMs, marker, **more),
-            self.run_(atMs + 10, run=run, call=call, marker=marker),
-            self.line(atMs + 11, "w", "prefill", {"run": run, "origins": [["a", "w1"]]}),
+            self.try_(at_ms, marker, **more),
+            self.run_(at_ms + 10, run=run, call=call, marker=marker),
+            self.line(at_ms + 11, "w", "prefill", {"run": run, "origins": [["a", "w1"]]}),
             self.line(
-                atMs + 40, "w", "ran", {"run": run, "call": call, "marker": marker, "whole": True}
+                at_ms + 40, "w", "ran", {"run": run, "call": call, "marker": marker, "whole": True}
             ),
             self.back(
-                atMs + 45,
+                at_ms + 45,
                 marker,
                 run=run,
                 call=call,
@@ -74,12 +74,12 @@
         ]
 
     @staticmethod
-    def line(atMs, who, kind, fields):
-        return {"atMs": atMs, "who": who, "kind": kind} | fields
+    def line(at_ms, who, kind, fields):
+        return {"atMs": at_ms, "who": who, "kind": kind} | fields
 
-    def try_(self, atMs, marker, **fields):
+    def try_(self, at_ms, marker, **fields):
         return self.line(
-            atMs,
+            at_ms,
             "caller",
             "try",
             {
@@ -95,9 +95,9 @@
             | fields,
         )
 
-    def run_(self, atMs, who="w", **fields):
+    def run_(self, at_ms, who="w", **fields):
         return self.line(
-            atMs,
+            at_ms,
             who,
             "run",
             {
@@ -112,9 +112,9 @@
             | fields,
         )
 
-    def back(self, atMs, marker="1", **fields):
+    def back(self, at_ms, marker="1", **fields):
         return self.line(
-            atMs,
+            at_ms,
             "caller",
             "return",
             {
@@ -132,9 +132,9 @@
             | fields,
         )
 
-    def ack(self, atMs, status=200, version=2, askedMs=None, **fields):
+    def ack(self, at_ms, status=200, version=2, asked_ms=None, **fields):
         return self.line(
-            atMs,
+            at_ms,
             "operator",
             "change",
             {
@@ -142,14 +142,14 @@
                 "document": {},
                 "method": "PATCH",
                 "answer": {"version": version, "changeId": f"c{version}"},
-                "askedMs": atMs - 10 if askedMs is None else askedMs,
+                "askedMs": at_ms - 10 if asked_ms is None else asked_ms,
             }
             | fields,
         )
 
-    def read(self, atMs, **fields):
+    def read(self, at_ms, **fields):
         return self.line(
-            atMs, "operator", "read", {"status": 200, "version": 1, "askedMs": atMs - 50} | fields
+            at_ms, "operator", "read", {"status": 200, "version": 1, "askedMs": at_ms - 50} | fields
         )
 
     def found(self, *lines):
@@ -196,7 +196,7 @@
             ],
             "read_back_whole": [
                 [self.read(300, document={"models": {}})],
-                [self.ack(95_200, askedMs=95_100)],
+                [self.ack(95_200, asked_ms=95_100)],
                 [
                     self.ack(100, document={"models": {"m": {"cap": 3}}}),
                     self.read(300, version=2, document=self.DOCUMENT),
@@ -205,7 +205,7 @@
             "ack_is_quick": [
                 [
                     self.line(0, "operator", "quiet", {"untilMs": 9000}),
-                    self.ack(4000, askedMs=1900),
+                    self.ack(4000, asked_ms=1900),
                 ],
                 [self.line(0, "operator", "quiet", {"untilMs": 9000}), self.ack(2000, 504)],
             ],
