--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -5,8 +5,6 @@
 import multiprocessing
 import random
 import signal
-import traceback
-from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 from typing import Annotated
@@ -23,10 +21,14 @@
 from swiftdeck.bench.scale.parts import parts
 from swiftdeck.bench.scale.table import FLEET_COLUMNS, PART_COLUMNS, table
 from swiftdeck.bench.store import Store
+from swiftdeck.bench.sweep import Sweep, run_measure
 from swiftdeck.bench.worker import Worker
 from swiftdeck.programs.loop import BootLoop, run_until_signal
-from swiftdeck.sim.faults.scenarios import EXPECTED_COUNTERS, SCENARIOS, unexercised
-from swiftdeck.sim.storm import Storm
+from swiftdeck.sim.faults.scenarios import SCENARIOS
+
+GROWTH_ROUTES = [0, 1000, 5000]
+FLEET_ROUTERS = [25, 50, 100, 200]
+FLEET_CORES = [3]
 
 app = typer.Typer(
     no_args_is_help=True,
@@ -38,21 +40,6 @@
 RecordFile = Annotated[str, typer.Option(help="File that takes what the stand-in saw.")]
 
 
-SEEDS_TO_EXERCISE = 8
-
-
-def run_storm(work):
-    """One seed of a scenario: what came of it, and its faults."""
-    storm = Storm(*work)
-    try:
-        return storm.run(), storm.trace
-    except Exception:
-        return {
-            "seed": work[1],
-            "breaches": {"crashed": traceback.format_exc()[-1500:]},
-        }, storm.trace
-
-
 def _serve(part):
     async def stop():
         part.http.stop()
@@ -171,37 +158,17 @@
     jobs: Annotated[int, typer.Option(help="Seeds at a time, each in a process of its own.")] = 4,
     trace: Annotated[bool, typer.Option(help="Show the faults of each seed.")] = False,
 ):
-    """Sweep scenarios of faults over seeds in virtual time; the status is 1 when a rule was broken."""
+    """Sweep scenarios of faults over seeds in virtual time.
+
+    The status is 1 when a rule was broken.
+    """
     names = sorted(SCENARIOS) if scenario == "all" else [scenario]
     if not set(names) <= set(SCENARIOS):
         typer.echo(f"scenarios: {', '.join(sorted(SCENARIOS))}", err=True)
         raise typer.Exit(2)
-    work = [(name, number, seconds) for name in names for number in range(seed, seed + seeds)]
-    broken, sums, acts = 0, Counter(), {name: Counter() for name in names}
-    with ProcessPoolExecutor(jobs) as pool:
-        for (name, number, _), (got, faults) in zip(work, pool.map(run_storm, work), strict=False):
-            broken += bool(got["breaches"])
-            acts[name].update(got.pop("acts", {}))
-            sums.update({key: got.get(key, 0) for key in ("faults", "returns", "served", "runs")})
-            if got["breaches"] or trace or len(work) <= 5:
-                typer.echo(json.dumps({"scenario": name} | got))
-                for at_s, what in faults:
-                    if trace:
-                        typer.echo(f"  {at_s} {what}")
-    typer.echo(json.dumps({"seeds": len(work), "broken": broken} | sums))
-    for name in names if seeds >= SEEDS_TO_EXERCISE else []:
-        typer.echo(
-            json.dumps(
-                {
-                    "scenario": name,
-                    "acts": {each: acts[name][each] for each in EXPECTED_COUNTERS[name]},
-                }
-            )
-        )
-    unexercised_in = [
-        name for name in names if seeds >= SEEDS_TO_EXERCISE and unexercised(name, acts[name])
-    ]
-    raise typer.Exit(1 if broken or unexercised_in else 0)
+    sweep = Sweep(names, range(seed, seed + seeds), seconds)
+    sweep.run(jobs, trace, typer.echo)
+    raise typer.Exit(0 if sweep.is_clean() else 1)
 
 
 @app.command("growth")
@@ -209,7 +176,7 @@
     folder: Annotated[str, typer.Option(help="Folder for data, records and logs.")],
     routes: Annotated[
         list[int], typer.Option(help="How many routes; may be given several times.")
-    ] = [0, 1000, 5000],
+    ] = GROWTH_ROUTES,
     base_port: int = 22000,
 ):
     """Measure acknowledgements and stalls on real processes, with configurations of many routes."""
@@ -223,12 +190,6 @@
             it.stop_all()
 
 
-def run_measure(work):
-    """One measurement under one seed."""
-    name, seed = work
-    return list(MEASURES[name](seed))
-
-
 @app.command()
 def measure(
     name: Annotated[
@@ -242,12 +203,10 @@
     if name not in MEASURES:
         typer.echo(f"measures: {', '.join(sorted(MEASURES))}", err=True)
         raise typer.Exit(2)
+    seeds_run = range(seed, seed + seeds)
     with ProcessPoolExecutor(jobs) as pool:
-        for number, rows in zip(
-            range(seed, seed + seeds),
-            pool.map(run_measure, [(name, each) for each in range(seed, seed + seeds)]),
-            strict=False,
-        ):
+        results = pool.map(run_measure, [(name, each) for each in seeds_run])
+        for number, rows in zip(seeds_run, results, strict=False):
             for row in rows:
                 typer.echo(json.dumps({"seed": number} | row))
 
@@ -259,10 +218,10 @@
     ] = "fleet",
     routers: Annotated[
         list[int], typer.Option(help="How many routers; may be given several times.")
-    ] = [25, 50, 100, 200],
+    ] = FLEET_ROUTERS,
     cores: Annotated[
         list[int], typer.Option(help="How many cores; may be given several times.")
-    ] = [3],
+    ] = FLEET_CORES,
     workers_each: Annotated[float, typer.Option(help="Workers for each router.")] = WORKERS_EACH,
     seconds: Annotated[float, typer.Option(help="Simulated time that is measured.")] = 4.0,
     seed: int = 1,
