--- a/swiftdeck/config/configuration.py
+++ b/swiftdeck/config/configuration.py
@@ -1,4 +1,4 @@
-"""A configuration in force: its entries as they were given, checked, with a digest that each change carries on."""
+"""A configuration in force: its checked entries, with a digest that each change carries on."""
 
 import hashlib
 
@@ -40,12 +40,18 @@
 
 
 def _changes(held, part):
-    """The entries that a table's part of a change touches: the part, none for a table that goes, or a pair with an order."""
+    """The entries that a table's part of a change touches.
+
+    The part is a map of entries, none for a table that goes, or a pair of entries and an order.
+    """
     return dict.fromkeys(held) if part is None else part if isinstance(part, dict) else part[0]
 
 
 def _difference(held, part):
-    """A table's part of a change that makes it another one: its changes, with the names in order where that differs too."""
+    """The part of a change that makes a table another one.
+
+    It holds the entries that differ, with the names in order where that differs too.
+    """
     changes = {name: None for name in held if name not in part} | {
         name: entry for name, entry in part.items() if name not in held or held[name] != entry
     }
@@ -131,7 +137,10 @@
         return self._checked(delta)
 
     def replace(self, tables: dict, ensure: dict):
-        """The entries in which whole tables differ, and those to be there that aren't, or a fault; other tables stay."""
+        """The entries in which whole tables differ, and those to be there that aren't, or a fault.
+
+        Other tables stay.
+        """
         wrong = next(
             (
                 table
@@ -156,7 +165,7 @@
         )
 
     def items(self, tables: dict, ensure: dict):
-        """The entries that are put or removed whole, and those to be there that aren't, or a fault."""
+        """The entries put or removed whole, and those to be there that aren't, or a fault."""
         wrong = next((table for table, part in tables.items() if not isinstance(part, dict)), None)
         if wrong is not None:
             return INVALID.because(f"$.{wrong}: expected an object")
@@ -200,7 +209,7 @@
         return delta if first is None else INVALID.because(first)
 
     def apply(self, delta: dict) -> "Configuration":
-        """The configuration after a checked change: entries as they will be, or none where they go."""
+        """The configuration after a checked change; an entry of None is removed."""
         if delta is self._next[0]:
             return self._next[1]
         raws, typed, mark, size = dict(self.raws), {}, self.mark, self.size
--- a/swiftdeck/config/document.py
+++ b/swiftdeck/config/document.py
@@ -30,7 +30,10 @@
 
 
 class Tenant(msgspec.Struct, forbid_unknown_fields=True):
-    """Who may call, by digests of keys, whether its prefixes are kept apart, and its rank, 0 the highest."""
+    """Who may call, by digests of keys, whether its prefixes are kept apart, and its rank.
+
+    Rank 0 is the highest.
+    """
 
     keys: list[Annotated[str, msgspec.Meta(pattern=r"^sha256:[0-9a-f]{64}$")]] = []
     apart: bool = False
@@ -103,9 +106,11 @@
 
 
 class Edition(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
-    """The operator's own number of the configuration, whether callers need a tenant's key, and how often tenants were set apart.
+    """The operator's own number of the configuration, and what holds for all callers.
 
-    What a tenant made before it was set apart lies among what all share; `walls` goes up with it and names other prefixes for all.
+    `keyed` says whether callers need a tenant's key, `walls` how often tenants were set apart:
+    what a tenant made before that lies among what all share, so `walls` goes up with each and
+    names other prefixes for all.
     """
 
     number: Amount
@@ -115,7 +120,7 @@
 
 
 class Document(msgspec.Struct, forbid_unknown_fields=True):
-    """A whole configuration; `told` in an entry is what its operator sent for it, kept as it came."""
+    """A whole configuration; `told` in an entry is what its operator sent for it, unchanged."""
 
     models: dict[Name, Model] = {}
     tenants: dict[Name, Tenant] = {}
@@ -163,11 +168,10 @@
             if not sum([backing.share for backing in path.services])
         )
         seen = {}
-        yield from (
-            f"$.paths.{name}.prefix: host and prefix are also of path `{seen[path.host, path.prefix]}`"
-            for name, path in self.paths.items()
-            if seen.setdefault((path.host, path.prefix), name) != name
-        )
+        for name, path in self.paths.items():
+            first = seen.setdefault((path.host, path.prefix), name)
+            if first != name:
+                yield f"$.paths.{name}.prefix: host and prefix are also of path `{first}`"
 
 
 def told(error, path):
--- a/swiftdeck/config/settings.py
+++ b/swiftdeck/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a process: a TOML file or flags, checked, with a default for each but the addresses."""
+"""The settings of a process: a TOML file or flags, checked, with defaults for all but addresses."""
 
 import ipaddress
 import tomllib
--- a/swiftdeck/duty/ballots.py
+++ b/swiftdeck/duty/ballots.py
@@ -34,11 +34,13 @@
         self.was_voter = self.agreement.is_voter()
 
     def on_view(self, view):
+        """Cast no vote for one lease after this core became a voter."""
         if self.agreement.is_voter() and not self.was_voter:
             self.quiet_until_s = self.loop.time() + self.lease_ms / 1000
         self.was_voter = self.agreement.is_voter()
 
     def on_nominate(self, ask, sender):
+        """Answer a candidate: a vote, or a fault when this core may not vote in that view."""
         now_s, held = self.loop.time(), self.casts.get(ask.duty)
         if not self.agreement.is_voter():
             return NOT_VOTER
--- a/swiftdeck/duty/duty.py
+++ b/swiftdeck/duty/duty.py
@@ -8,7 +8,10 @@
 
 
 class Duty:
-    """Stands for a duty whenever it is vacant, and renews it while held; a term that has lapsed is never renewed."""
+    """Stands for a duty whenever it is vacant, and renews it while held.
+
+    A term that has lapsed is never renewed: the duty is then won again under a higher term.
+    """
 
     def __init__(self, name, me, mesh, news, cluster_map, random, lease_ms=3000, board=None):
         self.name, self.me, self.mesh, self.news, self.cluster_map = (
@@ -60,7 +63,7 @@
         await asyncio.sleep(min(max(left_ms, 100), 1000) / 1000 + self.random.uniform(0.02, 0.4))
 
     async def _ask(self, term, release=False):
-        view, sentS = self.cluster_map.view, self.loop.time()
+        view, sent_s = self.cluster_map.view, self.loop.time()
         ask = Nominate(
             view=view.number,
             duty=self.name,
@@ -77,7 +80,7 @@
         self.seen_term = max([self.seen_term, *(vote.term for vote in votes)])
         won = sum(vote.granted for vote in votes) * 2 > len(view.voters) > 0
         if won and not release and (term > self.term or self.is_held()):
-            self.until_s = sentS + self.lease_ms / 1000 * 0.95
+            self.until_s = sent_s + self.lease_ms / 1000 * 0.95
         return won, votes
 
     async def hand_back(self):
--- a/swiftdeck/programs/deck.py
+++ b/swiftdeck/programs/deck.py
@@ -1,6 +1,7 @@
 """The command line of swiftdeck."""
 
 import asyncio
+import contextlib
 import difflib
 import random
 import sys
@@ -24,7 +25,8 @@
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
-    help="A fleet of routers that admits long conversations by what workers can keep in their KV cache.",
+    help="A fleet of routers that admits long conversations by what workers can keep "
+    "in their KV cache.",
 )
 ctl = typer.Typer(no_args_is_help=True, help="Drive the fleet through any core.")
 app.add_typer(ctl, name="ctl")
@@ -42,6 +44,9 @@
     typer.Option("--seed", help="Inner IP:PORT of another process; give three."),
 ]
 Zone = Annotated[str | None, typer.Option(help="Zone of the machine.")]
+ShownKey = Annotated[
+    str | None, typer.Option("--operatorKey", help="Key that operators must show.")
+]
 Level = Annotated[str, typer.Option(help="debug, info, warning or error.")]
 Door = Annotated[
     str, typer.Option("--core", envvar="SWIFTDECK_CORE", help="HTTP IP:PORT of a core.")
@@ -60,6 +65,8 @@
 
 
 def _seeds_again(path, flags, node, log):
+    """A function that reads the seeds anew from the settings and tells a node."""
+
     def again():
         settings = read_settings(path, flags)
         if is_fault(settings):
@@ -80,10 +87,13 @@
     seed: Seeds = None,
     zone: Zone = None,
     data: Annotated[str | None, typer.Option(help="Data folder.")] = None,
-    operatorKey: Annotated[str | None, typer.Option(help="Key that operators must show.")] = None,
+    operator_key: ShownKey = None,
     level: Level = "info",
 ):
-    """Run a core: a member of the chain, with a data folder. SIGHUP reads the seeds anew, SIGTERM ends it."""
+    """Run a core: a member of the chain, with a data folder.
+
+    SIGHUP reads the seeds anew, SIGTERM ends it.
+    """
     flags = {
         "name": name,
         "inner": inner,
@@ -91,7 +101,7 @@
         "seeds": seed,
         "zone": zone,
         "dataFolder": data,
-        "operatorKey": operatorKey,
+        "operatorKey": operator_key,
     }
     checked = _settings(settings, flags)
     if not checked.dataFolder:
@@ -102,7 +112,7 @@
         folder = DataFolder(checked.dataFolder)
     except OSError as error:
         typer.echo(f"fault 304 disk failed: {error}", err=True)
-        raise typer.Exit(1)
+        raise typer.Exit(1) from error
     box = []
 
     async def start():
@@ -126,10 +136,13 @@
     zone: Zone = None,
     platform: Annotated[str | None, typer.Option(help="IP:PORT of the platform's list.")] = None,
     store: Annotated[str | None, typer.Option(help="IP:PORT of the store of prefixes.")] = None,
-    operatorKey: Annotated[str | None, typer.Option(help="Key that operators must show.")] = None,
+    operator_key: ShownKey = None,
     level: Level = "info",
 ):
-    """Run a router: callers' HTTP and attempts towards workers. SIGHUP reads the seeds anew, SIGTERM drains."""
+    """Run a router: callers' HTTP and attempts towards workers.
+
+    SIGHUP reads the seeds anew, SIGTERM drains.
+    """
     flags = {
         "name": name,
         "inner": inner,
@@ -138,7 +151,7 @@
         "zone": zone,
         "platform": platform,
         "store": store,
-        "operatorKey": operatorKey,
+        "operatorKey": operator_key,
     }
     checked = _settings(settings, flags)
     log = make_log(checked.name, level)
@@ -172,16 +185,16 @@
         return msgspec.json.decode(data)
     except (OSError, msgspec.DecodeError, UnicodeDecodeError) as error:
         typer.echo(f"fault 201 configuration is invalid: {file}: {error}", err=True)
-        raise typer.Exit(2)
+        raise typer.Exit(2) from error
 
 
-def _change(method, file, base, changeId, author, door, operator):
+def _change(method, file, base, change_id, author, door, operator):
     client, document = OperatorClient(door, operator), _read(file)
     _show(
         asyncio.run(
-            client.change_newest(method, lambda _: document, changeId, author)
+            client.change_newest(method, lambda _: document, change_id, author)
             if base is None
-            else client.change(method, document, base, changeId, author)
+            else client.change(method, document, base, change_id, author)
         )
     )
 
@@ -191,7 +204,8 @@
     int | None, typer.Option(help="Version that the change builds on; default: the newest.")
 ]
 ChangeId = Annotated[
-    str, typer.Option(help="Id of the change; say it again to repeat a change safely.")
+    str,
+    typer.Option("--changeId", help="Id of the change; say it again to repeat a change safely."),
 ]
 Author = Annotated[str, typer.Option(help="Who asks for the change.")]
 
@@ -200,94 +214,97 @@
 def put(
     file: File,
     base: Base = None,
-    changeId: ChangeId = "",
+    change_id: ChangeId = "",
     author: Author = "",
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
 ):
     """Put a whole configuration; returns once it is in force."""
-    _change("PUT", file, base, changeId, author, core, operatorKey)
+    _change("PUT", file, base, change_id, author, core, operator_key)
 
 
 @ctl.command()
 def patch(
     file: File,
     base: Base = None,
-    changeId: ChangeId = "",
+    change_id: ChangeId = "",
     author: Author = "",
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
 ):
     """Put a partial configuration (JSON merge patch); returns once it is in force."""
-    _change("PATCH", file, base, changeId, author, core, operatorKey)
+    _change("PATCH", file, base, change_id, author, core, operator_key)
 
 
 @ctl.command()
-def get(core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
+def get(core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
     """Read the configuration back, with its version."""
-    _show(asyncio.run(OperatorClient(core, operatorKey).ask("GET", "/v1/config")))
+    _show(asyncio.run(OperatorClient(core, operator_key).ask("GET", "/v1/config")))
 
 
 @ctl.command()
-def changes(file: File, core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
+def changes(file: File, core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
     """Send a stream of changes (NDJSON) in; an answer line comes out for each."""
-    lines = sys.stdin.buffer if file == "-" else open(file, "rb")
-    raise typer.Exit(asyncio.run(OperatorClient(core, operatorKey).stream(lines, typer.echo)))
+    client = OperatorClient(core, operator_key)
+    with contextlib.ExitStack() as stack:
+        lines = sys.stdin.buffer if file == "-" else stack.enter_context(open(file, "rb"))
+        status = asyncio.run(client.stream(lines, typer.echo))
+    raise typer.Exit(status)
 
 
 @ctl.command()
 def change(
-    changeId: Annotated[str, typer.Argument(help="Id of the change.")],
+    change_id: Annotated[str, typer.Argument(help="Id of the change.")],
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
 ):
     """Ask what became of a change."""
-    _show(asyncio.run(OperatorClient(core, operatorKey).ask("GET", f"/v1/changes/{changeId}")))
+    _show(asyncio.run(OperatorClient(core, operator_key).ask("GET", f"/v1/changes/{change_id}")))
 
 
 @ctl.command()
 def watch(
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
     follow: Annotated[bool, typer.Option(help="Go on as decisions are made.")] = True,
 ):
     """Watch the stream of decisions of all routers."""
     try:
-        raise typer.Exit(asyncio.run(OperatorClient(core, operatorKey).watch(typer.echo, follow)))
-    except KeyboardInterrupt:
-        raise typer.Exit(0)
+        raise typer.Exit(asyncio.run(OperatorClient(core, operator_key).watch(typer.echo, follow)))
+    except KeyboardInterrupt as error:
+        raise typer.Exit(0) from error
 
 
 @ctl.command()
 def status(
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
     full: Annotated[bool, typer.Option(help="Show all counters.")] = False,
 ):
     """Show every process of the fleet, the chain, the books and the counters."""
-    _show(asyncio.run(OperatorClient(core, operatorKey).fleet(full)))
+    _show(asyncio.run(OperatorClient(core, operator_key).fleet(full)))
 
 
 @ctl.command()
 def explain(
     name: Annotated[str, typer.Argument(help="Id of a call or of a conversation.")],
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
 ):
     """Tell why a call waited, moved, was refused or ended as it did."""
-    _show(asyncio.run(OperatorClient(core, operatorKey).explain(name)))
+    _show(asyncio.run(OperatorClient(core, operator_key).explain(name)))
 
 
 @ctl.command()
-def log(core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
+def log(core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
     """List the acknowledged versions that this core's archive keeps."""
-    _show(asyncio.run(OperatorClient(core, operatorKey).ask("GET", "/v1/history")))
+    _show(asyncio.run(OperatorClient(core, operator_key).ask("GET", "/v1/history")))
 
 
 @ctl.command()
-def diff(old: int, new: int, core: Door = "127.0.0.1:8000", operatorKey: Operator = ""):
+def diff(old: int, new: int, core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
     """Show what changed between two acknowledged versions."""
-    client = OperatorClient(core, operatorKey)
+    client = OperatorClient(core, operator_key)
 
     async def work():
         return [await client.ask("GET", f"/v1/history/{version}") for version in (old, new)]
@@ -308,10 +325,10 @@
     version: Annotated[str, typer.Argument(help="Weights.")],
     author: Author = "",
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
 ):
     """Name new weights for a model; once this returns, no call starts on the old ones."""
-    client, patch = OperatorClient(core, operatorKey), {"models": {model: {"weights": version}}}
+    client, patch = OperatorClient(core, operator_key), {"models": {model: {"weights": version}}}
     _show(asyncio.run(client.change_newest("PATCH", lambda _: patch, author=author)))
 
 
@@ -326,11 +343,11 @@
     tenant: Annotated[str, typer.Argument(help="Tenant.")],
     key: Annotated[str, typer.Argument(help="The key, or its sha256: digest.")],
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
 ):
     """Take a key from a tenant; connected clients lose it too."""
     client, gone = (
-        OperatorClient(core, operatorKey),
+        OperatorClient(core, operator_key),
         key if key.startswith("sha256:") else key_digest(key),
     )
 
@@ -348,16 +365,19 @@
 @app.command()
 def doctor(
     core: Door = "127.0.0.1:8000",
-    operatorKey: Operator = "",
+    operator_key: Operator = "",
     settings: SettingsFile = "",
     as_json: Annotated[bool, typer.Option("--json", help="Findings as JSON.")] = False,
 ):
-    """Look for common faults; each finding has a code and what to do. The status is 1 when one was found."""
+    """Look for common faults; each finding has a code and what to do.
+
+    The status is 1 when one was found.
+    """
     seeds, folder = [], ""
     if settings:
         checked = _settings(settings, {})
         seeds, folder = checked.seeds, checked.dataFolder
-    findings = asyncio.run(examine(OperatorClient(core, operatorKey), seeds, folder))
+    findings = asyncio.run(examine(OperatorClient(core, operator_key), seeds, folder))
     if as_json:
         typer.echo(msgspec.json.encode(findings).decode())
     else:
--- a/swiftdeck/programs/loop.py
+++ b/swiftdeck/programs/loop.py
@@ -13,6 +13,7 @@
     """A loop whose clock goes on while the machine sleeps and never jumps."""
 
     def time(self):
+        """Seconds since the machine started."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
--- a/swiftdeck/programs/tests.py
+++ b/swiftdeck/programs/tests.py
@@ -6,12 +6,11 @@
 
 
 def main() -> int:
-    """Become the runner, with one order of hashes for all runs; gives a status only if there are no tests."""
+    """Become the runner, with one order of hashes for all runs; returns only without tests."""
     root = Path(__file__).resolve().parent.parent.parent
     if not (root / "tests" / "runner.py").exists():
-        print(
-            "the tests are not installed with the package: run them from the root of a checkout\n0 passed, 1 failed"
-        )
+        print("the tests are not installed with the package: run them from the root of a checkout")
+        print("0 passed, 1 failed")
         return 1
     os.chdir(root)
     os.environ["PYTHONHASHSEED"] = "0"
--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -16,21 +16,27 @@
         self.inbox, self.outstanding, self.ready_at = [], 0, 0.0
 
     def get_protocol(self):
+        """The protocol that takes what arrives."""
         return self.protocol
 
     def set_protocol(self, protocol):
+        """Let another protocol take what arrives."""
         self.protocol = protocol
 
     def is_closing(self):
+        """Whether this end was closed or reset."""
         return self.closing
 
     def get_write_buffer_size(self):
+        """Bytes that were written and not yet taken at the other end."""
         return self.outstanding
 
     def set_write_buffer_limits(self, high=None, low=None):
+        """The limits are fixed."""
         pass
 
     def write(self, data):
+        """Send bytes; those of a frozen process are sent when it thaws."""
         if self.closing or not data:
             return
         if self.loop.frozen:
@@ -43,17 +49,20 @@
             self.protocol.pause_writing()
 
     def write_eof(self):
+        """Say that nothing more will be sent."""
         if not self.closing and not self.eof_sent:
             self.eof_sent = True
             self._post(None)
 
     def can_write_eof(self):
+        """Streams can be closed in one direction."""
         return True
 
     def _post(self, item):
         self.net.send(self, item)
 
     def close(self):
+        """Close this end once all that was written is sent."""
         if not self.closing:
             self.closing = True
             if not self.eof_sent:
@@ -61,6 +70,7 @@
             self.loop.call_soon(self._lost, None)
 
     def abort(self):
+        """Reset the stream."""
         if not self.closing:
             self.closing = True
             self._post(ConnectionResetError("reset by peer"))
@@ -73,13 +83,16 @@
             self.protocol.connection_lost(error)
 
     def pause_reading(self):
+        """Hold what arrives back."""
         self.read_paused = True
 
     def resume_reading(self):
+        """Hand on what was held back, and what arrives."""
         self.read_paused = False
         self.loop.call_soon(self._drain)
 
     def is_reading(self):
+        """Whether what arrives is handed on."""
         return not self.read_paused
 
     def arrive(self, item):
@@ -121,15 +134,18 @@
         self.net, self.loop, self.local, self.closing = net, loop, local, False
 
     def sendto(self, data, addr=None):
+        """Send one datagram."""
         self.net.send_datagram(self, bytes(data), addr)
 
     def close(self):
+        """Close the endpoint."""
         self.closing = True
         self.net.datagrams.pop(self.local, None)
 
     abort = close
 
     def is_closing(self):
+        """Whether the endpoint was closed."""
         return self.closing
 
 
@@ -140,9 +156,11 @@
         self.net, self.key = net, key
 
     def close(self):
+        """Stop listening; streams that are open stay so."""
         self.net.listeners.pop(self.key, None)
 
     async def wait_closed(self):
+        """A listener is closed at once."""
         return None
 
 
--- a/swiftdeck/sim/world.py
+++ b/swiftdeck/sim/world.py
@@ -18,9 +18,11 @@
         self.faults = []
 
     def time(self):
+        """Seconds on the clock of this process, which starts anywhere and may drift."""
         return self.offset + self.world.now * self.rate
 
     def call_soon(self, callback, *args, context=None):
+        """Queue a callback for now."""
         handle = asyncio.Handle(callback, args, self, context)
         self.world.push(self.world.now, self, handle)
         return handle
@@ -28,9 +30,11 @@
     call_soon_threadsafe = call_soon
 
     def call_later(self, delay, callback, *args, context=None):
+        """Queue a callback for some seconds from now, on the clock of this process."""
         return self.call_at(self.time() + max(0, delay), callback, *args, context=context)
 
     def call_at(self, when, callback, *args, context=None):
+        """Queue a callback for a time on the clock of this process."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         self.world.push(max(self.world.now, (when - self.offset) / self.rate), self, handle)
         return handle
@@ -39,32 +43,41 @@
         pass
 
     def create_future(self):
+        """A future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro, *, name=None, context=None):
+        """A task of this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def get_debug(self):
+        """Debug mode is always off."""
         return False
 
     def is_running(self):
+        """The loop counts as running as long as its world does."""
         return True
 
     def is_closed(self):
+        """Whether the process was killed."""
         return self.dead
 
     def call_exception_handler(self, context):
+        """Note an unhandled exception, here and in the world, unless the process was killed."""
         if not self.dead and "was destroyed" not in context.get("message", ""):
             self.faults.append(context)
             self.world.faults.append((self.name, context))
 
     async def create_server(self, factory, host=None, port=None, **_):
+        """Open a listener on the simulated network."""
         return self.world.net.listen(self, factory, host, port)
 
     async def create_connection(self, factory, host=None, port=None, **_):
+        """Open a stream on the simulated network."""
         return await self.world.net.connect(self, factory, host, port)
 
     async def create_datagram_endpoint(self, factory, local_addr=None, **_):
+        """Open a datagram endpoint on the simulated network."""
         return self.world.net.datagram(self, factory, local_addr)
 
 
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -46,7 +46,7 @@
 
 
 def read_known(text: str) -> tuple[dict[str, str], list[str]]:
-    """The tests listed as known to fail, with cause and issue, and what is wrong with the list itself."""
+    """The tests listed as known to fail, with cause and issue, and what is wrong with the list."""
     known, wrong = {}, []
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
@@ -74,8 +74,9 @@
 
 
 def judge(suite, text="", every=None, stream=sys.stdout) -> tuple[int, int]:
-    """Run a suite under a list of tests known to fail; gives how many passed and failed. `every` are the ids of all tests there
-    are, if the suite is a part of them.
+    """Run a suite under a list of tests known to fail; returns how many passed and failed.
+
+    `every` are the ids of all tests there are, if the suite is a part of them.
     """
     known, wrong = read_known(text)
     every = ids_of(suite) if every is None else every
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,7 @@
 
 
 def forbidden(text, package="swiftdeck"):
-    """Modules for tests and the bench that a module of such a package imports, anywhere in its text."""
+    """Modules for tests and the bench that the text of a module of a package imports."""
     found = set()
     for node in ast.walk(ast.parse(text)):
         names = []
