--- a/swiftdeck/bench/history.py
+++ b/swiftdeck/bench/history.py
@@ -1,8 +1,9 @@
 """Judges a history of orders and reads, as operators and routers saw it on their sockets.
 
-The configuration is a register with compare-and-set: an order names the number it builds on and the number it sets. A history
-stands when some order of its operations, each somewhere between its begin and its end, explains every answer. An order without
-a clear answer may take effect at any time after it was first sent, or never.
+The configuration is a register with compare-and-set: an order names the number it builds on and
+the number it sets. A history stands when some order of its operations, each somewhere between its
+begin and its end, explains every answer. An order without a clear answer may take effect at any
+time after it was first sent, or never.
 """
 
 import math
@@ -85,7 +86,7 @@
 
 @attrs.define
 class History:
-    """What was seen, in any order; a run that ended without a final observation has lost everything."""
+    """What was seen, in any order; a run without a final observation has lost everything."""
 
     attempts: list[Attempt] = attrs.Factory(list)
     observations: list[Observation] = attrs.Factory(list)
@@ -206,7 +207,7 @@
 
 
 def _operations(history):
-    """The operations of a history: one for each order and refusal, one for each observation in touch."""
+    """The operations of a history, one for each order, refusal and observation in touch."""
     by_order = defaultdict(list)
     for each in history.attempts:
         by_order[each.order].append(each)
@@ -231,7 +232,7 @@
 
 
 def _is_explained(operations, initial):
-    """Whether some order explains all operations: depth first, each state of the search visited once."""
+    """Whether some order explains all operations: depth first, each state visited once."""
     ordered = sorted(operations, key=lambda each: (each.begin_s, each.end_s))
     visited, waiting = set(), [(frozenset(range(len(ordered))), initial)]
     while waiting:
@@ -246,7 +247,10 @@
 
 
 def _followers(ordered, left, held):
-    """The states that one more operation can lead to: it began before any other one that is left had ended."""
+    """The states that one more operation can lead to.
+
+    It began before any other one that is left had ended.
+    """
     first_end_s = min(ordered[at].end_s for at in left)
     able = [at for at in sorted(left) if ordered[at].begin_s <= first_end_s]
     for at in able:
--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -318,7 +318,10 @@
         self.world.at(self.delay_s(a, b), land)
 
     def drop(self, loop, silent):
-        """Take all ends of a dead process away; a machine without power also loses what a cut held up."""
+        """Take all ends of a dead process away.
+
+        A machine without power also loses what a cut held up.
+        """
         self.listeners = {
             key: value for key, value in self.listeners.items() if value[0] is not loop
         }
--- a/tests/bench/test_history.py
+++ b/tests/bench/test_history.py
@@ -1,4 +1,4 @@
-"""Tests of the history checker: sound histories stand, and a planted fault for each clause is found."""
+"""Tests of `bench/history.py`: sound histories stand, a planted fault of each clause is found."""
 
 import unittest
 
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -156,7 +156,7 @@
         """Two orders in one write to a hanging disk, whose machine loses its power before it is done."""
         town = OrderTown(2).start()
         head = town.member(0)
-        town.folders[head].stallS = 0.5
+        town.folders[head].stall_s = 0.5
         town.beside(lambda: town.operator.name(MODEL, 2))
         town.world.run(0.05)
         for order in (town.patch(5, FIRST), town.patch(7, FIRST)):
@@ -164,7 +164,7 @@
         town.world.run(0.7)
         town.kill(head, back_s=1)
         town.folders[head].lose_power()
-        town.folders[head].stallS = 0.0
+        town.folders[head].stall_s = 0.0
         town.world.run(2)
         town.settle()
         return town.wrong()
