--- /dev/null
+++ b/swiftdeck/sim/model/cluster.py
@@ -0,0 +1,279 @@
+"""The cores of one run on simulated machines, and the faults that strike them."""
+
+import asyncio
+import random
+
+from swiftdeck.chain.agreement import ids
+from swiftdeck.config.settings import Settings
+from swiftdeck.control.core import Core
+from swiftdeck.platform.operator_door import OperatorDoor
+from swiftdeck.sim.model.invariants import Invariants
+from swiftdeck.sim.model.points import EventPoints, PointFolder, PointWorld
+from swiftdeck.sim.model.schedule import LOSES_DISK, Action, Kind, Schedule
+
+INNER_PORT, DOOR_PORT = 7000, 8080
+VIEW_LEASE_MS, CONFIG_LEASE_MS, ACK_WAIT_MS = 1500, 2500, 400
+CATCH_UP_S = 4.0
+SEEDS_TOLD = 3
+CLIENTS = {"operators": "10.9.0.1", "reader": "10.9.0.2", "router": "10.9.0.3"}
+STALL_S = 1.2
+
+
+class AckWatch(OperatorDoor):
+    """An operator's door that tells of the changes that it acknowledges."""
+
+    def __init__(self, core, on_acknowledged):
+        super().__init__(core)
+        self.on_acknowledged = on_acknowledged
+
+    async def _outcome(self, change_id, change):
+        began = self.on_acknowledged.now()
+        got = await super()._outcome(change_id, change)
+        if got:
+            self.on_acknowledged(change_id, began)
+        return got
+
+
+class Acknowledged:
+    """Hands acknowledged changes to the invariants with the disks lost since they were first sent."""
+
+    def __init__(self, cluster):
+        self.cluster, self.first_s = cluster, {}
+
+    def now(self):
+        """The time of the run."""
+        return self.cluster.world.now
+
+    def __call__(self, change_id, began_s):
+        began_s = min(began_s, self.first_s.setdefault(change_id, began_s))
+        losses = sum(at_s >= began_s for at_s in self.cluster.disk_losses_s)
+        self.cluster.invariants.on_acknowledged(change_id, losses)
+
+
+class Cluster:
+    """Starts, strikes and mends the cores of one schedule."""
+
+    def __init__(self, schedule: Schedule):
+        self.schedule, self.losses_borne = schedule, (schedule.cores - 1) // 2
+        self.ips = {name: f"10.1.0.{at}" for at, name in enumerate(schedule.core_names(), 1)}
+        self.points = EventPoints(schedule.strikes, self.apply)
+        names = {ip: name for name, ip in (self.ips | CLIENTS).items()}
+        self.world = PointWorld(schedule.seed, self.points, INNER_PORT, names)
+        self.net, self.names = self.world.net, names
+        self.folders, self.up, self.gone = {}, {}, set()
+        self.healing, self.applied, self.skipped = 0, [], []
+        self.disk_losses_s, self.lost_until_s = [], {}
+        self.is_first_start, self.acknowledged = True, Acknowledged(self)
+        self.invariants = Invariants(self)
+        self.points.on_promise = self.invariants.on_promise
+        self.progress = lambda: ()
+
+    def addr(self, name):
+        """Where a core listens for other processes."""
+        return f"{self.ips[name]}:{INNER_PORT}"
+
+    def present(self):
+        """Cores that are not gone for good."""
+        return [name for name in self.ips if name not in self.gone]
+
+    def doors(self):
+        """Where operators find the cores."""
+        return [f"{self.ips[name]}:{DOOR_PORT}" for name in self.present()]
+
+    def core_addrs(self):
+        """Where routers find the cores."""
+        return [self.addr(name) for name in self.present()]
+
+    def running(self):
+        """Cores that have started and are not frozen, by name."""
+        loops = self.world.loops
+        return {
+            name: core
+            for name, core in self.up.items()
+            if name in loops and not loops[name].frozen and core.mesh.server
+        }
+
+    def start(self, name):
+        """Start a core on what its disk has."""
+        if name in self.world.loops or name in self.gone:
+            return
+        folder = self.folders.setdefault(
+            name, PointFolder(self.points, name, self.invariants.on_disk)
+        )
+        may_found = self.is_first_start
+
+        async def main():
+            core = Core(self._settings(name, may_found), folder, self._random())
+            core.http.handler = AckWatch(core, self.acknowledged).handle
+            self.up[name] = core
+            await core.start()
+
+        self.world.start(name, self.ips[name], main)
+
+    def start_all(self):
+        """Start the cores for the first time."""
+        for name in self.schedule.core_names():
+            self.start(name)
+        self.is_first_start = False
+
+    def _random(self):
+        return random.Random(self.world.random.random())
+
+    def _settings(self, name, may_found):
+        seeds = [self.addr(each) for each in self.schedule.core_names()[:SEEDS_TOLD]]
+        living = [self.addr(each) for each in self.present()[:SEEDS_TOLD]]
+        return Settings(
+            name=name,
+            inner=self.addr(name),
+            http=f"{self.ips[name]}:{DOOR_PORT}",
+            seeds=living if name not in self.schedule.core_names() else seeds,
+            founders=seeds,
+            mayFound=may_found,
+            cores=self.schedule.cores,
+            lossesBorne=self.losses_borne,
+            viewLicenceMs=VIEW_LEASE_MS,
+            configLicenceMs=CONFIG_LEASE_MS,
+            ackWaitMs=ACK_WAIT_MS,
+            archive=False,
+        )
+
+    def is_settled(self):
+        """Whether all cores that should be there are members, whole, serving under one view, and enough of them vote."""
+        cores = self.running()
+        if self.healing or set(cores) != set(self.present()):
+            return False
+        identities = {core.agreement.coreId for core in cores.values()}
+        voting = min(len(cores), 2 * self.losses_borne + 1)
+        return all(
+            set(ids(core.agreement.decided.members)) == identities
+            and len(set(ids(core.agreement.decided.voters)) & identities) >= voting
+            and core.chain.is_whole()
+            and core.agreement.mayServe()
+            for core in cores.values()
+        )
+
+    def step(self):
+        """After each event: strike where that is due, and look at the invariants."""
+        if self.points.due:
+            self.points.strike()
+
+    def run(self, until=None, limit_s=60.0, seconds=None):
+        """Let time pass with the schedule's strikes; gives whether `until` came true."""
+
+        def after_event():
+            self.step()
+            return until is not None and until()
+
+        return self.world.run(seconds, after_event, limit_s)
+
+    def apply(self, action: Action):
+        """Let a fault strike, unless it would lose more at once than the cores have to bear."""
+        if not self._is_bearable(action) or action.core not in self.present():
+            self.skipped.append(action)
+            return
+        self.applied.append(action)
+        getattr(self, f"_{action.kind.value}")(action)
+
+    def _is_bearable(self, action):
+        """Whether no more disks are lost at once than may be: a core is lost until it has been back for a while."""
+        now_s = self.world.now
+        lost = {name for name, until_s in self.lost_until_s.items() if until_s > now_s}
+        is_bearable = len(lost | {action.core}) <= self.losses_borne
+        if action.kind in LOSES_DISK and not is_bearable:
+            return False
+        self.lost_until_s[action.core] = max(
+            self.lost_until_s.get(action.core, 0.0), now_s + action.for_s + CATCH_UP_S
+        )
+        return True
+
+    def _later(self, delay_s, work):
+        self.healing += 1
+
+        def act():
+            self.healing -= 1
+            work()
+
+        self.world.at(delay_s, act)
+
+    def _lose(self, name, is_power, is_wiped):
+        self.world.kill(name, silent=is_power)
+        folder = self.folders.get(name)
+        if folder is None:
+            return
+        if is_power:
+            folder.lose_power()
+        if is_wiped:
+            folder.wipe()
+            self.invariants.forget(name)
+            self.disk_losses_s.append(self.world.now)
+
+    def _kill(self, action):
+        self._lose(action.core, False, False)
+        self._later(action.for_s, lambda: self.start(action.core))
+
+    def _power(self, action):
+        self._lose(action.core, True, False)
+        self._later(action.for_s, lambda: self.start(action.core))
+
+    def _wipe(self, action):
+        self._lose(action.core, True, True)
+        self._later(action.for_s, lambda: self.start(action.core))
+
+    def _blackout(self, action):
+        for name in self.present():
+            self._lose(name, True, name == action.core)
+            self._later(action.for_s, lambda name=name: self.start(name))
+
+    def _replace(self, action):
+        self._lose(action.core, True, True)
+        self.gone.add(action.core)
+        fresh = f"spare{len(self.gone)}"
+        self.ips[fresh] = f"10.1.1.{len(self.gone)}"
+        self.names[self.ips[fresh]] = fresh
+        self._later(action.for_s, lambda: self._start_spare(fresh))
+
+    def _start_spare(self, name):
+        self.start(name)
+        for core in self.running().values():
+            core.membership.set_seeds(self.core_addrs()[:SEEDS_TOLD])
+
+    def _cut_off(self, action, both):
+        others = [ip for name, ip in self.ips.items() if name != action.core]
+        pairs = self.net.cut([self.ips[action.core]], others, both)
+        self._later(action.for_s, lambda: self.net.heal(pairs))
+
+    def _cut(self, action):
+        self._cut_off(action, True)
+
+    def _mute(self, action):
+        self._cut_off(action, False)
+
+    def _reset(self, action):
+        ip = self.ips[action.core]
+        for transport in list(self.net.open):
+            if ip in (transport.local[0], transport.remote[0]) and not transport.loop.dead:
+                error = ConnectionResetError("reset by peer")
+                transport.loop.call_soon(self.net._arrive, transport, error)
+
+    def _freeze(self, action):
+        name = action.core
+        if name in self.world.loops and not self.world.loops[name].frozen:
+            self.world.freeze(name)
+            self._later(action.for_s, lambda: self._thaw(name))
+
+    def _thaw(self, name):
+        if name in self.world.loops and self.world.loops[name].frozen:
+            self.world.thaw(name)
+
+    def _stall(self, action):
+        folder = self.folders[action.core]
+        folder.stallS = STALL_S
+        self._later(action.for_s, lambda: setattr(folder, "stallS", 0.0))
+
+    def begin(self, name, make):
+        """Begin a coroutine in a client's process; gives its task."""
+        box, loop = [], self.world.loops.get(name)
+        if loop is None:
+            loop = self.world.start(name, CLIENTS[name], lambda: asyncio.sleep(0))
+        self.world._within(loop, lambda: box.append(loop.create_task(make())))
+        return box[0]
--- /dev/null
+++ b/swiftdeck/sim/model/draw.py
@@ -0,0 +1,89 @@
+"""Draws schedules at random with hypothesis, and shrinks one that fails."""
+
+import time
+
+import attrs
+from hypothesis import HealthCheck, Phase, given, seed, settings
+from hypothesis import strategies as draws
+
+from swiftdeck.sim.model.explore import Played, play_briefly
+from swiftdeck.sim.model.schedule import Action, Kind, Schedule, Strike
+
+POINTS_MOST, SEEDS_MOST, STRIKES_MOST, ORDERS_MOST = 400, 1000, 5, 4
+OFFSETS_S = (0.0, 0.01, 0.3, 1.5, 3.0)
+DURATIONS_S = (0.05, 0.3, 0.9, 1.6, 2.5, 4.0)
+
+
+class ScheduleFailedError(AssertionError):
+    """A schedule broke something."""
+
+
+@attrs.define
+class Draws:
+    """What a random search has gone through."""
+
+    schedules: int = 0
+    seconds: float = 0.0
+    states: set[bytes] = attrs.Factory(set)
+    failed: Played | None = None
+
+    def told(self) -> dict:
+        """The figures."""
+        return {
+            "schedules": self.schedules,
+            "failed": int(self.failed is not None),
+            "states": len(self.states),
+            "schedulesPerSecond": round(self.schedules / max(self.seconds, 1e-9), 1),
+            "depth": STRIKES_MOST,
+        }
+
+
+def schedules(cores):
+    """Schedules for so many cores, simple ones first."""
+    names = Schedule(cores=cores).core_names()
+    actions = draws.builds(
+        Action, draws.sampled_from(Kind), draws.sampled_from(names), draws.sampled_from(DURATIONS_S)
+    )
+    strikes = draws.lists(
+        draws.builds(Strike, draws.integers(0, POINTS_MOST), actions), max_size=STRIKES_MOST
+    )
+    orders = draws.lists(draws.sampled_from(OFFSETS_S), min_size=1, max_size=ORDERS_MOST)
+    return draws.builds(
+        Schedule,
+        draws.just(cores),
+        draws.integers(1, SEEDS_MOST),
+        orders.map(tuple),
+        strikes.map(lambda found: tuple(sorted(found, key=lambda each: each.point))),
+        draws.booleans(),
+    )
+
+
+def search(cores: int, number: int, count: int) -> Draws:
+    """Play so many schedules drawn from a seed until one fails; what failed is shrunk."""
+    account, begin_s = Draws(), time.monotonic()
+
+    @seed(number)
+    @settings(
+        max_examples=count,
+        deadline=None,
+        database=None,
+        phases=(Phase.generate, Phase.shrink),
+        suppress_health_check=list(HealthCheck),
+        report_multiple_bugs=False,
+    )
+    @given(schedules(cores))
+    def stands(schedule):
+        played = play_briefly(schedule)
+        account.schedules += 1
+        account.states.update(played.states)
+        if played.faults:
+            account.failed = played
+            raise ScheduleFailedError(schedule.command())
+
+    try:
+        stands()
+    except ScheduleFailedError:
+        pass
+    finally:
+        account.seconds = time.monotonic() - begin_s
+    return account
--- /dev/null
+++ b/swiftdeck/sim/model/schedule.py
@@ -0,0 +1,100 @@
+"""What a run of the model is told: who is there, when orders come, and which fault strikes at which point."""
+
+from enum import Enum
+
+import attrs
+
+OUTAGE_S, TROUBLE_S = 0.3, 2.5
+
+
+class Kind(Enum):
+    """What may strike a core."""
+
+    KILL = "kill"
+    POWER = "power"
+    WIPE = "wipe"
+    REPLACE = "replace"
+    BLACKOUT = "blackout"
+    CUT = "cut"
+    MUTE = "mute"
+    RESET = "reset"
+    FREEZE = "freeze"
+    STALL = "stall"
+
+
+LOSES_DISK = frozenset({Kind.WIPE, Kind.REPLACE, Kind.BLACKOUT})
+ON_THE_NETWORK = frozenset({Kind.CUT, Kind.MUTE})
+LASTING = frozenset({Kind.CUT, Kind.MUTE, Kind.FREEZE, Kind.STALL})
+CRASHES = frozenset({Kind.KILL, Kind.POWER, Kind.WIPE, Kind.BLACKOUT})
+REPLACEMENTS = frozenset({Kind.REPLACE})
+
+
+@attrs.frozen
+class Action:
+    """One fault of one core, and how long until the core is back or well.
+
+    A blackout takes the power of all cores and the disk of one of them.
+    """
+
+    kind: Kind
+    core: str
+    for_s: float
+
+    def __str__(self):
+        return f"{self.kind.value}:{self.core}:{self.for_s:g}"
+
+
+def action(kind: Kind, core: str) -> Action:
+    """A fault with its usual duration."""
+    return Action(kind, core, TROUBLE_S if kind in LASTING else OUTAGE_S)
+
+
+@attrs.frozen
+class Strike:
+    """An action and the number of the event point at which it comes."""
+
+    point: int
+    action: Action
+
+    def __str__(self):
+        return f"{self.point}:{self.action}"
+
+
+class BadStrikeError(ValueError):
+    """A text that is not a strike."""
+
+
+def read_strike(text: str) -> Strike:
+    """The strike that a text names, as POINT:KIND:CORE:SECONDS."""
+    try:
+        point, kind, core, for_s = text.split(":")
+        return Strike(int(point), Action(Kind(kind), core, float(for_s)))
+    except ValueError as error:
+        raise BadStrikeError(f"{text}: {error}; expected POINT:KIND:CORE:SECONDS") from error
+
+
+@attrs.frozen
+class Schedule:
+    """One run: the same schedule gives the same run, event for event.
+
+    `orders` holds, for each operator, the seconds until it begins. Points count from the first event of the cluster if
+    `is_cold`, else from the moment when the cluster serves and has taken its first configuration.
+    """
+
+    cores: int = 3
+    seed: int = 1
+    orders: tuple[float, ...] = (0.0, 0.0)
+    strikes: tuple[Strike, ...] = ()
+    is_cold: bool = False
+
+    def command(self) -> str:
+        """The command that replays this schedule."""
+        words = ["swiftdeck-bench model play", f"--cores {self.cores}", f"--seed {self.seed}"]
+        words += [f"--order {each:g}" for each in self.orders]
+        words += ["--cold"] if self.is_cold else []
+        words += [f"--strike {each}" for each in self.strikes]
+        return " ".join(words)
+
+    def core_names(self) -> list[str]:
+        """The cores that are there at the start."""
+        return [f"core{at}" for at in range(1, self.cores + 1)]
