--- a/swiftdeck/bench/history.py
+++ b/swiftdeck/bench/history.py
@@ -23,6 +23,7 @@
     SAME_NUMBER = "two bodies acknowledged under one number"
     SAME_BASE = "two orders acknowledged on one base"
     REFUSED_AFTER_TAKEN = "an order that was taken is refused"
+    REFUSED_EARLY = "a refusal that rests on an order which was not in force yet"
     STALE_READ = "a read older than what was acknowledged before it began"
     STALE_LEASE = "a lease older than what was acknowledged before it began"
     LOST = "an acknowledged order is gone at the end"
@@ -137,9 +138,30 @@
         *_stale(history),
         *_lost(history),
     ]
-    if not _is_explained(_operations(history), history.initial):
-        found.append(Violation(Clause.UNEXPLAINED, f"{len(history.attempts)} attempts"))
-    return found
+    return [*found, *_unexplained(history)]
+
+
+def _unexplained(history):
+    """Whether no order explains all answers, and whether it is only refusals for the sake of a rival under way that don't fit."""
+    operations = _operations(history)
+    if _is_explained(operations, history.initial):
+        return
+    early = [each for each in operations if _has_rival(each, operations)]
+    others = [each for each in operations if each not in early]
+    if early and _is_explained(others, history.initial):
+        yield Violation(Clause.REFUSED_EARLY, ", ".join(str(each.order) for each in early))
+    else:
+        yield Violation(Clause.UNEXPLAINED, f"{len(history.attempts)} attempts")
+
+
+def _has_rival(refusal, operations):
+    """Whether an operation is a refusal, and another order on its base was sent before it ended."""
+    return refusal.kind is Kind.REFUSE and any(
+        each.kind in (Kind.TAKE, Kind.MAY_TAKE)
+        and each.order.base == refusal.order.base
+        and each.begin_s < refusal.end_s
+        for each in operations
+    )
 
 
 def _doubles(history):
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -26,6 +26,7 @@
 from swiftdeck.bench.worker import Worker
 from swiftdeck.programs.loop import BootLoop, run_until_signal
 from swiftdeck.sim.faults.scenarios import EXPECTED_COUNTERS, SCENARIOS, unexercised
+from swiftdeck.sim.model.command import model
 from swiftdeck.sim.storm import Storm
 
 app = typer.Typer(
@@ -34,6 +35,7 @@
     pretty_exceptions_enable=False,
     help="Stand-ins for callers, workers, store and platform, and a whole site on one machine.",
 )
+app.command()(model)
 Addr = Annotated[str, typer.Option(help="IP:PORT to listen on.")]
 RecordFile = Annotated[str, typer.Option(help="File that takes what the stand-in saw.")]
 
--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -9,7 +9,7 @@
 from swiftdeck.platform.operator_door import OperatorDoor
 from swiftdeck.sim.model.invariants import Invariants
 from swiftdeck.sim.model.points import EventPoints, PointFolder, PointWorld
-from swiftdeck.sim.model.schedule import LOSES_DISK, Action, Kind, Schedule
+from swiftdeck.sim.model.schedule import LOSES_DISK, Action, Schedule
 
 INNER_PORT, DOOR_PORT = 7000, 8080
 VIEW_LEASE_MS, CONFIG_LEASE_MS, ACK_WAIT_MS = 1500, 2500, 400
--- a/tests/bench/test_history.py
+++ b/tests/bench/test_history.py
@@ -128,6 +128,18 @@
         events = [sent(FIRST, 1), sent(SECOND, 2, 0), seen(SECOND, 3), seen(FIRST, 4)]
         self.assertEqual(broken(*events, final(SECOND)), {Clause.UNEXPLAINED})
 
+    def test_a_refusal_for_the_sake_of_a_rival_that_is_not_in_force_yet(self):
+        """The base is read after the refusal; the rival takes effect later, or never."""
+        for status, last in ((200, RIVAL), (0, FIRST)):
+            got = broken(
+                sent(FIRST, 1),
+                sent(RIVAL, 2, status, took_s=9),
+                sent(SECOND, 2, 412),
+                seen(FIRST, 3),
+                final(last),
+            )
+            self.assertEqual(got, {Clause.REFUSED_EARLY}, status)
+
     def test_a_refusal_while_nothing_stood_against_the_order(self):
         """The base was in force all along and no other order was sent."""
         got = broken(sent(FIRST, 1), sent(SECOND, 2, 412), final(FIRST))
--- /dev/null
+++ b/tests/sim/model/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the model of the control side."""
