--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -25,6 +25,7 @@
 from swiftdeck.bench.worker import Worker
 from swiftdeck.programs.loop import BootLoop, run_until_signal
 from swiftdeck.sim.faults.scenarios import SCENARIOS
+from swiftdeck.sim.model.command import model
 
 GROWTH_ROUTES = [0, 1000, 5000]
 FLEET_ROUTERS = [25, 50, 100, 200]
@@ -36,6 +37,7 @@
     pretty_exceptions_enable=False,
     help="Stand-ins for callers, workers, store and platform, and a whole site on one machine.",
 )
+app.command()(model)
 Addr = Annotated[str, typer.Option(help="IP:PORT to listen on.")]
 RecordFile = Annotated[str, typer.Option(help="File that takes what the stand-in saw.")]
 
