--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -36,6 +36,19 @@
     freed: dict[str, list] = {}
 
 
+def invalid_by_itself(change: dict):
+    """The fault of an operator's change that no configuration could take, None where it takes one to tell."""
+    edition, base = change.get("edition"), change.get("onEdition")
+    if edition is not None and edition <= base:
+        return INVALID.because(f"$.edition: {edition} is not above {base}")
+    if change["op"] != "replace" or edition is None:
+        return None
+    told = change["document"].get("edition", {}).get(EDITION, {})
+    tables = change["document"] | {"edition": {EDITION: told | {"number": edition}}}
+    made = Configuration.empty().replace(tables, change.get("ensure", {}))
+    return made if is_fault(made) else None
+
+
 class ChainState:
     """A deterministic machine: the same entries in the same order give the same state at each member."""
 
--- a/swiftdeck/platform/operator_door.py
+++ b/swiftdeck/platform/operator_door.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from swiftdeck.chain.state import invalid_by_itself
 from swiftdeck.fault import (
     BAD_METHOD,
     BAD_REQUEST,
@@ -63,7 +64,10 @@
             task = self.under_way[change_id] = asyncio.ensure_future(self._write(change_id, change))
             task.add_done_callback(lambda _: self.under_way.pop(change_id))
         await asyncio.wait([task], timeout=ANSWER_WITHIN_MS / 1000)
-        return task.result() if task.done() else UNDECIDED.because(change_id)
+        got = task.result() if task.done() else UNDECIDED.because(change_id)
+        is_open = is_fault(got) and got.code not in STATUSES
+        fault = invalid_by_itself(change) if is_open else None
+        return got if fault is None else fault
 
     async def _write(self, change_id, change):
         got = await self.core.change_writer.write(change_id, change)
