--- a/swiftdeck/bench/history.py
+++ b/swiftdeck/bench/history.py
@@ -143,7 +143,7 @@
 
 
 def _unexplained(history):
-    """Whether no order explains all answers, and whether only refusals for a pending rival don't fit."""
+    """Whether nothing explains all answers; whether only refusals for a pending rival misfit."""
     operations = _operations(history)
     if _is_explained(operations, history.initial):
         return
