--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -62,7 +62,7 @@
         self.coreId, self.decided, self.slot = "", View(), Slot()
         self.founders, self.may_found = list(founders), may_found
         self.wait_until_s = 0.0
-        self.lease_until_s = -1.0
+        self.lease_until_s, self.stops_serving = -1.0, False
         self.granted_s, self.started_s, self.learned_s = {}, 0.0, 0.0
         self.hears, self.is_partial = [], lambda: False
         self.watchers, self.fault, self.troubles = [], None, []
@@ -177,7 +177,11 @@
     def mayServe(self):
         """Whether the view lease holds now; a new view first waits out the lease of the old."""
         now_s = self.loop.time()
-        return self.decided.number > 0 and self.wait_until_s <= now_s < self.lease_until_s
+        return (
+            self.decided.number > 0
+            and not self.stops_serving
+            and self.wait_until_s <= now_s < self.lease_until_s
+        )
 
     def _refusal(self, ask, least_ballot):
         if ask.slot <= self.decided.number:
@@ -281,6 +285,9 @@
         return f"{self.fault.code} {self.fault.reason}" if self.fault is not None else ""
 
     def on_lease_ask(self, ask, sender):
+        if ask.hand_back:
+            self.granted_s[ask.coreId] = self.loop.time() - 2 * self.lease_ms / 1000
+            return ViewLeaseReturn(granted=True, decided=self.decided)
         if ask.number < self.decided.number:
             return ViewLeaseReturn(granted=False, decided=self.decided)
         granted = (
@@ -296,7 +303,7 @@
     async def renew(self):
         """Ask the voters for the lease of the present view."""
         view, sentS = self.decided, self.loop.time()
-        if not view.number:
+        if not view.number or self.stops_serving:
             return
         ask = ViewLeaseAsk(number=view.number, coreId=self.coreId)
         least = len(view.voters) // 2 + 1
@@ -304,9 +311,16 @@
         newer = [each.decided for each in got if each and each.decided.number > self.decided.number]
         for each in newer:
             await self.learn(each)
-        if sum(bool(each and each.granted) for each in got) >= least and view is self.decided:
+        is_granted = sum(bool(each and each.granted) for each in got) >= least
+        if is_granted and view is self.decided and not self.stops_serving:
             self.lease_until_s = max(self.lease_until_s, sentS + self.lease_ms / 1000 * 0.95)
 
+    async def hand_back(self):
+        """Tell the voters that this core, which serves no more, needs no lease to be waited out."""
+        view, self.lease_until_s = self.decided, -1.0
+        ask = ViewLeaseAsk(number=view.number, coreId=self.coreId, hand_back=True)
+        await self._ask_all(view.voters, ask, self.lease_ms // 4, len(view.voters) // 2 + 1)
+
     async def _ask_all(self, refs, ask, timeout_ms, least):
         """What each gives back by its place, without waiting for the rest once so many have granted."""
         tasks = {
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -329,6 +329,11 @@
             while await self._pass_on():
                 pass
 
+    def has_unpassed(self):
+        """Whether this head has taken a change that the next member does not have yet."""
+        is_passed = self.next_last is not None and self.next_last >= self.serial
+        return self.is_first() and (bool(self.incoming) or not is_passed)
+
     def last_to_pass(self):
         """The last entry that the next member may have: what a loss of power here cannot take back."""
         return self.synced
--- a/swiftdeck/chain/view_manager.py
+++ b/swiftdeck/chain/view_manager.py
@@ -37,7 +37,7 @@
         self.board, self.random, self.cores, self.round_ms = board, random, cores, round_ms
         self.losses_borne = losses_borne
         self.said, self.bad_since_s, self.silent_since_s, self.accepted_since_s = {}, {}, {}, None
-        self.founders_since_s = None
+        self.founders_since_s, self.is_leaving = None, False
         agreement.is_partial = lambda: chain.is_partial
         mesh.on(JoinAsk, self.on_join)
 
@@ -72,7 +72,8 @@
             if not self.agreement.decided.number:
                 await self._found()
             elif self.agreement.position() < 0:
-                await self._join()
+                if not self.is_leaving:
+                    await self._join()
             elif self.agreement.is_voter():
                 await self._mend()
 
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -6,6 +6,7 @@
 from swiftdeck.chain.chain import Chain
 from swiftdeck.chain.change_writer import ChangeWriter
 from swiftdeck.chain.cluster_map import ClusterMap
+from swiftdeck.chain.departure import Departure
 from swiftdeck.chain.view_manager import ViewManager
 from swiftdeck.control.archive import Archive
 from swiftdeck.control.node import Node
@@ -56,6 +57,14 @@
             settings.cores,
             losses_borne=settings.lossesBorne,
         )
+        self.departure = Departure(
+            self.mesh,
+            self.agreement,
+            self.chain,
+            self.view_manager,
+            self.board,
+            settings.lossesBorne,
+        )
         path = getattr(folder, "path", None)
         self.archive = (
             Archive(str(path / "history"), self.chain, self.change_writer, self.board)
@@ -103,12 +112,18 @@
         self.news.post("view", view.number, bytes(view))
 
     async def stop(self):
-        """Finish what operators asked, then leave."""
+        """Finish what operators asked, hand place and vote over, then leave."""
         self.http.stop()
+        await asyncio.gather(
+            self._finish_exchanges(), self.departure.leave(self.settings.stopMs / 1000)
+        )
+        self.membership.leave()
+        self.mesh.close()
+
+    async def _finish_exchanges(self):
         end_s = asyncio.get_running_loop().time() + 2
         while self.http.open and asyncio.get_running_loop().time() < end_s:
             await asyncio.sleep(0.05)
-        self.mesh.close()
 
     def status(self):
         """What doctor and operators want to know of this process."""
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -165,6 +165,7 @@
 class ViewLeaseAsk(Wire):
     number: int = bp.uint64_field(1)
     coreId: str = bp.string_field(2)
+    hand_back: bool = bp.bool_field(3)
 
 
 @message
@@ -199,6 +200,12 @@
     view: int = bp.uint64_field(3)
 
 
+@message
+class LeaveAsk(Wire):
+    coreId: str = bp.string_field(1)
+    view: int = bp.uint64_field(2)
+
+
 @message
 class CopyAsk(Wire):
     coreId: str = bp.string_field(1)
@@ -522,6 +529,7 @@
     32: LeaseReturn,
     33: Relay,
     34: Nudge,
+    35: LeaveAsk,
     40: Nominate,
     41: Vote,
     50: ListAsk,
--- a/tests/gateway/town.py
+++ b/tests/gateway/town.py
@@ -140,7 +140,8 @@
 class PlatformTown:
     """Starts, breaks and mends the machines of a site in virtual time, and collects the records."""
 
-    def __init__(self, seed=1, routers=3, cores=3, models=4, apps=2):
+    def __init__(self, seed=1, routers=3, cores=3, models=4, apps=2, tolerate=1):
+        self.tolerate, self.seeds = tolerate, None
         self.world, self.records, self.up, self.folders, self.all = World(seed), [], {}, {}, []
         self.machines = {f"core{at}": f"10.1.0.{at}" for at in range(1, cores + 1)}
         self.machines |= {f"router{at}": f"10.2.0.{at}" for at in range(1, routers + 1)}
@@ -168,9 +169,8 @@
             if role == "core"
             else {"front": f"{ip}:8080", "readiness": f"{ip}:8081"}
         )
-        seeds = ", ".join(
-            f'"{addr}:8080"' for core, addr in self.machines.items() if core.startswith("core")
-        )
+        cores = [addr for core, addr in self.machines.items() if core.startswith("core")]
+        seeds = ", ".join(f'"{addr}:8080"' for addr in self.seeds or cores)
         lines = [
             f'node-name = "{name}"',
             f'ip = "{ip}"',
@@ -179,6 +179,7 @@
             f"seed-addresses = [{seeds}]",
             'data-dir = "/data"',
             f"first-start = {str(not self.all).lower()}",
+            f"[tolerate]\nmachines = {self.tolerate}",
             "[platform-api]",
             f'address = "{LIST}"',
             "[listen-addresses]",
