--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import unittest
+from contextlib import nullcontext
 from unittest import mock
 
 from swiftdeck.chain import outcomes
@@ -279,3 +280,54 @@
             mock.patch.object(Chain, "known_committed", taken_in),
             self.weights_at_a_head_that_nobody_hears,
         )
+
+
+class CrashPoints:
+    """A member of the chain dies at one moment after another of an order's way, from the sync at the head to the answer."""
+
+    def __init__(self, seed, cores=3, step_ms=0.8, count=8, positions=(0, 0, -1), without=None):
+        self.town = OrderTown(seed, cores).start()
+        self.newest, self.wrong = FIRST, []
+        with without or nullcontext():
+            for at in range(count):
+                after_s = (at + self.town.order_rng.random()) * step_ms / 1000
+                for has_power in (True, False):
+                    self.crash(after_s, positions[at % len(positions)], has_power)
+
+    def crash(self, after_s, position, has_power):
+        """Two rivals, a crash, and both sent again unchanged to every core at once until they have their answers."""
+        town, base = self.town, self.newest
+        name = town.member(position)
+        doors = [each for each in town.cores() if each != name]
+        rivals = [town.patch(base + 2, base), town.patch(base + 2, base)]
+        for order in rivals:
+            town.beside(lambda order=order: town.sending(order, town.order_rng.choice(doors)))
+        town.world.run(after_s)
+        town.kill(name, silent=not has_power, back_s=0.6)
+        if not has_power:
+            town.folders[name].lose_power()
+        tasks = [
+            town.beside(lambda order=order: town.insisting(order, 40, at_all=True))
+            for order in rivals
+        ]
+        town.world.run(until=lambda: all(task.done() for task in tasks), limit_s=45)
+        town.settle()
+        statuses = sorted(task.result() for task in tasks)
+        if statuses != [TAKEN, LOST_RACE]:
+            self.wrong.append(f"{name} {after_s} {has_power}: {statuses}")
+        self.newest = base + 2
+
+    def found(self):
+        """What is wrong."""
+        return self.wrong + self.town.wrong()
+
+
+class CrashPointsCase(unittest.TestCase):
+    def test_two_operators_with_one_number_while_a_member_dies_at_each_point_of_the_way(self):
+        self.assertEqual(CrashPoints(1).found(), [])
+        self.assertEqual(CrashPoints(2, 5, count=3).found(), [])
+
+    def test_without_the_outcomes_the_resent_order_is_refused(self):
+        nothing = mock.patch.object(Outcomes, "find", lambda self, change_id: None)
+        wrong = CrashPoints(1, count=1, without=nothing).wrong
+        self.assertTrue(any("[412, 412]" in each for each in wrong), wrong)
