--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -63,6 +63,7 @@
         self.founders, self.may_found = list(founders), may_found
         self.wait_until_s = 0.0
         self.lease_until_s, self.stops_serving = -1.0, False
+        self.lease_token = self._new_token()
         self.granted_s, self.started_s, self.learned_s = {}, 0.0, 0.0
         self.hears, self.is_partial = [], lambda: False
         self.watchers, self.fault, self.troubles = [], None, []
@@ -229,12 +230,15 @@
     def _left_ms(self, view):
         """How long a lease that this voter gave to a member left out of a view may still last."""
         dropped = set(ids(self.decided.members)) - set(ids(view.members))
-        last_s = max(
-            (self.granted_s.get(coreId, self.started_s) for coreId in dropped), default=None
-        )
+        last_s = max((self._last_granted_s(coreId) for coreId in dropped), default=None)
         left_s = 0 if last_s is None else last_s + self.lease_ms / 1000 * 1.05 - self.loop.time()
         return max(0, math.ceil(left_s * 1000))
 
+    def _last_granted_s(self, coreId):
+        """When this voter last granted a lease that was not handed back; its start if it knows none."""
+        granted = self.granted_s.get(coreId, {})
+        return max(granted.values(), default=self.started_s)
+
     async def on_decided(self, news, sender):
         await self.learn(news.view, news.wait_ms if news.is_timed else None)
 
@@ -286,7 +290,7 @@
 
     def on_lease_ask(self, ask, sender):
         if ask.hand_back:
-            self.granted_s[ask.coreId] = self.loop.time() - 2 * self.lease_ms / 1000
+            self.granted_s.get(ask.coreId, {}).pop(ask.token, None)
             return ViewLeaseReturn(granted=True, decided=self.decided)
         if ask.number < self.decided.number:
             return ViewLeaseReturn(granted=False, decided=self.decided)
@@ -297,28 +301,45 @@
             and ask.coreId in ids(self.decided.members)
         )
         if granted:
-            self.granted_s[ask.coreId] = self.loop.time()
+            self._note_grant(ask)
         return ViewLeaseReturn(granted=granted)
 
+    def _note_grant(self, ask):
+        """Remember a grant by the token that it can be handed back with, as long as it may last."""
+        now_s = self.loop.time()
+        old_s = now_s - 2 * self.lease_ms / 1000
+        granted = self.granted_s.get(ask.coreId, {})
+        recent = {token: at_s for token, at_s in granted.items() if at_s > old_s}
+        self.granted_s[ask.coreId] = recent | {ask.token: now_s}
+
+    def _new_token(self):
+        """A number that no other life of this core has used, nor this one before."""
+        return self.random.getrandbits(62) + 1
+
     async def renew(self):
         """Ask the voters for the lease of the present view."""
-        view, sentS = self.decided, self.loop.time()
+        view, sentS, token = self.decided, self.loop.time(), self.lease_token
         if not view.number or self.stops_serving:
             return
-        ask = ViewLeaseAsk(number=view.number, coreId=self.coreId)
+        ask = ViewLeaseAsk(number=view.number, coreId=self.coreId, token=token)
         least = len(view.voters) // 2 + 1
         got = (await self._ask_all(view.voters, ask, self.lease_ms // 4, least)).values()
         newer = [each.decided for each in got if each and each.decided.number > self.decided.number]
         for each in newer:
             await self.learn(each)
         is_granted = sum(bool(each and each.granted) for each in got) >= least
-        if is_granted and view is self.decided and not self.stops_serving:
+        if is_granted and view is self.decided and token == self.lease_token:
             self.lease_until_s = max(self.lease_until_s, sentS + self.lease_ms / 1000 * 0.95)
 
     async def hand_back(self):
-        """Tell the voters that this core, which serves no more, needs no lease to be waited out."""
-        view, self.lease_until_s = self.decided, -1.0
-        ask = ViewLeaseAsk(number=view.number, coreId=self.coreId, hand_back=True)
+        """Tell the voters that the leases granted so far need not be waited out.
+
+        The token tells them from later ones, should this message or a grant come late: what was
+        asked for before counts for nothing here, and what is asked for later stands at the voters.
+        """
+        view, token = self.decided, self.lease_token
+        self.lease_until_s, self.lease_token = -1.0, self._new_token()
+        ask = ViewLeaseAsk(number=view.number, coreId=self.coreId, hand_back=True, token=token)
         await self._ask_all(view.voters, ask, self.lease_ms // 4, len(view.voters) // 2 + 1)
 
     async def _ask_all(self, refs, ask, timeout_ms, least):
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -166,6 +166,7 @@
     number: int = bp.uint64_field(1)
     coreId: str = bp.string_field(2)
     hand_back: bool = bp.bool_field(3)
+    token: int = bp.uint64_field(4)
 
 
 @message
--- a/tests/chain/test_agreement.py
+++ b/tests/chain/test_agreement.py
@@ -5,7 +5,7 @@
 
 from swiftdeck.chain.agreement import Agreement
 from swiftdeck.sim.folder import SimFolder
-from swiftdeck.wire.messages import CoreRef, Prepare, View
+from swiftdeck.wire.messages import CoreRef, Prepare, View, ViewLeaseAsk
 
 
 class AgreementTest(unittest.TestCase):
@@ -60,3 +60,70 @@
         world.start("a", "10.0.0.1", main)
         world.run(30)
         self.assertEqual(served[1:], [False, False, True])
+
+    def left_after(self, tokens, pause_s=0.2):
+        """How long a voter makes others wait for a dropped member, in ms."""
+        from swiftdeck.sim.world import World
+        from swiftdeck.wire.mesh import Mesh
+
+        world, left = World(), []
+        refs = [CoreRef(coreId=name, addr=f"{name}:1") for name in "ab"]
+
+        async def main():
+            voter = Agreement(SimFolder(), Mesh("10.0.0.1:1"), "10.0.0.1:1", world.random)
+            await voter.start()
+            refs.append(CoreRef(coreId=voter.coreId, addr="10.0.0.1:1"))
+            await voter.learn(View(number=1, members=refs, voters=refs))
+            await asyncio.sleep(5)
+            for token in tokens:
+                voter.on_lease_ask(
+                    ViewLeaseAsk(number=1, coreId="a", token=abs(token), hand_back=token < 0), ""
+                )
+                await asyncio.sleep(pause_s)
+            left.append(voter._left_ms(View(number=2, members=refs[1:], voters=refs)))
+
+        world.start("a", "10.0.0.1", main)
+        world.run(30)
+        return left[0]
+
+    def test_a_lease_that_is_handed_back_is_not_waited_out(self):
+        self.assertGreater(self.left_after([7]), 1500)
+        self.assertEqual(self.left_after([7, -7]), 0)
+
+    def test_a_late_return_does_not_take_a_later_lease_back(self):
+        self.assertGreater(self.left_after([7, 8, -7]), 1500)
+        self.assertGreater(self.left_after([7, -7, 8]), 1500)
+        self.assertGreater(self.left_after([7, -7, 8, -7]), 1500)
+
+    def test_a_grant_that_was_asked_for_before_a_return_counts_for_nothing(self):
+        from swiftdeck.sim.world import World
+        from swiftdeck.wire.mesh import Mesh
+
+        world, served = World(), []
+
+        async def main():
+            agreement = Agreement(SimFolder(), Mesh("10.0.0.1:1"), "10.0.0.1:1", world.random)
+            await agreement.start()
+            refs = [CoreRef(coreId=agreement.coreId, addr="10.0.0.1:1")]
+            await agreement.learn(View(number=1, members=refs, voters=refs))
+            await asyncio.sleep(5)
+            grant = agreement.on_lease_ask
+
+            async def grant_late(ask, sender):
+                answer = grant(ask, sender)
+                await asyncio.sleep(0.2)
+                return answer
+
+            agreement.on_lease_ask = grant_late
+            renewing = asyncio.ensure_future(agreement.renew())
+            await asyncio.sleep(0.1)
+            agreement.on_lease_ask = grant
+            await agreement.hand_back()
+            await renewing
+            served.append(agreement.mayServe())
+            await agreement.renew()
+            served.append(agreement.mayServe())
+
+        world.start("a", "10.0.0.1", main)
+        world.run(30)
+        self.assertEqual(served, [False, True])
