--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -8,6 +8,7 @@
 
 from swiftdeck.board.owner import Owner
 from swiftdeck.chain.state import ChainState
+from swiftdeck.chain.state_transfer import StateTransfer
 from swiftdeck.disk.journal import Journal
 from swiftdeck.fault import (
     BAD_FRAME,
@@ -28,7 +29,6 @@
     ConfigAsk,
     ConfigReturn,
     CopyAsk,
-    CopyReturn,
     LeaseAsk,
     LeaseReturn,
     Nudge,
@@ -86,6 +86,7 @@
         self.durable = Durable(0, self.state.config)
         self.fault, self.needs_copy, self.must_compare, self.is_partial = None, False, False, False
         self.whole_in, self.last_in, self.whole_since_s = 0, 0, 0.0
+        self.transfer = StateTransfer(self)
         self.incoming, self.committers, self.holders = [], [], {}
         self.known_s = {}
         self.next_last, self.pass_failed_s = None, None
@@ -423,50 +424,24 @@
                     self.mesh.tell(holder.addr, Nudge(version=self.durable.version))
 
     async def on_copy_ask(self, ask, sender):
-        """The state as far as it is synced here, which it is between two commands of the owner."""
-        return await self.owner.send(self._copied, sender)
-
-    def _copied(self, sender):
-        view, at = self.agreement.decided, self.agreement.position()
-        is_before = at > 0 and view.members[at - 1].addr == sender and not self.needs_copy
-        if (
-            not (self.is_whole() or is_before)
-            or self.fault is not None
-            or at < 0
-            or self.serial > self.synced
-        ):
-            return NOT_TAIL
-        return CopyReturn(
-            serial=self.serial, state=self.state.to_bytes(), view=self.agreement.decided.number
-        )
+        return await self.owner.send(self.transfer.give, sender)
 
     async def _copy_from(self, addr, above=-1):
-        got = await self.mesh.ask(addr, CopyAsk(coreId=self.agreement.coreId), 5000)
-        if is_fault(got):
-            return got
-        if (
-            got.serial <= above
-            or above >= 0
-            and (got.view != self.agreement.decided.number or self.serial != above)
-        ):
-            return OLD_VIEW.because(f"{got.serial} entries there, {self.serial} here")
-        self.board.count["copiesFromBehind"] += above >= 0
+        return await self.transfer.take(addr, above)
+
+    async def replace_state(self, state, serial, data):
+        """Put a state that was copied in place of this one, on the disk first; gives a fault of the disk or None."""
         try:
-            fresh = ChainState(self.state.keepMs, self.state.claimsMost)
-            fresh.on_config = self.state.on_config
-            fresh.from_bytes(got.state)
-            await self.journal.rewrite([{"k": "state", "n": got.serial, "state": got.state}])
+            await self.journal.rewrite([{"k": "state", "n": serial, "state": data}])
         except OSError as error:
             self._fail(error)
             return self.fault
-        except msgspec.DecodeError as error:
-            return DAMAGED.because(error)
-        self.state, self.serial, self.entries, self.synced = fresh, got.serial, {}, got.serial
-        self._mark_synced(got.serial)
+        self.state, self.serial, self.entries, self.synced = state, serial, {}, serial
+        self._mark_synced(serial)
         self.fault, self.needs_copy = None, False
         self.board.count["copies"] += 1
         self.board.put("disk", "good")
-        return got
+        return None
 
     async def copy_from(self, addr):
         """Take the whole state of a member over; gives its return or a fault."""
