--- a/tests/gateway/storm.py
+++ b/tests/gateway/storm.py
@@ -3,10 +3,9 @@
 import random
 import sys
 
+from swiftdeck.bench.outer.worker import QUIRKS
 from tests.gateway.town import MODEL, PlatformTown, route
 
-QUIRKS = ("cut", "garble", "surplus", "reset", "silence", "slow", "full", "unsealed", "failing")
-
 
 class Storm:
     """A site under load on which things happen at random, one seed a storm."""
@@ -163,7 +162,7 @@
         name = self._worker()
         if name:
             life = self.town.up[name]
-            life.quirk, life.quirk_share = self.rng.choice(QUIRKS), self.rng.choice((0.2, 0.6))
+            life.quirk, life.quirk_share = self.rng.choice(QUIRKS[1:]), self.rng.choice((0.2, 0.6))
             self.town.world.at(4, lambda: setattr(life, "quirk", ""))
         return name and (name, life.quirk)
 
