--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -273,7 +273,7 @@
         if (
             self.conn.our_state is h11.DONE
             and self.conn.their_state is h11.DONE
-            and not self.server.stopping
+            and (not self.server.stopping or self.conn.trailing_data[0])
         ):
             self.conn.start_next_cycle()
             self.before, self.latest = b"", self.conn.trailing_data[0]
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -60,6 +60,37 @@
         got = self.talk(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual((got.count(b"200"), got.index(b'"/a"') < got.index(b'"/b"')), (2, True))
 
+    def test_a_server_that_stops_answers_what_it_has_read(self):
+        world, got, servers = World(), bytearray(), []
+
+        async def handler(exchange):
+            exchange.begin(200, [("content-length", "2")])
+            await asyncio.sleep(0.5)
+            await exchange.piece(exchange.path.encode())
+            exchange.finish()
+
+        class Sink(asyncio.Protocol):
+            def data_received(self, data):
+                got.extend(data)
+
+        async def serve():
+            servers.append(HttpServer(handler))
+            await servers[0].start("10.0.0.1", 80)
+            await asyncio.sleep(0.2)
+            servers[0].closing = True
+            servers[0].stop()
+
+        async def call():
+            transport, _ = await asyncio.get_running_loop().create_connection(Sink, "10.0.0.1", 80)
+            for path in (b"/a", b"/b", b"/c"):
+                transport.write(b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n" % path)
+
+        world.start("s", "10.0.0.1", serve)
+        world.start("c", "10.0.0.2", call)
+        world.run(5)
+        self.assertEqual((got.count(b" 200 "), got[-2:]), (2, b"/b"))
+        self.assertEqual((got.lower().count(b"connection: close"), servers[0].open), (1, {}))
+
     def test_bad_input_gets_a_numbered_code_and_never_hangs(self):
         self.assertIn(b'"code":100', self.talk(b"NONSENSE\r\n\r\n"))
         self.assertIn(b'"code":100', self.talk(b"GET / HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 40000))
