--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -5,10 +5,18 @@
 import unittest
 from unittest import mock
 
+import msgspec
+
+from swiftdeck.chain.agreement import Agreement
+from swiftdeck.chain.state import ChainState
+from swiftdeck.fault import LOST_RACE as LOST_RACE_FAULT
+from swiftdeck.fault import NOT_TAIL, OLD_VIEW, is_fault
+from swiftdeck.platform import configs
 from swiftdeck.wire.mesh import HEAD, Mesh
 from swiftdeck.wire.messages import (
     NUMBERS,
     Accept,
+    ChainEntry,
     CommitAsk,
     ConfigAsk,
     CopyAsk,
@@ -22,11 +30,13 @@
     Prepare,
     Promise,
     Relay,
+    View,
     ViewLeaseAsk,
     ViewLeaseReturn,
     Write,
 )
-from tests.gateway.cases.orders import OrderStorm
+from tests.gateway.cases.orders import FIRST, OrderStorm
+from tests.gateway.orders import LOST_RACE, TAKEN, OrderTown
 
 KINDS = (
     Accept,
@@ -70,3 +80,104 @@
         for seed in (1, 2):
             with late_copies(seed):
                 self.assertEqual(OrderStorm(seed, (3, 5)[seed % 2], rounds=4).found(), [], seed)
+
+
+class OldMessagesCase(unittest.TestCase):
+    """Single messages of an earlier time, brought to the process that they were for; each with its field disregarded, too."""
+
+    def setUp(self):
+        """A site whose view is not the first, and on which two orders have been taken."""
+        self.town = OrderTown(3).start()
+        self.town.kill(self.town.member(1), back_s=3)
+        self.town.world.run(4)
+        self.town.settle()
+        self.old_view = View().parse(bytes(self.core(-1).agreement.decided))
+        self.town.kill(self.town.member(1), back_s=3)
+        self.town.world.run(4)
+        self.town.settle()
+        self.lost, self.taken = self.town.patch(5, FIRST), self.town.patch(7, FIRST)
+        self.assertEqual(self.town.send(self.taken, "core1"), TAKEN)
+        self.assertEqual(self.town.send(self.lost, "core1"), LOST_RACE)
+
+    def core(self, position):
+        """The core at a place of the view."""
+        return self.town.up[self.town.member(position)]
+
+    def bring(self, message, position, from_position):
+        """Bring a message of one member to another; gives what comes back."""
+        sender, target = self.town.member(from_position), self.core(position).me.addr
+        return self.town.world.do(sender, lambda: self.town.up[sender].mesh.ask(target, message))
+
+    def number(self):
+        """The operator's number in force at the tail."""
+        return self.core(-1).chain.state.config.document.edition["operator"].number
+
+    def write_of(self, order):
+        """The message that brought an order to the head."""
+        change_id, change = configs.items(msgspec.json.encode(order.body), order.base)
+        return Write(changeId=change_id, body=msgspec.msgpack.encode(change | {"id": change_id}))
+
+    def test_a_late_write_changes_nothing(self):
+        version = self.core(0).chain.state.stored.version
+        self.assertFalse(is_fault(self.bring(self.write_of(self.taken), 0, -1)))
+        self.assertEqual(self.bring(self.write_of(self.lost), 0, -1).code, LOST_RACE_FAULT.code)
+        self.town.world.run(1)
+        self.assertEqual((self.core(-1).chain.state.stored.version, self.number()), (version, 7))
+        with mock.patch.object(ChainState, "_outpaced", lambda self, change: None):
+            self.assertFalse(is_fault(self.bring(self.write_of(self.lost), 0, -1)))
+        self.town.world.run(1)
+        self.assertEqual(self.number(), 5)
+
+    def late_pass(self):
+        """An entry of an earlier view, one past the last that the tail has."""
+        tail, made = self.core(-1).chain, self.town.patch(9, 7)
+        change_id, change = configs.items(msgspec.json.encode(made.body), made.base)
+        entry = tail.state.examine(change | {"id": change_id})
+        entries = [ChainEntry(serial=tail.serial + 1, body=msgspec.msgpack.encode(entry))]
+        return Pass(view=self.old_view.number, entries=entries, last=tail.serial + 1)
+
+    def test_a_late_pass_of_an_earlier_view_is_not_taken(self):
+        late = self.late_pass()
+        self.assertEqual(self.bring(late, -1, -2).code, OLD_VIEW.code)
+        self.assertEqual(self.number(), 7)
+        late.view = self.core(-1).agreement.decided.number
+        self.assertFalse(is_fault(self.bring(late, -1, -2)))
+        self.assertEqual(self.number(), 9)
+
+    def test_late_ballots_and_views_change_nothing(self):
+        voter, decided = self.core(-1).agreement, self.core(-1).agreement.decided
+        low, view = 1 << 32, View(number=decided.number + 1, members=decided.members[:1])
+        self.assertTrue(self.bring(Prepare(slot=view.number, ballot=9 << 32), -1, 0).granted)
+        for late in (
+            Prepare(slot=view.number, ballot=low),
+            Accept(slot=view.number, ballot=low, view=view),
+            Prepare(slot=decided.number, ballot=99 << 32),
+            Accept(slot=decided.number, ballot=99 << 32, view=self.old_view),
+        ):
+            self.assertFalse(self.bring(late, -1, 0).granted)
+        self.bring(Decided(view=self.old_view), -1, 0)
+        self.assertEqual((voter.decided.number, voter.slot.accepted), (decided.number, None))
+        self.assertEqual(voter.slot.promised, 9 << 32)
+        refusal = Agreement._refusal
+        with mock.patch.object(Agreement, "_refusal", lambda self, ask, _: refusal(self, ask, 0)):
+            late = Accept(slot=view.number, ballot=low, view=view)
+            self.assertTrue(self.bring(late, -1, 0).granted)
+
+    def test_late_questions_under_an_earlier_view_get_no_word(self):
+        number, core_id = self.old_view.number, self.core(0).agreement.coreId
+        got = self.bring(ViewLeaseAsk(number=number, coreId=core_id), -1, 0)
+        self.assertFalse(got.granted)
+        ask = CommitAsk(view=number, serial=1, wait_ms=1)
+        self.assertEqual(self.bring(ask, -1, 0).code, NOT_TAIL.code)
+        ask.view = self.core(-1).agreement.decided.number
+        self.assertFalse(is_fault(self.bring(ask, -1, 0)))
+        join = JoinAsk(coreId="new", addr="10.1.0.9:7000", view=number)
+        self.assertEqual(self.bring(join, -1, 0).code, OLD_VIEW.code)
+
+    def test_a_late_question_for_a_lease_does_not_take_back_what_a_router_has(self):
+        lease, tail = self.town.up["router1"].lease, self.core(-1).chain
+        self.town.world.run(1)
+        held = tail.holders[lease.router].held
+        late = LeaseAsk(router=lease.router, addr=lease.me.addr, held=held - 1)
+        self.bring(late, -1, 0)
+        self.assertEqual((tail.holders[lease.router].held, held), (lease.held.version, held))
