--- a/swiftdeck/bench/worker.py
+++ b/swiftdeck/bench/worker.py
@@ -11,6 +11,8 @@
 from swiftdeck.traffic.prefix import chain_of
 
 LATE_MS = 500
+TOKENS_OF_A_PIECE = 16
+SHOWN = ("run", "call", "tenant", "group", "weights", "route")
 MARKER = re.compile(r"\[\[([^\]]*)\]\]")
 
 
@@ -156,17 +158,9 @@
         ) * self.speed
 
     async def _run(self, exchange, body):
-        run, call, parts = body["run"], body["call"], body["parts"]
-        marker = (MARKER.findall(parts[-1]) or [""])[-1]
-        shown = {
-            "run": run,
-            "call": call,
-            "tenant": body["tenant"],
-            "group": body["group"],
-            "weights": body["weights"],
-            "route": body["route"],
-            "marker": marker,
-        }
+        run, call = body["run"], body["call"]
+        marker = (MARKER.findall(body["parts"][-1]) or [""])[-1]
+        shown = {name: body[name] for name in SHOWN} | {"marker": marker}
         if body["weights"] != self.weights:
             self.record("refused", **shown)
             return OTHER_WEIGHTS
@@ -175,80 +169,61 @@
         try:
             if self.quirk == "hang":
                 await asyncio.sleep(3600)
-            chain = chain_of(body["weights"], body["group"], parts)
-            tokens = [max(1, int(len(part) * self.tokens_per_char)) for part in parts]
+            chain = chain_of(body["weights"], body["group"], body["parts"])
+            tokens = [max(1, int(len(part) * self.tokens_per_char)) for part in body["parts"]]
             async with self.engine:
-                depth = self.cache.depth(chain)
-                self.cache.touch(chain[:depth])
-                origins = sorted(
-                    {
-                        (self.cache.entries[link].tenant, self.cache.entries[link].weights)
-                        for link in chain[:depth]
-                    }
-                )
-                new = sum(tokens[depth:])
-                self.computed, self.hit_tokens = (
-                    self.computed + new,
-                    self.hit_tokens + sum(tokens[:depth]),
-                )
-                self.record(
-                    "prefill",
-                    run=run,
-                    hitParts=depth,
-                    parts=len(parts),
-                    newTokens=new,
-                    origins=origins,
-                )
-                await asyncio.sleep(self.prefill_s(sum(tokens), new))
-                if body["weights"] == self.weights:
-                    self.cache.keep(
-                        chain, [Entry(count, body["tenant"], body["weights"]) for count in tokens]
-                    )
-            whole = await self._stream(
-                exchange, run, marker, body["maxTokens"], depth, len(parts), new
-            )
+                usage = await self._prefill(run, chain, tokens, body)
+            whole = await self._stream(exchange, run, marker, body["maxTokens"], usage)
             if self.store and whole:
                 asyncio.ensure_future(self._save(chain, tokens, body))
         finally:
             self.record("ran", run=run, call=call, whole=whole, marker=marker)
 
-    async def _stream(self, exchange, run, marker, count, depth, parts, new):
-        exchange.begin(
-            200, [("content-type", "text/event-stream"), ("transfer-encoding", "chunked")]
-        )
-        pieces = max(1, count // 16)
+    async def _prefill(self, run, chain, tokens, body):
+        """Compute what the cache doesn't hold of a prompt, and keep it; returns the usage."""
+        depth = self.cache.depth(chain)
+        self.cache.touch(chain[:depth])
+        entries = [self.cache.entries[link] for link in chain[:depth]]
+        origins = sorted({(entry.tenant, entry.weights) for entry in entries})
+        new = sum(tokens[depth:])
+        self.computed += new
+        self.hit_tokens += sum(tokens[:depth])
+        usage = {"hitParts": depth, "parts": len(tokens), "newTokens": new}
+        self.record("prefill", run=run, **usage, origins=origins)
+        await asyncio.sleep(self.prefill_s(sum(tokens), new))
+        if body["weights"] == self.weights:
+            kept = [Entry(count, body["tenant"], body["weights"]) for count in tokens]
+            self.cache.keep(chain, kept)
+        return usage
+
+    async def _stream(self, exchange, run, marker, count, usage):
+        """Send the pieces of an answer, with the quirk in its middle; False when it breaks off."""
+        headers = [("content-type", "text/event-stream"), ("transfer-encoding", "chunked")]
+        exchange.begin(200, headers)
+        pieces = max(1, count // TOKENS_OF_A_PIECE)
         for seq in range(pieces):
-            await asyncio.sleep(0.01 * min(16, count) * self.speed)
-            if self.quirk == "die midway" and seq == pieces // 2:
+            await asyncio.sleep(0.01 * min(TOKENS_OF_A_PIECE, count) * self.speed)
+            quirk = self.quirk if seq == pieces // 2 else ""
+            if quirk == "die midway":
                 exchange.conversation.abort()
                 return False
-            if self.quirk == "malformed" and seq == pieces // 2:
+            if quirk == "malformed":
                 await exchange.piece(b"data: {nonsense\n\n")
-            if self.quirk == "endless line" and seq == pieces // 2:
+            if quirk == "endless line":
                 for _ in range(40):
                     await exchange.piece(b"data: " + b"x" * 20000)
-            named = "foreign-1" if self.quirk == "foreign" and seq == pieces // 2 else run
-            for _ in range(2 if self.quirk == "repeat" and seq == pieces // 2 else 1):
-                await exchange.piece(
-                    b"data: "
-                    + json.dumps({"run": named, "seq": seq, "text": f"[[{marker}]]{seq} "}).encode()
-                    + b"\n\n"
-                )
-        await exchange.piece(
-            b"data: "
-            + json.dumps(
-                {
-                    "run": run,
-                    "seq": pieces,
-                    "end": True,
-                    "usage": {"hitParts": depth, "parts": parts, "newTokens": new},
-                }
-            ).encode()
-            + b"\n\n"
-        )
+            named = "foreign-1" if quirk == "foreign" else run
+            piece = {"run": named, "seq": seq, "text": f"[[{marker}]]{seq} "}
+            for _ in range(2 if quirk == "repeat" else 1):
+                await self._send_event(exchange, piece)
+        await self._send_event(exchange, {"run": run, "seq": pieces, "end": True, "usage": usage})
         exchange.finish()
         return True
 
+    @staticmethod
+    async def _send_event(exchange, value):
+        await exchange.piece(b"data: " + json.dumps(value).encode() + b"\n\n")
+
     async def _save(self, chain, tokens, body):
         await fetch_json(
             self.store,
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -118,37 +118,41 @@
 ):
     """Run a whole site on loopback, drive its traffic, and check the records."""
     it = Fleet(folder, site, base_port, routers)
-
-    async def main():
-        it.start_all()
-        got = await it.configure()
-        typer.echo(f"configured: {got}")
-        if got is None:
-            return 1
-        if not seconds:
-            typer.echo(
-                f"serving: core {it.site.cores[0]['http']}, router {it.site.routers[0]['http']}, "
-                f"key {next(iter(it.site.keys.values()))}"
-            )
-            await asyncio.Event().wait()
-        await it.drive(seconds, faults, short_every_s)
-        return 0
-
     status = 1
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         with asyncio.Runner(loop_factory=BootLoop) as runner:
-            status = runner.run(main())
+            status = runner.run(_run_fleet(it, seconds, faults, short_every_s))
     except KeyboardInterrupt:
         status = 0
     finally:
         it.stop_all()
-    if seconds:
-        breaches, sums = it.verdict()
-        typer.echo(json.dumps(sums))
-        typer.echo(json.dumps({"breaches": breaches}, indent=1))
-        status = status or int(bool(breaches))
-    raise typer.Exit(status)
+    raise typer.Exit(_show_verdict(it, status) if seconds else status)
+
+
+async def _run_fleet(it, seconds, faults, short_every_s):
+    """Start a fleet and drive its traffic, or serve without end; returns the status."""
+    it.start_all()
+    got = await it.configure()
+    typer.echo(f"configured: {got}")
+    if got is None:
+        return 1
+    if not seconds:
+        typer.echo(
+            f"serving: core {it.site.cores[0]['http']}, router {it.site.routers[0]['http']}, "
+            f"key {next(iter(it.site.keys.values()))}"
+        )
+        await asyncio.Event().wait()
+    await it.drive(seconds, faults, short_every_s)
+    return 0
+
+
+def _show_verdict(it, status):
+    """Print sums and breaches; returns the status, which is 1 when a rule was broken."""
+    breaches, sums = it.verdict()
+    typer.echo(json.dumps(sums))
+    typer.echo(json.dumps({"breaches": breaches}, indent=1))
+    return status or int(bool(breaches))
 
 
 @app.command()
@@ -243,19 +247,19 @@
         for chain in cores
         for number in range(seed, seed + seeds)
     ]
-    with ProcessPoolExecutor(
-        jobs, max_tasks_per_child=1, mp_context=multiprocessing.get_context("spawn")
-    ) as pool:
-        rows = []
+    typer.echo("\n".join(table(_measure_fleets(work, jobs), FLEET_COLUMNS)))
+
+
+def _measure_fleets(work, jobs):
+    """The rows of some fleets; shows what each sent by kind as soon as it is measured."""
+    context, rows = multiprocessing.get_context("spawn"), []
+    with ProcessPoolExecutor(jobs, max_tasks_per_child=1, mp_context=context) as pool:
         for fresh in pool.map(fleet_rows, work):
             rows += fresh
             for row in fresh:
-                typer.echo(
-                    json.dumps(
-                        {name: row[name] for name in ("role", "routers", "cores", "sentByKind")}
-                    )
-                )
-    typer.echo("\n".join(table(rows, FLEET_COLUMNS)))
+                shown = {name: row[name] for name in ("role", "routers", "cores", "sentByKind")}
+                typer.echo(json.dumps(shown))
+    return rows
 
 
 def main():
