--- /dev/null
+++ b/tests/config/test_outward_names.py
@@ -0,0 +1,128 @@
+"""Tests of the names that settings files and configuration documents use."""
+
+import unittest
+
+import msgspec
+
+from swiftdeck.config.document import (
+    Backing,
+    Document,
+    Edition,
+    Limits,
+    Model,
+    Path,
+    Route,
+    Service,
+    Tenant,
+)
+from swiftdeck.config.settings import Settings
+
+NAMES = {
+    Settings: [
+        "name",
+        "inner",
+        "http",
+        "opsHttp",
+        "seeds",
+        "zone",
+        "dataFolder",
+        "platform",
+        "store",
+        "cores",
+        "founders",
+        "mayFound",
+        "lossesBorne",
+        "operatorKey",
+        "probeMs",
+        "suspectMs",
+        "viewLicenceMs",
+        "configLicenceMs",
+        "ackWaitMs",
+        "dutyLicenceMs",
+        "listMs",
+        "listOldMs",
+        "holdMs",
+        "holdLicenceMs",
+        "grantMs",
+        "stopMs",
+        "virtualPlaces",
+        "placesWeighed",
+        "budgetShare",
+        "budgetExtra",
+        "claimKeepMs",
+        "claimsMost",
+        "callsOpen",
+        "bodyBytes",
+        "archive",
+        "renewMs",
+        "episodeTokens",
+        "connectMs",
+        "budgetWindowMs",
+        "oldWeightsMs",
+        "orderLeaseMs",
+        "leaveMs",
+        "partsMost",
+    ],
+    Document: ["models", "tenants", "routes", "services", "paths", "limits", "edition"],
+    Model: [
+        "weights",
+        "cap",
+        "idleMs",
+        "pauseMs",
+        "lineMax",
+        "adapts",
+        "capLeast",
+        "fetchMs",
+        "fetches",
+        "fetchLeast",
+    ],
+    Tenant: ["keys", "apart", "urgency", "told"],
+    Route: [
+        "model",
+        "repeatable",
+        "single",
+        "tenants",
+        "waitMs",
+        "horizonMs",
+        "firstPieceMs",
+        "pieceMs",
+    ],
+    Service: [
+        "models",
+        "healthPath",
+        "connectionsMost",
+        "slots",
+        "cacheTokens",
+        "tokenBytes",
+        "networkMbps",
+        "followersMost",
+        "storeAddr",
+        "zone",
+        "told",
+    ],
+    Backing: ["service", "share"],
+    Path: [
+        "host",
+        "prefix",
+        "services",
+        "timeoutMs",
+        "targetMs",
+        "urgency",
+        "tries",
+        "public",
+        "streaming",
+        "repeatable",
+        "resumable",
+        "gapMs",
+        "told",
+    ],
+    Limits: ["headBytes", "bodyBytes", "headWaitMs", "idleMs", "told"],
+    Edition: ["number", "keyed", "walls", "told"],
+}
+
+
+class OutwardNamesTest(unittest.TestCase):
+    def test_the_names_that_operators_write_stay_whatever_the_attributes_are_called(self):
+        for struct, names in NAMES.items():
+            fields = [field.encode_name for field in msgspec.structs.fields(struct)]
+            self.assertEqual(fields, names, struct.__name__)
