--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -218,9 +218,15 @@
         self._lose(action.core, True, True)
         self._later(action.for_s, lambda: self.start(action.core))
 
+    def _outage(self, action):
+        self._all_lose_power(action, wiped="")
+
     def _blackout(self, action):
+        self._all_lose_power(action, wiped=action.core)
+
+    def _all_lose_power(self, action, wiped):
         for name in self.present():
-            self._lose(name, True, name == action.core)
+            self._lose(name, True, name == wiped)
             self._later(action.for_s, lambda name=name: self.start(name))
 
     def _replace(self, action):
@@ -236,14 +242,19 @@
         for core in self.running().values():
             core.membership.set_seeds(self.core_addrs()[:SEEDS_TOLD])
 
-    def _cut_off(self, action, both):
-        others = [ip for name, ip in self.ips.items() if name != action.core]
+    def _cut_off(self, action, both, others=()):
+        others = others or [ip for name, ip in self.ips.items() if name != action.core]
         pairs = self.net.cut([self.ips[action.core]], others, both)
         self._later(action.for_s, lambda: self.net.heal(pairs))
 
     def _cut(self, action):
         self._cut_off(action, True)
 
+    def _link(self, action):
+        present = self.present()
+        after = present[(present.index(action.core) + 1) % len(present)]
+        self._cut_off(action, True, [self.ips[after]])
+
     def _mute(self, action):
         self._cut_off(action, False)
 
--- a/swiftdeck/sim/model/explore.py
+++ b/swiftdeck/sim/model/explore.py
@@ -18,11 +18,12 @@
 
 @attrs.frozen
 class Played:
-    """What is kept of one run: its verdict, and a digest of the state at each of its points."""
+    """What is kept of one run: its verdict, the states at its points, and how many strikes came."""
 
     schedule: Schedule
     faults: tuple[str, ...]
     states: tuple[bytes, ...]
+    strikes: int = 0
 
 
 @attrs.define
@@ -72,7 +73,7 @@
     """Play a schedule and keep its verdict and the states that it went through."""
     outcome = play(schedule)
     states = (hashlib.blake2b(each, digest_size=DIGEST_BYTES).digest() for each in outcome.states)
-    return Played(schedule, tuple(outcome.told()), tuple(states))
+    return Played(schedule, tuple(outcome.told()), tuple(states), len(outcome.applied))
 
 
 def _group(kind):
--- a/swiftdeck/sim/model/schedule.py
+++ b/swiftdeck/sim/model/schedule.py
@@ -15,7 +15,9 @@
     WIPE = "wipe"
     REPLACE = "replace"
     BLACKOUT = "blackout"
+    OUTAGE = "outage"
     CUT = "cut"
+    LINK = "link"
     MUTE = "mute"
     RESET = "reset"
     FREEZE = "freeze"
@@ -23,9 +25,9 @@
 
 
 LOSES_DISK = frozenset({Kind.WIPE, Kind.REPLACE, Kind.BLACKOUT})
-ON_THE_NETWORK = frozenset({Kind.CUT, Kind.MUTE})
-LASTING = frozenset({Kind.CUT, Kind.MUTE, Kind.FREEZE, Kind.STALL})
-CRASHES = frozenset({Kind.KILL, Kind.POWER, Kind.WIPE, Kind.BLACKOUT})
+ON_THE_NETWORK = frozenset({Kind.CUT, Kind.LINK, Kind.MUTE})
+LASTING = frozenset({Kind.CUT, Kind.LINK, Kind.MUTE, Kind.FREEZE, Kind.STALL})
+CRASHES = frozenset({Kind.KILL, Kind.POWER, Kind.WIPE, Kind.BLACKOUT, Kind.OUTAGE})
 REPLACEMENTS = frozenset({Kind.REPLACE})
 
 
@@ -33,7 +35,8 @@
 class Action:
     """One fault of one core, and how long until the core is back or well.
 
-    A blackout takes the power of all cores and the disk of one of them.
+    A blackout takes the power of all cores and the disk of this one, an outage only the power. A cut parts the core from all
+    others, a link from the next one alone; a mute core hears the others, who don't hear it.
     """
 
     kind: Kind
--- a/tests/sim/model/test_model.py
+++ b/tests/sim/model/test_model.py
@@ -1,4 +1,4 @@
-"""Tests of the model: the same run every time, its exploration and drawing with fixed seeds, and its commands."""
+"""Tests of the model: the same run every time, and its searches with fixed seeds."""
 
 import unittest
 
