--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -16,7 +16,6 @@
 CATCH_UP_S = 4.0
 SEEDS_TOLD = 3
 CLIENTS = {"operators": "10.9.0.1", "reader": "10.9.0.2", "router": "10.9.0.3"}
-STALL_S = 1.2
 
 
 class AckWatch(OperatorDoor):
@@ -219,9 +218,15 @@
         self._lose(action.core, True, True)
         self._later(action.for_s, lambda: self.start(action.core))
 
+    def _outage(self, action):
+        self._all_lose_power(action, wiped="")
+
     def _blackout(self, action):
+        self._all_lose_power(action, wiped=action.core)
+
+    def _all_lose_power(self, action, wiped):
         for name in self.present():
-            self._lose(name, True, name == action.core)
+            self._lose(name, True, name == wiped)
             self._later(action.for_s, lambda name=name: self.start(name))
 
     def _replace(self, action):
@@ -237,14 +242,19 @@
         for core in self.running().values():
             core.membership.set_seeds(self.core_addrs()[:SEEDS_TOLD])
 
-    def _cut_off(self, action, both):
-        others = [ip for name, ip in self.ips.items() if name != action.core]
+    def _cut_off(self, action, both, others=()):
+        others = others or [ip for name, ip in self.ips.items() if name != action.core]
         pairs = self.net.cut([self.ips[action.core]], others, both)
         self._later(action.for_s, lambda: self.net.heal(pairs))
 
     def _cut(self, action):
         self._cut_off(action, True)
 
+    def _link(self, action):
+        present = self.present()
+        after = present[(present.index(action.core) + 1) % len(present)]
+        self._cut_off(action, True, [self.ips[after]])
+
     def _mute(self, action):
         self._cut_off(action, False)
 
@@ -267,8 +277,8 @@
 
     def _stall(self, action):
         folder = self.folders[action.core]
-        folder.stallS = STALL_S
-        self._later(action.for_s, lambda: setattr(folder, "stallS", 0.0))
+        folder.stall_s = action.for_s
+        self._later(action.for_s, lambda: setattr(folder, "stall_s", 0.0))
 
     def begin(self, name, make):
         """Begin a coroutine in a client's process; gives its task."""
