--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -528,18 +528,23 @@
         return await self.owner.send(self._copy_from, addr)
 
     async def on_outcome_ask(self, ask, sender):
-        end_s, known, serial = self.loop.time() + min(ask.waitMs, 30000) / 1000, None, self.serial
+        """What became of a change, once this tail's own disk has all that was applied when it was found."""
+        end_s, found, serial = self.loop.time() + min(ask.waitMs, 30000) / 1000, None, 0
         while True:
             if not self.may_tell() or not self._has_copies():
                 return NOT_TAIL
-            found = self._outcome(ask.changeId) if known is None else known
-            if found is not None and self.synced >= serial:
+            if found is None:
+                found, serial = self._outcome(ask.changeId), self.serial
+            if found is not None and self._is_synced(serial):
                 return found
-            known, serial = found, self.serial if known is None else serial
             if self.loop.time() >= end_s:
                 return UNKNOWN_CHANGE.because(ask.changeId)
             await self._await_commit(min(end_s, self._ack_s(ask.changeId)))
 
+    def _is_synced(self, serial):
+        """Whether a loss of power takes back no entry up to a serial here."""
+        return self.synced >= serial
+
     def _outcome(self, changeId):
         stored = self.state.stored
         if changeId in stored.batches:
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -176,6 +176,24 @@
             self.orders_at_a_head_whose_disk_hangs,
         )
 
+    def order_at_a_tail_whose_disk_hangs(self, cores=3):
+        """No router holds a lease, so the tail's own disk is all that an acknowledgement has to wait for."""
+        town = OrderTown(1, cores, routers=0).start()
+        town.world.run(4)
+        tail = town.member(-1)
+        town.folders[tail].stall_s = 0.6
+        town.send(town.patch(5, FIRST), "core1")
+        town.read("core1")
+        return town.wrong()
+
+    def test_the_tail_acknowledges_nothing_that_its_own_disk_has_not(self):
+        for cores in (3, 5):
+            self.assertEqual(self.order_at_a_tail_whose_disk_hangs(cores), [])
+        self.assert_falls_without(
+            mock.patch.object(Chain, "_is_synced", lambda self, serial: True),
+            self.order_at_a_tail_whose_disk_hangs,
+        )
+
     def test_storms_of_operators_on_one_number(self):
         for seed in range(1, 4):
             self.assertEqual(OrderStorm(seed, (3, 5)[seed % 2]).found(), [], seed)
