--- /dev/null
+++ b/tests/sim/model/test_finds.py
@@ -0,0 +1,24 @@
+"""Schedules that once broke something: they stand now."""
+
+import unittest
+
+from swiftdeck.sim.model.run import play
+from swiftdeck.sim.model.schedule import Schedule, read_strike
+
+
+class FindsTest(unittest.TestCase):
+    """One schedule for each find."""
+
+    def assert_stands(self, *strikes):
+        """A schedule of two rival orders breaks nothing."""
+        found = Schedule(strikes=tuple(read_strike(each) for each in strikes))
+        self.assertEqual(play(found).told(), [], found.command())
+
+    def test_a_refusal_rests_on_an_order_in_force(self):
+        """The head refused a rival for the sake of an order that reads did not show yet."""
+        for strike in ("0:kill:core2:0.3", "10:kill:core2:0.3", "10:cut:core2:2.5"):
+            self.assert_stands(strike)
+
+    def test_a_run_comes_to_its_end(self):
+        """A listener's answer to a connection that was not up yet stopped the simulated clock."""
+        self.assert_stands("3:kill:core1:0.3")
