--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -210,6 +210,20 @@
         self._lose(action.core, False, False)
         self._later(action.for_s, lambda: self.start(action.core))
 
+    def _leave(self, action):
+        """The process is told to end, ends by itself, and is started again."""
+        name, loop = action.core, self.world.loops.get(action.core)
+        if name not in self.running():
+            return
+        core = self.up[name]
+
+        async def stop():
+            await core.stop()
+            self.world.at(0, lambda: self.world.loops.get(name) is loop and self.world.kill(name))
+            self._later(action.for_s, lambda: self.start(name))
+
+        self.world._within(loop, lambda: setattr(loop, "leaving", loop.create_task(stop())))
+
     def _power(self, action):
         self._lose(action.core, True, False)
         self._later(action.for_s, lambda: self.start(action.core))
--- a/swiftdeck/sim/model/schedule.py
+++ b/swiftdeck/sim/model/schedule.py
@@ -11,6 +11,7 @@
     """What may strike a core."""
 
     KILL = "kill"
+    LEAVE = "leave"
     POWER = "power"
     WIPE = "wipe"
     REPLACE = "replace"
@@ -27,7 +28,7 @@
 LOSES_DISK = frozenset({Kind.WIPE, Kind.REPLACE, Kind.BLACKOUT})
 ON_THE_NETWORK = frozenset({Kind.CUT, Kind.LINK, Kind.MUTE})
 LASTING = frozenset({Kind.CUT, Kind.LINK, Kind.MUTE, Kind.FREEZE, Kind.STALL})
-CRASHES = frozenset({Kind.KILL, Kind.POWER, Kind.WIPE, Kind.BLACKOUT, Kind.OUTAGE})
+CRASHES = frozenset({Kind.KILL, Kind.LEAVE, Kind.POWER, Kind.WIPE, Kind.BLACKOUT, Kind.OUTAGE})
 REPLACEMENTS = frozenset({Kind.REPLACE})
 
 
