--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -319,7 +319,7 @@
     async def renew(self):
         """Ask the voters for the lease of the present view."""
         view, sentS, token = self.decided, self.loop.time(), self.lease_token
-        if not view.number or self.stops_serving:
+        if self.position() < 0 or self.stops_serving:
             return
         ask = ViewLeaseAsk(number=view.number, coreId=self.coreId, token=token)
         least = len(view.voters) // 2 + 1
--- a/swiftdeck/sim/model/clients.py
+++ b/swiftdeck/sim/model/clients.py
@@ -9,7 +9,7 @@
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform import configs
-from swiftdeck.platform.operator_door import CONFIG_PATH
+from swiftdeck.platform.operator_door import BASE_HEADER, CONFIG_PATH
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import LeaseAsk, Nudge
 
@@ -50,7 +50,7 @@
 
     async def send(self, order: Order) -> Attempt:
         """Send an order once."""
-        begin_s, headers = self.now(), [("If-Match", str(order.base))]
+        begin_s, headers = self.now(), [(BASE_HEADER, str(order.base))]
         got = await fetch_json(
             self._next_door(), "PUT", CONFIG_PATH, document_of(order), headers, ANSWER_MS
         )
--- /dev/null
+++ b/tests/chain/test_state_transfer.py
@@ -0,0 +1,29 @@
+"""Who gives its state to a core outside the chain."""
+
+import unittest
+
+from swiftdeck.fault import NOT_TAIL, is_fault
+from swiftdeck.sim.town import Town
+from swiftdeck.wire.messages import CopyAsk, LogAsk
+
+OUTSIDER = "0123456789abcdef"
+
+
+class StateTransferTest(unittest.TestCase):
+    def test_only_a_whole_tail_gives_its_state_to_a_core_outside_the_chain(self):
+        town = Town(4, routers=1).start()
+        cores = sorted(
+            (town.up[name] for name in town.core_names()),
+            key=lambda core: core.agreement.position(),
+        )
+        for core in cores:
+            name = next(name for name in town.core_names() if town.up[name] is core)
+
+            async def ask(transfer=core.chain.transfer):
+                copied = await transfer.on_ask(CopyAsk(coreId=OUTSIDER), "10.9.9.9:1")
+                return copied, transfer.on_log_ask(LogAsk(serial=0), "10.9.9.9:1")
+
+            copied, log = town.world.do(name, ask)
+            is_tail = core is cores[-1]
+            self.assertEqual(is_fault(copied), not is_tail, name)
+            self.assertEqual(is_fault(log) and log.code == NOT_TAIL.code, not is_tail, name)
