--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -63,7 +63,7 @@
         self.founders, self.may_found = list(founders), may_found
         self.wait_until_s = 0.0
         self.lease_until_s, self.stops_serving = -1.0, False
-        self.lease_token = self._new_token()
+        self.lease_token = 0
         self.granted_s, self.started_s, self.learned_s = {}, 0.0, 0.0
         self.hears, self.is_partial = [], lambda: False
         self.watchers, self.fault, self.troubles = [], None, []
@@ -81,6 +81,7 @@
         """Read what was kept; gives a fault when the disk cannot be trusted."""
         self.loop = asyncio.get_running_loop()
         self.started_s = self.learned_s = self.loop.time()
+        self.lease_token = self._new_token()
         try:
             records = self.journal.load()
             if is_fault(records):
@@ -313,8 +314,8 @@
         self.granted_s[ask.coreId] = recent | {ask.token: now_s}
 
     def _new_token(self):
-        """A number that no other life of this core has used, nor this one before."""
-        return self.random.getrandbits(62) + 1
+        """A number that no other life of this core has used, nor this one before: its clock's."""
+        return max(self.lease_token + 1, int(self.loop.time() * 1e9))
 
     async def renew(self):
         """Ask the voters for the lease of the present view."""
