--- a/tests/sim/model/test_removals.py
+++ b/tests/sim/model/test_removals.py
@@ -8,11 +8,10 @@
 from swiftdeck.bench.history import Clause, Violation
 from swiftdeck.chain.agreement import Agreement
 from swiftdeck.chain.chain import Chain
-from swiftdeck.fault import is_fault
+from swiftdeck.chain.state_transfer import StateTransfer
 from swiftdeck.sim.model.invariants import Invariant
 from swiftdeck.sim.model.run import play
 from swiftdeck.sim.model.schedule import Schedule, read_strike
-from swiftdeck.wire.messages import CopyAsk
 
 ONE_ORDER = (0.0,)
 
@@ -93,15 +92,13 @@
     def test_joining_without_a_copy(self):
         """An emptied core takes the number of entries over, and not the entries."""
 
-        async def uncopied(self, addr, above=-1):
-            got = await self.mesh.ask(addr, CopyAsk(coreId=self.agreement.coreId), 5000)
-            if not is_fault(got):
-                self.serial = self.synced = got.serial
-                self.fault, self.needs_copy = None, False
+        async def uninstalled(self, got):
+            self.chain.serial = self.chain.synced = got.serial
+            self.chain.fault, self.chain.needs_copy = None, False
             return got
 
         self.assert_caught(
-            mock.patch.object(Chain, "_copy_from", uncopied),
+            mock.patch.object(StateTransfer, "_install", uninstalled),
             schedule("5:wipe:core1:0.3"),
             Invariant.COPIES,
             Clause.LOST,
