--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -7,6 +7,7 @@
 import msgspec
 
 from swiftdeck.board.owner import Owner
+from swiftdeck.chain.config_updates import ConfigUpdates
 from swiftdeck.chain.state import ChainState
 from swiftdeck.chain.state_transfer import StateTransfer
 from swiftdeck.disk.journal import Journal
@@ -101,7 +102,7 @@
         self.committed_config = self.state.config
         self.fault, self.needs_copy, self.must_compare, self.is_partial = None, False, False, False
         self.whole_in, self.last_in, self.whole_since_s = 0, 0, 0.0
-        self.transfer = StateTransfer(self)
+        self.transfer, self.updates = StateTransfer(self), ConfigUpdates(board)
         self.incoming, self.committers, self.holders = [], [], {}
         self.unwritten = []
         self.known_s = {}
@@ -635,12 +636,5 @@
             version=durable.version,
             view=self.agreement.decided.number,
         )
-        digest = durable.config.digest()
-        if ask.held < durable.version or ask.digest != digest:
-            told.deltas = (
-                self.state.since(ask.held, ask.digest, durable.version) if ask.digest else None
-            ) or []
-            told.document = b"" if told.deltas else durable.config.bytes()
-            self.board.count["wholesSent"] += not told.deltas
-            told.digest = digest
+        self.updates.add(told, ask, self.state, durable)
         return told
--- a/swiftdeck/traffic/lease.py
+++ b/swiftdeck/traffic/lease.py
@@ -6,10 +6,14 @@
 import attrs
 import msgspec
 
+from swiftdeck.chain.config_updates import unpack
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.fault import INVALID, NO_LEASE, is_fault
 from swiftdeck.wire.messages import LeaseAsk, LeaseReturn, Nudge, PeekAsk, PeekReturn, Relay
 
+ASK_MS, LONG_ASK_MS = 700, 3000
+"""How long the tail may take to begin its answer, and to end one that is still coming in."""
+
 
 @attrs.frozen
 class Held:
@@ -75,11 +79,12 @@
             held=self.held.version if self.held else 0,
             hand_back=hand_back,
             digest=self.held.config.digest() if self.held and not self.must_have_whole else b"",
+            takes_packed=True,
         )
 
     async def _renew(self):
         sentS, ask, tail = self.loop.time(), self._ask(), self.cluster_map.tail()
-        got = NO_LEASE if tail is None else await self.mesh.ask(tail, ask, 700)
+        got = NO_LEASE if tail is None else await self.mesh.ask(tail, ask, ASK_MS, LONG_ASK_MS)
         if is_fault(got):
             self.cluster_map.refresh()
             sentS = self.loop.time()
@@ -90,7 +95,8 @@
                 await self._peek()
             return False
         self.failures, self.routers = 0, got.routers
-        return self._take(got, sentS)
+        told = unpack(got)
+        return False if is_fault(told) else self._take(told, sentS)
 
     async def _peek(self):
         """Take what a tail has on its disk, to serve by without a lease: it was committed once, if perhaps not last."""
@@ -169,7 +175,9 @@
 
     async def on_relay(self, relay, sender):
         tail = self.cluster_map.tail()
-        return NO_LEASE if tail is None else await self.mesh.ask(tail, relay.ask, 700)
+        return (
+            NO_LEASE if tail is None else await self.mesh.ask(tail, relay.ask, ASK_MS, LONG_ASK_MS)
+        )
 
     async def wait(self, until_s):
         """Wait for the lease, but no longer than given; whether it is held."""
--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -20,6 +20,8 @@
 FRAME_LIMIT = 64 << 20
 OPEN_LIMIT = 8192
 HEAD = struct.Struct(">HQBB")
+PART_S = 0.25
+"""How long a link may rest in the middle of a frame that still counts as coming in."""
 
 
 def split_addr(addr: str):
@@ -73,6 +75,11 @@
         self.mesh.note("link refused", code=BAD_FRAME.code, reason=reason)
         self.transport.abort()
 
+    def is_receiving(self):
+        """Whether part of a frame is here and more of it came a moment ago."""
+        is_fresh = asyncio.get_running_loop().time() - self.heard_s < 2 * PART_S
+        return bool(self.buffer) and is_fresh and not self.gone
+
     def send(self, data):
         """Put one message on the stream."""
         if self.gone or self.transport.get_write_buffer_size() > 2 * FRAME_LIMIT:
@@ -154,8 +161,13 @@
             + bytes(message)
         )
 
-    async def ask(self, addr, message, timeoutMs=1000):
-        """Send a message and give what comes back: a message or a fault; UNREACHABLE means it was never sent."""
+    async def ask(self, addr, message, timeoutMs=1000, while_heard_ms=0):
+        """Send a message and give what comes back: a message or a fault.
+
+        UNREACHABLE means that it was never sent. While part of a frame comes in on its link the
+        answer may be on its way over a narrow one: then it is waited for up to `while_heard_ms`,
+        since asking again would only put the same bytes behind the first ones.
+        """
         loop = asyncio.get_running_loop()
         start_s = loop.time()
         self.serial += 1
@@ -168,8 +180,10 @@
                 self.asked[number] = (link, done)
                 if not link.send(self._envelope(message, number)):
                     return UNREACHABLE.because("link is full")
-                return await done
+                return await asyncio.shield(done)
         except TimeoutError:
+            if link is not None and await self._comes_in(link, done, start_s, while_heard_ms):
+                return done.result()
             if link is None:
                 return UNREACHABLE.because(f"{addr}: no connection in time")
             if loop.time() - max(link.heard_s, start_s) >= min(1.0, timeoutMs / 1000):
@@ -178,6 +192,15 @@
         finally:
             self.asked.pop(number, None)
 
+    @staticmethod
+    async def _comes_in(link, done, start_s, while_heard_ms):
+        """Wait on for an answer while its link brings parts of a frame; whether it came."""
+        loop = asyncio.get_running_loop()
+        end_s = start_s + while_heard_ms / 1000
+        while not done.done() and link.is_receiving() and loop.time() < end_s:
+            await asyncio.wait([done], timeout=min(PART_S, max(0.001, end_s - loop.time())))
+        return done.done()
+
     def tell(self, addr, message):
         """Send a message without waiting for anything."""
         link = self.dialled.get(addr)
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -286,6 +286,7 @@
     held: int = bp.uint64_field(3)
     hand_back: bool = bp.bool_field(4)
     digest: bytes = bp.bytes_field(5)
+    takes_packed: bool = bp.bool_field(6)
 
 
 @message
@@ -297,6 +298,8 @@
     deltas: list[bytes] = bp.bytes_field(5)
     digest: bytes = bp.bytes_field(6)
     routers: int = bp.uint32_field(7)
+    packed: bytes = bp.bytes_field(8)
+    is_whole: bool = bp.bool_field(9)
 
 
 @message
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.fault import BAD_FRAME, UNKNOWN_KIND, UNREACHABLE
+from swiftdeck.fault import BAD_FRAME, TIMED_OUT, UNKNOWN_KIND, UNREACHABLE
 from swiftdeck.sim.world import World
 from swiftdeck.wire.mesh import HEAD, Mesh
 from swiftdeck.wire.messages import NUMBERS, Done, ListAsk, ListReturn
@@ -69,3 +69,46 @@
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
         self.assertEqual(world.do("b", ask), 5)
         self.assertEqual(meshes["b"].count["returnsMisplaced"], 2)
+
+    def slow_answer(self, while_heard_ms, piece_s):
+        """Ask over a link where the answer comes in pieces; gives what came, and after how long."""
+        world = World()
+        body = bytes(ListReturn(ageMs=5, body=b"x" * 4000))
+
+        class Slow(asyncio.Protocol):
+            def connection_made(self, transport):
+                self.transport = transport
+
+            def data_received(self, data):
+                _, exchange, _, _ = HEAD.unpack_from(data, 4)
+                frame = HEAD.pack(NUMBERS[ListReturn], exchange, True, 0) + body
+                data = len(frame).to_bytes(4, "big") + frame
+                for at in range(0, len(data), 512):
+                    piece = data[at : at + 512]
+                    delay_s = piece_s * (at // 512)
+                    asyncio.get_running_loop().call_later(delay_s, self.transport.write, piece)
+
+        async def serve():
+            await asyncio.get_running_loop().create_server(Slow, "10.0.0.1", 7000)
+
+        async def ask():
+            mesh = Mesh("10.0.0.2:7000")
+            await mesh.start()
+            start_s = asyncio.get_running_loop().time()
+            got = await mesh.ask("10.0.0.1:7000", ListAsk(), 300, while_heard_ms)
+            return got, asyncio.get_running_loop().time() - start_s
+
+        world.start("a", "10.0.0.1", serve)
+        world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
+        return world.do("b", ask)
+
+    def test_an_answer_that_still_comes_in_is_waited_for_and_no_other(self):
+        got, took_s = self.slow_answer(2000, 0.1)
+        self.assertEqual(got.ageMs, 5)
+        self.assertGreater(took_s, 0.7)
+        got, took_s = self.slow_answer(0, 0.1)
+        self.assertEqual(got.code, TIMED_OUT.code)
+        self.assertLess(took_s, 0.35)
+        got, took_s = self.slow_answer(2000, 0.9)
+        self.assertEqual(got.code, TIMED_OUT.code)
+        self.assertLess(took_s, 1.2)
