--- a/swiftdeck/bench/scale/meter.py
+++ b/swiftdeck/bench/scale/meter.py
@@ -7,14 +7,15 @@
 
 
 class MeteredWorld(World):
-    """A world that adds up the processor seconds of each simulated process."""
+    """A world that adds up the processor seconds and the wake-ups of each simulated process."""
 
     def __init__(self, seed):
         super().__init__(seed)
-        self.used_s = Counter()
+        self.used_s, self.wakes = Counter(), Counter()
 
     def _within(self, loop, action):
         start_s = time.process_time()
+        self.wakes[loop.name] += 1
         super()._within(loop, action)
         self.used_s[loop.name] += time.process_time() - start_s
 
@@ -25,15 +26,12 @@
     def __init__(self, mesh):
         self.sent, self.sent_bytes = Counter(), Counter()
         self.taken, self.taken_bytes, self.taken_s = Counter(), Counter(), Counter()
-        self.envelope, self.take = mesh._envelope, mesh.take
-        mesh._envelope, mesh.take = self._envelope, self._take
-
-    def _envelope(self, message, *more):
-        data = self.envelope(message, *more)
-        name = type(message).__name__
-        self.sent[name] += 1
-        self.sent_bytes[name] += len(data)
-        return data
+        self.take = mesh.take
+        mesh.note_sent, mesh.take = self._note_sent, self._take
+
+    def _note_sent(self, kind, data):
+        self.sent[kind] += 1
+        self.sent_bytes[kind] += len(data)
 
     def _take(self, frame, link):
         number, start_s = int.from_bytes(frame[:2], "big"), time.process_time()
--- a/swiftdeck/member/membership.py
+++ b/swiftdeck/member/membership.py
@@ -1,6 +1,7 @@
 """Who is in the fleet: probes in turn, second opinions, suspicion before removal."""
 
 import asyncio
+import hashlib
 
 import attrs
 
@@ -28,6 +29,7 @@
         self.probeMs, self.suspectMs, self.board = probeMs, suspectMs, board
         self.known, self.turn, self.waiting, self.serial = {}, [], {}, 0
         self.watchers = []
+        self.version, self.remembered = 0, {}
         mesh.on(Probe, self.on_probe)
         mesh.on(ProbeReturn, self.on_probe_return)
         mesh.on(MemberList, self.on_member_list)
@@ -40,13 +42,71 @@
             asyncio.ensure_future(self._seeking()),
         ]
 
+    def _once(self, name, find):
+        """What `find()` gives, found once for each version of the table."""
+        if self.remembered.get("version") != self.version:
+            self.remembered = {"version": self.version}
+        if name not in self.remembered:
+            self.remembered[name] = find()
+        return self.remembered[name]
+
     def alive(self, role=None):
-        """Neighbours that are not gone."""
-        return [
-            each.member
-            for each in self.known.values()
-            if each.member.state != GONE and (role is None or each.member.role == role)
-        ]
+        """Neighbours that are not gone, as a tuple."""
+        return self._once(
+            ("alive", role),
+            lambda: tuple(
+                each.member
+                for each in self.known.values()
+                if each.member.state != GONE and (role is None or each.member.role == role)
+            ),
+        )
+
+    def reachable(self, role=None, zone=None):
+        """Addresses of neighbours, of one zone or of all, that are neither gone nor suspected."""
+        return self._once(
+            ("reachable", role, zone),
+            lambda: tuple(
+                each.addr
+                for each in self.alive(role)
+                if each.state == ALIVE and zone in (None, each.zone)
+            ),
+        )
+
+    def relays(self, role):
+        """By zone the first address of a role that isn't suspected; this process counts too."""
+        return self._once(("relays", role), lambda: self._relays(role))
+
+    def _relays(self, role):
+        own = [self.me] if self.me.role == role else []
+        found = {}
+        for each in [*own, *(each for each in self.alive(role) if each.state == ALIVE)]:
+            found[each.zone] = min(each.addr, found.get(each.zone, each.addr))
+        return found
+
+    def addresses(self, role):
+        """Addresses of all of a role that are not gone, in order; this process counts too."""
+        return self._once(("addresses", role), lambda: self._in_order(role, self.alive(role)))
+
+    def ranked(self, role):
+        """Those addresses without the suspected ones: the first one acts for all."""
+        return self._once(
+            ("ranked", role),
+            lambda: self._in_order(role, [each for each in self.alive(role) if not each.state]),
+        )
+
+    def _in_order(self, role, members):
+        own = [self.me.addr] if self.me.role == role else []
+        return sorted([*own, *(each.addr for each in members)])
+
+    def digest(self):
+        """A number that is the same where the same is known of all that are not gone."""
+        return self._once("digest", self._digest)
+
+    def _digest(self):
+        known = sorted(
+            (each.incarnation, each.refuted, each.state) for each in (self.me, *self.alive())
+        )
+        return int.from_bytes(hashlib.blake2b(repr(known).encode(), digest_size=7).digest(), "big")
 
     def some(self, count, role=None):
         """A few neighbours at random."""
@@ -68,6 +128,7 @@
         if member.incarnation == self.me.incarnation:
             if member.state != ALIVE and member.refuted >= self.me.refuted:
                 self.me.refuted = member.refuted + 1
+                self.version += 1
             return
         if is_direct:
             for other in [
@@ -80,12 +141,14 @@
         if old is None:
             if member.state != GONE:
                 self.known[member.incarnation] = Known(member, self.loop.time(), 8)
+                self.version += 1
                 self._changed(member)
             return
         newer = (member.refuted, member.state) > (old.member.refuted, old.member.state)
         if newer:
             before = old.member.state
             old.member, old.tells = member, 8
+            self.version += 1
             if before != member.state:
                 old.since_s = self.loop.time()
                 self._changed(member)
@@ -134,7 +197,20 @@
     def on_member_list(self, member_list, sender):
         for each in member_list.members:
             self.learn(each)
-        return MemberList(members=[self.me, *(each.member for each in self.known.values())])
+        if not member_list.is_told:
+            return MemberList(members=[self.me, *self._all()], digest=self.digest())
+        if member_list.digest and member_list.digest != self.digest():
+            self._tell_whole(sender, is_first=len(member_list.members) == 1)
+        return None
+
+    def _all(self):
+        return [each.member for each in self.known.values()]
+
+    def _tell_whole(self, addr, is_first):
+        """Tell a process all that is known here; it answers the first in turn if need be."""
+        digest = self.digest() if is_first else 0
+        whole = MemberList(members=[self.me, *self._all()], digest=digest, is_told=True)
+        self.mesh.tell(addr, whole)
 
     async def _reach(self, addr, waitMs, through=None):
         self.serial += 1
@@ -195,22 +271,29 @@
             lost = [each.member.addr for each in self.known.values() if each.member.state == GONE]
             targets = set(self.seeds) | set(self.random.sample(lost, min(1, len(lost))))
             targets = targets - {self.me.addr} - {each.addr for each in self.alive()}
-            some = [each.addr for each in self.some(1)]
-            await asyncio.gather(*(self._join(addr) for addr in [*sorted(targets), *some]))
+            self.compare()
+            await asyncio.gather(*(self._join(addr) for addr in sorted(targets)))
             await asyncio.sleep(0.5 if not self.alive() else 3.0)
 
     async def _join(self, addr):
+        """Tell a process that isn't known all, and learn all that it knows."""
         got = await self.mesh.ask(addr, MemberList(members=[self.me, *self.alive()]))
         if not is_fault(got) and not isinstance(got, Done):
             for each in got.members:
                 self.learn(each)
 
+    def compare(self):
+        """Send the digest to one of the others; where it differs, all that is known follows."""
+        for each in self.some(1):
+            digest = MemberList(members=[self.me], digest=self.digest(), is_told=True)
+            self.mesh.cast(each.addr, digest)
+
     def leave(self):
         """Say that this process ends, so that nobody has to find out."""
         gone = Member().parse(bytes(self.me))
         gone.state = GONE
-        for each in self.alive():
-            self.mesh.cast(each.addr, MemberList(members=[gone]))
+        addrs = [each.addr for each in self.alive()]
+        self.mesh.cast_all(addrs, MemberList(members=[gone], is_told=True))
 
     def set_seeds(self, seeds):
         """Exchange the seeds at run time."""
--- a/swiftdeck/member/news.py
+++ b/swiftdeck/member/news.py
@@ -2,7 +2,6 @@
 
 import asyncio
 
-from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import News, NewsDigest, NewsItem
 
 
@@ -37,9 +36,9 @@
 
     def on_digest(self, digest, sender):
         theirs = dict(zip(digest.keys, digest.stamps, strict=False))
-        return News(
-            items=[item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)]
-        )
+        fresh = [item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)]
+        if fresh:
+            self.mesh.tell(sender, News(items=fresh))
 
     def _take(self, items, sender=None):
         fresh = [
@@ -60,12 +59,6 @@
     async def _mending(self):
         while True:
             await asyncio.sleep(self.digest_ms / 1000)
+            stamps = [item.stamp for item in self.items.values()]
             for each in self.membership.some(1):
-                got = await self.mesh.ask(
-                    each.addr,
-                    NewsDigest(
-                        keys=list(self.items), stamps=[item.stamp for item in self.items.values()]
-                    ),
-                )
-                if isinstance(got, News) and not is_fault(got):
-                    self._take(got.items, each.addr)
+                self.mesh.cast(each.addr, NewsDigest(keys=list(self.items), stamps=stamps))
--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -1,6 +1,7 @@
 """Links between processes: framed messages over TCP, single ones over UDP."""
 
 import asyncio
+import functools
 import inspect
 import struct
 from collections import Counter
@@ -20,8 +21,10 @@
 FRAME_LIMIT = 64 << 20
 OPEN_LIMIT = 8192
 HEAD = struct.Struct(">HQBB")
+LENGTH = struct.Struct(">I")
 
 
+@functools.lru_cache(4096)
 def split_addr(addr: str):
     """The IP and the port of "ip:port"."""
     ip, _, port = addr.rpartition(":")
@@ -56,7 +59,7 @@
         self.buffer += data
         at = 0
         while len(self.buffer) - at >= 4:
-            length = int.from_bytes(self.buffer[at : at + 4], "big")
+            (length,) = LENGTH.unpack_from(self.buffer, at)
             if length > FRAME_LIMIT:
                 return self.refuse("frame over the limit")
             if len(self.buffer) - at - 4 < length:
@@ -77,7 +80,7 @@
         """Put one message on the stream."""
         if self.gone or self.transport.get_write_buffer_size() > 2 * FRAME_LIMIT:
             return False
-        self.transport.write(len(data).to_bytes(4, "big") + data)
+        self.transport.write(LENGTH.pack(len(data)) + data)
         return True
 
     def connection_lost(self, error):
@@ -97,11 +100,11 @@
     """The inner endpoint of a process: asks neighbours, tells them, and hands what comes to its handlers."""
 
     def __init__(self, addr, note=lambda *_, **__: None):
-        self.addr, self.note = addr, note
+        self.addr, self.note, self.sender = addr, note, addr.encode()
         self.links, self.dialled, self.dialling = {}, {}, {}
         self.asked, self.serial = {}, 0
         self.handlers = {}
-        self.count = Counter()
+        self.count, self.sent, self.sent_bytes = Counter(), Counter(), Counter()
         self.server = self.datagrams = None
 
     async def start(self):
@@ -147,12 +150,8 @@
             self.dialling.pop(addr, None)
 
     def _envelope(self, message, exchange=0, is_return=False):
-        sender = self.addr.encode()
-        return (
-            HEAD.pack(NUMBERS[type(message)], exchange, is_return, len(sender))
-            + sender
-            + bytes(message)
-        )
+        head = HEAD.pack(NUMBERS[type(message)], exchange, is_return, len(self.sender))
+        return b"".join((head, self.sender, bytes(message)))
 
     async def ask(self, addr, message, timeoutMs=1000):
         """Send a message and give what comes back: a message or a fault; UNREACHABLE means it was never sent."""
@@ -166,7 +165,9 @@
                 if is_fault(link):
                     return link
                 self.asked[number] = (link, done)
-                if not link.send(self._envelope(message, number)):
+                data = self._envelope(message, number)
+                self.note_sent(type(message).__name__, data)
+                if not link.send(data):
                     return UNREACHABLE.because("link is full")
                 return await done
         except TimeoutError:
@@ -180,23 +181,42 @@
 
     def tell(self, addr, message):
         """Send a message without waiting for anything."""
-        link = self.dialled.get(addr)
-        if link and not link.gone:
-            link.send(self._envelope(message))
-        else:
-            asyncio.ensure_future(self._tell_later(addr, message))
-
-    async def _tell_later(self, addr, message):
+        self.tell_all((addr,), message)
+
+    def tell_all(self, addrs, message):
+        """Send a message to many without waiting for anything; it is written out once."""
+        kind, data = type(message).__name__, self._envelope(message)
+        for addr in addrs:
+            self.note_sent(kind, data)
+            link = self.dialled.get(addr)
+            if link and not link.gone:
+                link.send(data)
+            else:
+                asyncio.ensure_future(self._tell_later(addr, data))
+
+    async def _tell_later(self, addr, data):
         link = await self._link(addr)
         if not is_fault(link):
-            link.send(self._envelope(message))
+            link.send(data)
 
     def cast(self, addr, message):
         """Send a message as one datagram; it may be lost."""
-        try:
-            self.datagrams.sendto(self._envelope(message), split_addr(addr))
-        except (OSError, ValueError):
-            self.count["castsFailed"] += 1
+        self.cast_all((addr,), message)
+
+    def cast_all(self, addrs, message):
+        """Send a message to many as datagrams; it is written out once."""
+        kind, data = type(message).__name__, self._envelope(message)
+        for addr in addrs:
+            self.note_sent(kind, data)
+            try:
+                self.datagrams.sendto(data, split_addr(addr))
+            except (OSError, ValueError):
+                self.count["castsFailed"] += 1
+
+    def note_sent(self, kind, data):
+        """Account for one message on its way."""
+        self.sent[kind] += 1
+        self.sent_bytes[kind] += len(data)
 
     def take(self, frame, link):
         """Handle one arrived frame; false when it does not parse.
@@ -269,7 +289,10 @@
             return
         if is_fault(got):
             got = FaultReturn(code=got.code, reason=got.reason, retry_ms=got.retry_ms)
-        link.send(self._envelope(got if got is not None else Done(), exchange, True))
+        answer = got if got is not None else Done()
+        data = self._envelope(answer, exchange, True)
+        self.note_sent(type(answer).__name__, data)
+        link.send(data)
 
 
 class Datagrams(asyncio.DatagramProtocol):
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -78,7 +78,11 @@
 
 @message
 class MemberList(Wire):
+    """What a process knows of others, and its digest; one that is told is answered only where that differs."""
+
     members: list[Member] = bp.message_field(1)
+    digest: int = bp.uint64_field(2)
+    is_told: bool = bp.bool_field(3)
 
 
 @message
--- a/tests/member/test_membership.py
+++ b/tests/member/test_membership.py
@@ -54,3 +54,58 @@
         world.start("n4", "10.0.0.5", process(4))
         world.run(8)
         self.assertEqual([len(each.alive()) for each in found.values()], [4] * 5)
+
+    def exchanged(self, world, found, seconds):
+        """Bytes of neighbours exchanged by all within some seconds."""
+        before = sum(each.mesh.sent_bytes["MemberList"] for each in found.values())
+        world.run(seconds)
+        return sum(each.mesh.sent_bytes["MemberList"] for each in found.values()) - before
+
+    def test_all_that_is_known_is_exchanged_only_where_it_differs(self):
+        per_node = {}
+        for count in (8, 32):
+            world, found, _ = self.build(count)
+            world.run(12)
+            self.assertEqual(len({each.digest() for each in found.values()}), 1)
+            per_node[count] = self.exchanged(world, found, 12) / count
+        self.assertGreater(per_node[8], 0)
+        self.assertLess(per_node[32], 1.2 * per_node[8])
+
+    def test_who_missed_something_learns_it_from_an_exchange(self):
+        world, found, _ = self.build(4)
+        world.run(6)
+        stranger = Member(addr="10.0.9.9:7000", name="s", role="router", incarnation=99)
+        one = found[0]
+        one.learn(stranger)
+        for each in one.known.values():
+            each.tells = 0
+        self.assertNotEqual(one.digest(), found[1].digest())
+        self.compare(world, found[1], one)
+        self.assertIn(99, found[1].known)
+        one.known.pop(99)
+        one.version += 1
+        self.compare(world, found[1], one)
+        self.assertIn(99, one.known)
+
+    def compare(self, world, asker, other):
+        """Let one process compare with another."""
+
+        async def main():
+            asker.some = lambda count, role=None: [other.me]
+            asker.compare()
+
+        world.do("n1", main)
+        world.run(0.1)
+
+    def test_what_is_remembered_of_the_table_follows_it(self):
+        world, found, _ = self.build(5)
+        world.run(5)
+        one = found[1]
+        self.assertEqual(one.addresses("router"), [f"10.0.0.{n}:7000" for n in range(1, 6)])
+        self.assertIs(one.addresses("router"), one.addresses("router"))
+        world.kill("n0", silent=True)
+        world.run(1.9)
+        self.assertNotIn("10.0.0.1:7000", one.ranked("router"))
+        self.assertNotIn("10.0.0.1:7000", one.reachable())
+        world.run(8)
+        self.assertNotIn("10.0.0.1:7000", one.addresses("router"))
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -69,3 +69,33 @@
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
         self.assertEqual(world.do("b", ask), 5)
         self.assertEqual(meshes["b"].count["returnsMisplaced"], 2)
+
+    def test_what_many_are_told_is_written_out_once(self):
+        world, heard, written = World(), [], []
+        addrs = [f"10.0.0.{at}:7000" for at in (2, 3, 4)]
+
+        def listens(addr):
+            async def main():
+                mesh = Mesh(addr)
+                mesh.on(ListReturn, lambda message, sender: heard.append((addr, message.ageMs)))
+                await mesh.start()
+
+            return main
+
+        async def tell():
+            mesh = Mesh("10.0.0.1:7000")
+            write = mesh._envelope
+            mesh._envelope = lambda *what: written.append(what) or write(*what)
+            await mesh.start()
+            mesh.tell_all(addrs, ListReturn(ageMs=1))
+            mesh.cast_all(addrs, ListReturn(ageMs=2))
+            await asyncio.sleep(0.5)
+            return dict(mesh.sent), mesh.sent_bytes["ListReturn"]
+
+        for at, addr in enumerate(addrs, 2):
+            world.start(addr, f"10.0.0.{at}", listens(addr))
+        world.start("a", "10.0.0.1", lambda: asyncio.sleep(0))
+        sent, size = world.do("a", tell)
+        self.assertEqual(sorted(heard), [(addr, age) for addr in addrs for age in (1, 2)])
+        self.assertEqual((len(written), sent), (2, {"ListReturn": 6}))
+        self.assertGreater(size, 0)
