--- a/swiftdeck/bench/scale/hollow.py
+++ b/swiftdeck/bench/scale/hollow.py
@@ -16,6 +16,7 @@
 from swiftdeck.config.settings import Settings
 from swiftdeck.control.node import Node
 from swiftdeck.gateway.admission import Admission
+from swiftdeck.gateway.broadcast import Broadcast
 from swiftdeck.gateway.following import Following
 from swiftdeck.gateway.interfaces import Kept, Reports
 from swiftdeck.gateway.kept import KeptTable
@@ -76,6 +77,7 @@
         self.lease = ConfigLease(
             self.me, self.mesh, self.membership, self.cluster_map, self.board, settings.renewMs
         )
+        self.broadcast = Broadcast(self.me, self.mesh, self.membership, self.board)
         self.admission = Admission(
             self.me,
             self.mesh,
@@ -83,10 +85,9 @@
             self.worker_registry,
             self.board,
             lambda worker: WORKER_TOKENS,
+            self.broadcast,
         )
-        self.following = Following(
-            self.admission, self.mesh, self.membership, self.kept, caches, self.board
-        )
+        self.following = Following(self.admission, self.broadcast, self.kept, caches, self.board)
         self.admission.on_read = self.following.will_keep
         self.listing = Listing(
             self.me,
--- a/swiftdeck/bench/scale/table.py
+++ b/swiftdeck/bench/scale/table.py
@@ -9,6 +9,7 @@
     "takenS",
     "sentBytesS",
     "takenBytesS",
+    "wakesS",
     "cpuMsS",
     "changeMs",
     "goneMs",
--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -19,6 +19,7 @@
         worker_registry,
         board,
         memory_of,
+        broadcast,
         on_read=lambda worker, salt, parts, sizes, is_cold: None,
     ):
         self.me, self.mesh, self.membership, self.worker_registry, self.board = (
@@ -28,11 +29,11 @@
             worker_registry,
             board,
         )
-        self.memory_of, self.on_read = memory_of, on_read
+        self.memory_of, self.broadcast, self.on_read = memory_of, broadcast, on_read
         self.owners, self.asked = Owners(), {}
         mesh.on(PlaceAsk, self.on_place_ask, True)
         mesh.on(PlaceEnd, self.on_place_end)
-        mesh.on(LoadNews, self.on_load_news)
+        broadcast.on(LoadNews, self.on_load_news)
 
     def start(self):
         """Keep books."""
@@ -43,7 +44,7 @@
 
     def routers(self):
         """Addresses of all routers that are not gone."""
-        return sorted([self.me.addr, *(each.addr for each in self.membership.alive("router"))])
+        return self.membership.addresses("router")
 
     def owner(self, worker: str) -> str:
         """The address of the router that owns a worker's book."""
@@ -131,9 +132,7 @@
         """All routers should know how much is to be read at a worker."""
         news = LoadNews(worker=worker, backlog=min(int(backlog), 1 << 31), running=running)
         self.on_load_news(news, "")
-        for each in self.membership.alive("router"):
-            if not each.state:
-                self.mesh.cast(each.addr, news)
+        self.broadcast.tell(news)
 
     def on_load_news(self, news, sender):
         worker = self.worker_registry.workers.get(news.worker)
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -11,11 +11,11 @@
 class Following:
     """One follower for each cache in the whole fleet; a gap or a new epoch means that what was known is forgotten."""
 
-    def __init__(self, admission, mesh, membership, kept, source, board):
-        self.admission, self.mesh, self.membership = admission, mesh, membership
+    def __init__(self, admission, broadcast, kept, source, board):
+        self.admission, self.broadcast = admission, broadcast
         self.kept, self.source, self.board = kept, source, board
         self.tasks, self.shared, self.stores = {}, {}, []
-        mesh.on(KeptNews, self.on_news)
+        broadcast.on(KeptNews, self.on_news)
 
     def start(self):
         """Follow what is owned here."""
@@ -113,9 +113,7 @@
 
     def _tell_all(self, news):
         self.on_news(news, "")
-        for each in self.membership.alive("router"):
-            if not each.state:
-                self.mesh.tell(each.addr, news)
+        self.broadcast.tell(news)
 
     def on_news(self, news, sender):
         if news.is_expected:
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -8,6 +8,7 @@
 from swiftdeck.control.node import Node
 from swiftdeck.fault import BAD_OPERATOR, NO_LEASE, NO_ROUTE, NOT_FOUND, UNKNOWN_KEY, is_fault
 from swiftdeck.gateway.admission import Admission
+from swiftdeck.gateway.broadcast import Broadcast
 from swiftdeck.gateway.following import Following
 from swiftdeck.gateway.health import Judge
 from swiftdeck.gateway.kept import KeptTable
@@ -43,12 +44,17 @@
         self.judge = Judge(self.worker_registry, self.board)
         self.judge.on_trouble = self.tell_trouble
         self.placing = Placing(settings.zone, self.judge, self.kept, random, settings.episodeTokens)
+        self.broadcast = Broadcast(self.me, self.mesh, self.membership, self.board)
         self.admission = Admission(
-            self.me, self.mesh, self.membership, self.worker_registry, self.board, self.memory_of
-        )
-        self.following = Following(
-            self.admission, self.mesh, self.membership, self.kept, caches, self.board
+            self.me,
+            self.mesh,
+            self.membership,
+            self.worker_registry,
+            self.board,
+            self.memory_of,
+            self.broadcast,
         )
+        self.following = Following(self.admission, self.broadcast, self.kept, caches, self.board)
         self.admission.on_read = self.following.will_keep
         self.pool = Pool(self.board, settings.connectMs)
         self.pool.most = self.connections_most
@@ -73,7 +79,7 @@
         self.routes, self.named_s, self.tenants = None, {}, {}
         self.stopping, self.open, self.unsettled_s = False, 0, -1e9
         self.worker_registry.watchers.append(lambda: self.pool.follow(self.worker_registry.workers))
-        self.mesh.on(WorkerNews, self.on_worker_news)
+        self.broadcast.on(WorkerNews, self.on_worker_news)
         self.mesh.on(SwapNews, self.on_swap_news)
 
     async def start(self):
@@ -224,9 +230,7 @@
 
     def tell_trouble(self, worker, for_ms):
         """Others should leave a worker alone as well."""
-        for each in self.membership.alive("router"):
-            if not each.state:
-                self.mesh.cast(each.addr, WorkerNews(worker=worker.name, for_ms=for_ms))
+        self.broadcast.tell(WorkerNews(worker=worker.name, for_ms=for_ms))
 
     def on_worker_news(self, news, sender):
         worker = self.worker_registry.workers.get(news.worker)
--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -205,7 +205,7 @@
 
     def of(self, worker: str, routers: list) -> str:
         """The owner's address."""
-        if routers != self.routers:
+        if routers is not self.routers and routers != self.routers:
             self.routers, self.ring, self.known = routers, Ring(routers, 16), {}
         if worker not in self.known:
             self.known[worker] = next(self.ring.walk(worker.encode()), "")
--- a/swiftdeck/gateway/swap.py
+++ b/swiftdeck/gateway/swap.py
@@ -51,6 +51,7 @@
     def __init__(self, core, orders):
         self.core, self.orders = core, orders
         self.busy, self.held_in, self.since_s, self.tried_s, self.waited_in = {}, 0, None, {}, b""
+        self.telling = {}
 
     def start(self):
         """Go on comparing what workers have with what is named."""
@@ -128,9 +129,17 @@
             )
 
     def _tell(self, worker, model, version, for_ms):
-        news = SwapNews(workers=[worker.name], model=model, version=version, for_ms=for_ms)
-        for each in self.core.membership.alive("router"):
-            self.core.mesh.tell(each.addr, news)
+        """Tell all routers of a worker, in one message with the others of which the same is told now."""
+        if not self.telling:
+            self.loop.call_soon(self._tell_gathered)
+        self.telling.setdefault((model, version, for_ms), []).append(worker.name)
+
+    def _tell_gathered(self):
+        telling, self.telling = self.telling, {}
+        routers = self.core.membership.addresses("router")
+        for (model, version, for_ms), names in telling.items():
+            news = SwapNews(workers=names, model=model, version=version, for_ms=for_ms)
+            self.core.mesh.tell_all(routers, news)
 
     async def _swap(self, worker, model, version):
         count = self.core.board.count
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -523,6 +523,24 @@
     running: int = bp.uint32_field(3)
 
 
+@message
+class Section(Wire):
+    """What one router wants all others to know."""
+
+    origin: str = bp.string_field(1)
+    loads: list[LoadNews] = bp.message_field(2)
+    kept: list[KeptNews] = bp.message_field(3)
+    troubles: list[WorkerNews] = bp.message_field(4)
+
+
+@message
+class Bulletin(Wire):
+    """What routers want all others to know; `reach` says whom the one that hears it is to tell."""
+
+    sections: list[Section] = bp.message_field(1)
+    reach: int = bp.uint32_field(2)
+
+
 KINDS = {
     1: FaultReturn,
     2: Done,
@@ -583,6 +601,7 @@
     78: PeekAsk,
     79: PeekReturn,
     80: LoadNews,
+    81: Bulletin,
     84: CommitAsk,
 }
 NUMBERS = {cls: number for number, cls in KINDS.items()}
