--- a/swiftdeck/bench/scale/router_parts.py
+++ b/swiftdeck/bench/scale/router_parts.py
@@ -21,6 +21,8 @@
 from swiftdeck.chain.chain import Chain, Durable, Holder
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.gateway.health import Judge
+from swiftdeck.gateway.interfaces import Listed
+from swiftdeck.gateway.listing import digest_of
 from swiftdeck.gateway.placing import Placing
 from swiftdeck.wire.messages import LeaseAsk, ListNews, MemberList, View
 
@@ -106,9 +108,17 @@
     return msgspec.json.encode(workers)
 
 
+def _by_name(body):
+    return {each.name: each for each in msgspec.json.decode(body, type=list[Listed])}
+
+
 def _list_row(node, count):
     lists = [_list_with_drained(count, at) for at in (0, 1)]
-    frames = [frame(ListNews(digest=b"x" * 8, body=body)) for body in lists]
+    digests = [digest_of(_by_name(body)) for body in lists]
+    frames = [
+        frame(ListNews(digest=digest, body=body))
+        for digest, body in zip(digests, lists, strict=True)
+    ]
 
     def take():
         node.listing.read_s = -1e9
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -1,4 +1,4 @@
-"""The list of workers: one router reads it and passes it on; others read it when nothing comes."""
+"""The list of workers: one router reads it and passes on what changed; others read it when nothing comes."""
 
 import asyncio
 import hashlib
@@ -9,6 +9,14 @@
 from swiftdeck.gateway.interfaces import Listed
 from swiftdeck.wire.messages import ListNews, ListWish
 
+LOOK_MS = 200
+
+
+def digest_of(entries) -> bytes:
+    """What two processes share that hold the same list, by name in order."""
+    body = msgspec.json.encode(list(entries.values()))
+    return hashlib.blake2b(body, digest_size=8).digest()
+
 
 class Listing:
     """Keeps the worker_registry by the newest reading, its own or another's, with the time at which that was asked for."""
@@ -34,7 +42,7 @@
             board,
         )
         self.every_ms, self.rank_ms, self.reads = every_ms, rank_ms, reads
-        self.read_s, self.digest, self.body = -1e9, b"", b""
+        self.read_s, self.digest, self.entries = -1e9, b"", {}
         mesh.on(ListNews, self.on_news)
         mesh.on(ListWish, self.on_wish)
 
@@ -48,24 +56,22 @@
         return int((self.loop.time() - self.read_s) * 1000)
 
     def _rank(self):
-        routers = sorted(
-            [
-                self.me.addr,
-                *(each.addr for each in self.membership.alive(self.me.role) if not each.state),
-            ]
-        )
-        return routers.index(self.me.addr)
+        return self.membership.ranked(self.me.role).index(self.me.addr)
 
     def _due_ms(self):
         """The first reads again and again; the others wait for longer, each by its rank."""
         rank = self._rank()
         return self.every_ms if not rank else self.every_ms * 2 + min(rank, 4) * self.rank_ms
 
+    def _look_ms(self):
+        """When to look at the ranks again: soon once the usual news is late, for the first may have changed."""
+        return max(LOOK_MS, self.every_ms * 1.5 - self.age_ms())
+
     async def _reading(self):
         while True:
             due_ms = self._due_ms() - self.age_ms() if self.reads else 1000
             if due_ms > 0:
-                await asyncio.sleep(min(due_ms, 200) / 1000 if due_ms < 1e6 else 0.2)
+                await asyncio.sleep(min(due_ms, self._look_ms()) / 1000)
                 continue
             asked_s = self.loop.time()
             got = await self.source.read()
@@ -74,45 +80,48 @@
                 await asyncio.sleep(0.3)
                 continue
             self.board.count["listsRead"] += 1
-            body = msgspec.json.encode(got)
-            self._take(body, asked_s)
-            self._pass_on(asked_s)
-
-    def _pass_on(self, asked_s):
-        age_ms = int((self.loop.time() - asked_s) * 1000)
-        for each in self.membership.alive():
-            if not each.state:
-                self.mesh.tell(
-                    each.addr,
-                    ListNews(
-                        age_ms=age_ms,
-                        digest=self.digest,
-                        body=self.body if self.is_fresh_body else b"",
-                    ),
-                )
-
-    is_fresh_body = True
-
-    def _take(self, body, asked_s):
-        digest = hashlib.blake2b(body, digest_size=8).digest()
-        self.is_fresh_body = digest != self.digest
+            known = self.entries
+            fresh = {each.name: each for each in sorted(got, key=lambda each: each.name)}
+            before, changed = self.digest, [e for e in fresh.values() if known.get(e.name) != e]
+            self._take(fresh, asked_s)
+            self._pass_on(asked_s, before, changed, [name for name in known if name not in fresh])
+
+    def _pass_on(self, asked_s, before, changed, gone):
+        """Tell all how old the reading is, and what it changed since the one before."""
+        news = ListNews(age_ms=int((self.loop.time() - asked_s) * 1000), digest=self.digest)
+        if self.digest != before:
+            news.base, news.body, news.gone = before, msgspec.json.encode(changed), gone
+        self.mesh.tell_all(self.membership.reachable(), news)
+
+    def _take(self, entries, asked_s):
         self.read_s = max(asked_s, self.read_s)
+        digest = digest_of(entries)
         if digest != self.digest:
-            self.digest, self.body = digest, body
-            self.worker_registry.take(msgspec.json.decode(body, type=list[Listed]))
+            self.digest, self.entries = digest, entries
+            self.worker_registry.take(entries.values())
 
     def on_news(self, news, sender):
         asked_s = self.loop.time() - news.age_ms / 1000
-        if news.body:
-            if asked_s > self.read_s:
-                self._take(news.body, asked_s)
-        elif news.digest == self.digest:
+        if news.digest == self.digest:
             self.read_s = max(self.read_s, asked_s)
-        else:
-            self.mesh.tell(sender, ListWish(digest=self.digest))
+        elif asked_s > self.read_s or not news.body and not news.gone:
+            self._follow(news, asked_s, sender)
+
+    def _follow(self, news, asked_s, sender):
+        """Change the list held as told; one that doesn't come to the digest told is asked for whole."""
+        is_whole = not news.base
+        if news.body and (is_whole or news.base == self.digest):
+            changed = msgspec.json.decode(news.body, type=list[Listed])
+            entries = {} if is_whole else dict(self.entries)
+            for name in news.gone:
+                entries.pop(name, None)
+            entries.update((each.name, each) for each in changed)
+            entries = dict(sorted(entries.items()))
+            if digest_of(entries) == news.digest:
+                return self._take(entries, asked_s)
+        self.mesh.tell(sender, ListWish(digest=self.digest))
 
     def on_wish(self, wish, sender):
-        if self.body and wish.digest != self.digest:
-            self.mesh.tell(
-                sender, ListNews(age_ms=self.age_ms(), digest=self.digest, body=self.body)
-            )
+        if self.entries and wish.digest != self.digest:
+            body = msgspec.json.encode(list(self.entries.values()))
+            self.mesh.tell(sender, ListNews(age_ms=self.age_ms(), digest=self.digest, body=body))
--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -468,9 +468,13 @@
 
 @message
 class ListNews(Wire):
+    """How old the newest reading of the list is; a body has all its entries or those that differ from a base."""
+
     age_ms: int = bp.uint64_field(1)
     digest: bytes = bp.bytes_field(2)
     body: bytes = bp.bytes_field(3)
+    base: bytes = bp.bytes_field(4)
+    gone: list[str] = bp.string_field(5)
 
 
 @message
--- a/tests/gateway/test_listing.py
+++ b/tests/gateway/test_listing.py
@@ -3,6 +3,8 @@
 import asyncio
 import random
 
+import msgspec
+
 from swiftdeck.board.board import Board
 from swiftdeck.fault import BAD_RETURN
 from swiftdeck.gateway.listing import Listing
@@ -94,7 +96,7 @@
 
     def test_an_older_reading_never_replaces_a_newer_one(self):
         part = self.parts["10.2.0.3:7000"]
-        body, digest = part.body, part.digest
+        body, digest = msgspec.json.encode(list(part.entries.values())), part.digest
         self.show("w1", "w2")
         self.world.run(1)
         self.within(
@@ -102,3 +104,31 @@
             "10.2.0.3:7000",
         )
         self.assertEqual(sorted(part.worker_registry.workers), ["w1", "w2"])
+
+    def heard(self, part):
+        """What a part is told of the list from now on."""
+        told, handle = [], part.on_news
+        part.mesh.on(ListNews, lambda news, sender: told.append(news) or handle(news, sender))
+        return told
+
+    def test_of_a_long_list_only_what_changed_is_told(self):
+        names = [f"w{at}" for at in range(40)]
+        self.show(*names)
+        self.world.run(1)
+        told = self.heard(self.parts["10.2.0.2:7000"])
+        self.show(*names[1:], "new")
+        self.world.run(1.5)
+        self.assertEqual(self.names(), [sorted([*names[1:], "new"])] * 3)
+        (news,) = [each for each in told if each.body]
+        changed = [each["name"] for each in msgspec.json.decode(news.body)]
+        self.assertEqual((changed, news.gone), (["new"], ["w0"]))
+
+    def test_who_does_not_hold_what_a_change_builds_on_is_told_the_whole(self):
+        part = self.parts["10.2.0.2:7000"]
+        told = self.heard(part)
+        part.digest, part.entries = b"other", {}
+        self.show("w1", "w2")
+        self.world.run(1)
+        self.assertEqual(self.names(), [["w1", "w2"]] * 3)
+        whole = [each for each in told if each.body and not each.base]
+        self.assertEqual([len(msgspec.json.decode(each.body)) for each in whole], [2])
