--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+from swiftdeck.board.beat import next_beat
 from swiftdeck.gateway.places import FILL, Owners, PlaceBooks, Wish
 from swiftdeck.wire.messages import LoadNews, PlaceAsk, PlaceEnd, PlaceReturn
 
@@ -144,7 +145,7 @@
 
     async def _ticking(self):
         while True:
-            await asyncio.sleep(0.25)
+            await next_beat(0.25)
             routers = self.routers()
             self.books.tick(
                 {
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+from swiftdeck.board.beat import next_beat
 from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import KeptNews
 
@@ -62,7 +63,7 @@
             ]:
                 self.kept.forget(holder)
             self.kept.lapse(asyncio.get_running_loop().time())
-            await asyncio.sleep(0.5)
+            await next_beat(0.5)
 
     async def _follow(self, name, addr):
         follower = self.source.follower(addr)
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections import Counter
 
+from swiftdeck.board.beat import next_beat
 from swiftdeck.chain.cluster_map import ClusterMap
 from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
@@ -193,7 +194,7 @@
             )
             if now != seen or not self.lease.is_held() or self.lease.failures:
                 seen, self.unsettled_s = now, self.loop.time()
-            await asyncio.sleep(0.25)
+            await next_beat(0.25)
 
     def _newest(self, model):
         weights, since_s = self.named_s.get(model, ("0", -1e9))
--- a/swiftdeck/platform/program.py
+++ b/swiftdeck/platform/program.py
@@ -5,8 +5,9 @@
 import random
 import sys
 
+from swiftdeck.board.beat import next_beat
 from swiftdeck.fault import is_fault
-from swiftdeck.platform.settings import read_place
+from swiftdeck.platform.settings import SettingsWatch, read_place
 from swiftdeck.programs.loop import make_log, run_until_signal
 
 READY = "/swiftdeck/ready"
@@ -26,9 +27,12 @@
 
 async def _look_for_seeds(role, node, log):
     """The settings file may change without a signal."""
+    watch = SettingsWatch()
+    _seeds_again(role, node, log)
     while True:
-        await asyncio.sleep(LOOK_S)
-        _seeds_again(role, node, log)
+        await next_beat(LOOK_S)
+        if watch.has_changed():
+            _seeds_again(role, node, log)
 
 
 def _seeds_again(role, node, log):
@@ -60,6 +64,11 @@
     return run_until_signal(start, lambda: box[0].stop(), lambda: _seeds_again(role, box[0], log))
 
 
+def _seeded():
+    """Random numbers that cost no system call each, from a seed that nobody can guess."""
+    return random.Random(random.SystemRandom().getrandbits(128))
+
+
 def router(place, log):
     """The process of an edge machine."""
     from swiftdeck.gateway.gateway import Gateway
@@ -70,7 +79,7 @@
     node = Gateway(
         place.settings,
         (Callers(), Workers(), PlatformList(place.list_addr), PlatformCaches()),
-        random.SystemRandom(),
+        _seeded(),
         log,
     )
     if node.ops:
@@ -89,7 +98,7 @@
     node = SwapCore(
         place.settings,
         DataFolder(place.settings.dataFolder),
-        random.SystemRandom(),
+        _seeded(),
         log,
         PlatformList(place.list_addr),
         PlatformOrders(),
--- a/swiftdeck/platform/settings.py
+++ b/swiftdeck/platform/settings.py
@@ -74,6 +74,25 @@
     list_addr: str = ""
 
 
+class SettingsWatch:
+    """Knows whether the settings file has other contents than at the last look, without reading what they mean."""
+
+    def __init__(self, path: str = ""):
+        self.path = path or os.environ.get(PATH_VARIABLE, "")
+        self.seen = self._contents()
+
+    def _contents(self):
+        try:
+            return Path(self.path).read_bytes()
+        except OSError:
+            return None
+
+    def has_changed(self) -> bool:
+        """Whether something else is there than at the last look."""
+        before, self.seen = self.seen, self._contents()
+        return self.seen != before
+
+
 def read_place(role: str, path: str = ""):
     """Checked settings from the platform's file, or a fault."""
     path = path or os.environ.get(PATH_VARIABLE, "")
--- /dev/null
+++ b/tests/board/test_beat.py
@@ -0,0 +1,28 @@
+"""Tests of `board/beat.py`."""
+
+import asyncio
+import unittest
+
+from swiftdeck.board.beat import next_beat
+from swiftdeck.sim.world import World
+
+
+class BeatTest(unittest.TestCase):
+    def test_work_of_several_paces_wakes_at_the_same_times(self):
+        world, times = World(), {0.25: [], 0.5: []}
+        world.start("a", "10.0.0.1", lambda: asyncio.sleep(0))
+
+        async def repeat(period_s):
+            await asyncio.sleep(period_s * 0.3)
+            loop = asyncio.get_running_loop()
+            end_s = loop.time() + 5
+            while loop.time() < end_s:
+                await next_beat(period_s)
+                times[period_s].append(round(loop.time() / 0.05))
+
+        async def main():
+            await asyncio.gather(*(repeat(period_s) for period_s in times))
+
+        world.do("a", main)
+        self.assertGreaterEqual(len(times[0.25]), 19)
+        self.assertLessEqual(set(times[0.5][:-1]), set(times[0.25]))
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from swiftdeck.fault import BAD_SETTING, is_fault
-from swiftdeck.platform.settings import read_place
+from swiftdeck.platform.settings import SettingsWatch, read_place
 
 ROUTER = """
 node-name = "node-3"
@@ -107,3 +107,12 @@
             ('"10.0.0.3:8080"', '"10.0.0.3:7000"'),
         ):
             self.assert_bad(self.read(ROUTER.replace(old, new)))
+
+    def test_a_watch_tells_of_other_contents_once(self):
+        self.read(ROUTER)
+        watch = SettingsWatch(str(self.path))
+        self.assertFalse(watch.has_changed())
+        self.read(CORE)
+        self.assertEqual([watch.has_changed(), watch.has_changed()], [True, False])
+        self.path.unlink()
+        self.assertEqual([watch.has_changed(), watch.has_changed()], [True, False])
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -17,6 +17,12 @@
     return re.findall(r"^\| `([^`]+)` \|", section, re.MULTILINE)
 
 
+def versions(path: str) -> dict[str, str]:
+    """The pinned version of each library that a list names."""
+    lines = (ROOT / path).read_text().splitlines()
+    return dict(line.strip().split("==") for line in lines if line.strip())
+
+
 class DeployTest(unittest.TestCase):
     """What the deploy file says, against the pages and the project file."""
 
@@ -41,3 +47,12 @@
         self.assertIn("python3-pip", packages)
         for role in self.deploy["roles"].values():
             self.assertIn(role["run"].split()[0], packages)
+
+    def test_the_programs_get_the_versions_that_the_project_declares(self):
+        """The build installs pinned libraries: the declared ones but for the command line's."""
+        declared, installed = versions("requirements.txt"), versions("deploy/requirements.txt")
+        self.assertIn("--no-deps --target target/deps -r deploy/req", self.deploy["build"])
+        self.assertEqual(
+            {name: installed.get(name) for name in declared if name != "typer"},
+            {name: version for name, version in declared.items() if name != "typer"},
+        )
