--- a/tests/gateway/cases/workers.py
+++ b/tests/gateway/cases/workers.py
@@ -136,7 +136,7 @@
 
     def leave(self):
         """Workers are shown as leaving, serve on for a while, and end."""
-        town = self.town(7)
+        town = self.town(7, rate=16.0)
         for name in ("lm2", "app1"):
             town.up[name].is_leaving = True
         town.world.run(4.5)
