--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -20,6 +20,7 @@
 
 FRAME_LIMIT = 64 << 20
 OPEN_LIMIT = 8192
+REST_MOST_S, STALLED_S, LOOK_S = 10.0, 0.5, 0.05
 HEAD = struct.Struct(">HQBB")
 LENGTH = struct.Struct(">I")
 
@@ -70,6 +71,11 @@
                 return self.refuse("frame does not parse")
         del self.buffer[:at]
 
+    def is_receiving(self) -> bool:
+        """Whether a part of a frame is here and more of it came lately."""
+        silent_s = asyncio.get_running_loop().time() - self.heard_s
+        return bool(self.buffer) and not self.gone and silent_s < STALLED_S
+
     def refuse(self, reason):
         """Close the link on a malformed frame."""
         self.mesh.count["faults.%d" % BAD_FRAME.code] += 1
@@ -169,16 +175,27 @@
                 self.note_sent(type(message).__name__, data)
                 if not link.send(data):
                     return UNREACHABLE.because("link is full")
-                return await done
+                return await asyncio.shield(done)
         except TimeoutError:
             if link is None:
                 return UNREACHABLE.because(f"{addr}: no connection in time")
+            if await self._has_come_since(link, done):
+                return done.result()
             if loop.time() - max(link.heard_s, start_s) >= min(1.0, timeoutMs / 1000):
                 link.transport.abort()
             return TIMED_OUT.because(f"{type(message).__name__} to {addr}")
         finally:
             self.asked.pop(number, None)
 
+    async def _has_come_since(self, link, done) -> bool:
+        """Wait for a late return while bytes of one come in; asked again, a slow link would only get more to carry."""
+        until_s = asyncio.get_running_loop().time() + REST_MOST_S
+        while link.is_receiving() and asyncio.get_running_loop().time() < until_s:
+            await asyncio.wait([done], timeout=LOOK_S)
+            if done.done():
+                return True
+        return False
+
     def tell(self, addr, message):
         """Send a message without waiting for anything."""
         self.tell_all((addr,), message)
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -2,10 +2,11 @@
 
 import asyncio
 import unittest
+from unittest import mock
 
-from swiftdeck.fault import BAD_FRAME, UNKNOWN_KIND, UNREACHABLE
+from swiftdeck.fault import BAD_FRAME, TIMED_OUT, UNKNOWN_KIND, UNREACHABLE
 from swiftdeck.sim.world import World
-from swiftdeck.wire.mesh import HEAD, Mesh
+from swiftdeck.wire.mesh import HEAD, Link, Mesh
 from swiftdeck.wire.messages import NUMBERS, Done, ListAsk, ListReturn
 
 
@@ -99,3 +100,47 @@
         self.assertEqual(sorted(heard), [(addr, age) for addr in addrs for age in (1, 2)])
         self.assertEqual((len(written), sent), (2, {"ListReturn": 6}))
         self.assertGreater(size, 0)
+
+    def slow_return(self, pieces):
+        """What a question with 300 ms of patience gets, and when, if its return trickles in."""
+        world = World()
+
+        def trickle(link, data):
+            framed = len(data).to_bytes(4, "big") + data
+            loop, size = asyncio.get_running_loop(), len(framed) // 10 + 1
+            for at in range(pieces):
+                part = framed[at * size : (at + 1) * size]
+                loop.call_later(0.1 * at, link.transport.write, part)
+            return True
+
+        async def serve():
+            mesh = Mesh("10.0.0.1:7000")
+            mesh.on(ListAsk, lambda message, sender: ListReturn(body=b"x" * 9000))
+            await mesh.start()
+
+        async def ask():
+            mesh = Mesh("10.0.0.2:7000")
+            await mesh.start()
+            await mesh.ask("10.0.0.1:7000", Done())
+            start_s = asyncio.get_running_loop().time()
+            with mock.patch.object(Link, "send", patched):
+                got = await mesh.ask("10.0.0.1:7000", ListAsk(), 300)
+            return got, asyncio.get_running_loop().time() - start_s
+
+        send = Link.send
+
+        def patched(link, data):
+            return trickle(link, data) if len(data) > 9000 else send(link, data)
+
+        world.start("a", "10.0.0.1", serve)
+        world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
+        return world.do("b", ask)
+
+    def test_a_return_that_is_coming_in_is_waited_for(self):
+        got, took_s = self.slow_return(10)
+        self.assertEqual((len(got.body), round(took_s, 1)), (9000, 0.9))
+
+    def test_a_return_that_stops_midway_is_given_up(self):
+        got, took_s = self.slow_return(5)
+        self.assertEqual(got.code, TIMED_OUT.code)
+        self.assertLess(took_s, 1.2)
