--- a/swiftdeck/wire/messages.py
+++ b/swiftdeck/wire/messages.py
@@ -78,7 +78,11 @@
 
 @message
 class MemberList(Wire):
+    """What a process knows of others, and its digest; one that is told is answered only where that differs."""
+
     members: list[Member] = bp.message_field(1)
+    digest: int = bp.uint64_field(2)
+    is_told: bool = bp.bool_field(3)
 
 
 @message
@@ -467,9 +471,13 @@
 
 @message
 class ListNews(Wire):
+    """How old the newest reading of the list is; a body has all its entries or those that differ from a base."""
+
     age_ms: int = bp.uint64_field(1)
     digest: bytes = bp.bytes_field(2)
     body: bytes = bp.bytes_field(3)
+    base: bytes = bp.bytes_field(4)
+    gone: list[str] = bp.string_field(5)
 
 
 @message
@@ -522,6 +530,24 @@
     running: int = bp.uint32_field(3)
 
 
+@message
+class Section(Wire):
+    """What one router wants all others to know."""
+
+    origin: str = bp.string_field(1)
+    loads: list[LoadNews] = bp.message_field(2)
+    kept: list[KeptNews] = bp.message_field(3)
+    troubles: list[WorkerNews] = bp.message_field(4)
+
+
+@message
+class Bulletin(Wire):
+    """What routers want all others to know; `reach` says whom the one that hears it is to tell."""
+
+    sections: list[Section] = bp.message_field(1)
+    reach: int = bp.uint32_field(2)
+
+
 KINDS = {
     1: FaultReturn,
     2: Done,
@@ -582,6 +608,7 @@
     78: PeekAsk,
     79: PeekReturn,
     80: LoadNews,
+    81: Bulletin,
     84: CommitAsk,
 }
 NUMBERS = {cls: number for number, cls in KINDS.items()}
