--- a/swiftdeck/traffic/line.py
+++ b/swiftdeck/traffic/line.py
@@ -35,11 +35,24 @@
 
     def add(self, waiting: Waiting):
         """Stand in the tenant's line, behind all that have waited as long."""
-        line = self.tenants.setdefault(waiting.tenant, deque())
+        line = self.tenants.get(waiting.tenant)
+        if line is None:
+            return self._add_tenant(waiting)
         line.append(waiting)
-        if len(line) > 1 and line[-2].since_s > waiting.since_s:
+        if line[-2].since_s > waiting.since_s:
             self.tenants[waiting.tenant] = deque(sorted(line, key=lambda each: each.since_s))
 
+    def _add_tenant(self, waiting: Waiting):
+        """Put a tenant before those whose first has waited less, as after a change of coordinator.
+
+        There agents ask again in any order; who came early then must not pass who waited longer.
+        """
+        order = list(self.tenants.items())
+        later = (at for at, (_, line) in enumerate(order) if line[0].since_s > waiting.since_s)
+        place = next(later, len(order))
+        order.insert(place, (waiting.tenant, deque([waiting])))
+        self.tenants = dict(order)
+
     def first(self):
         """The next to begin, or None."""
         return next((line[0] for line in self.tenants.values()), None)
--- a/tests/traffic/test_line.py
+++ b/tests/traffic/test_line.py
@@ -18,3 +18,18 @@
         for since_s in (5, 7, 3):
             line.add(Waiting("t", since_s, None, since_s))
         self.assertEqual([line.first().ask, *(line.take().ask for _ in range(3))], [3, 3, 5, 7])
+
+    def test_a_tenant_whose_first_has_waited_longer_comes_before_those_that_asked_earlier(self):
+        line = Line()
+        for tenant, since_s in (("late", 9), ("early", 2), ("middle", 5), ("new", 12)):
+            line.add(Waiting(tenant, tenant, None, since_s))
+        self.assertEqual([line.take().ask for _ in range(4)], ["early", "middle", "late", "new"])
+
+    def test_a_tenant_that_was_served_stays_behind_those_that_wait_for_their_turn(self):
+        line = Line()
+        for since_s in range(3):
+            line.add(Waiting("large", since_s, None, since_s))
+        line.add(Waiting("small", "s", None, 10))
+        self.assertEqual(line.take().ask, 0)
+        line.add(Waiting("other", "o", None, 11))
+        self.assertEqual([line.take().ask for _ in range(4)], ["s", 1, "o", 2])
