--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -4,6 +4,7 @@
 import contextlib
 import json
 import unittest
+from collections import deque
 from unittest import mock
 
 import attrs
@@ -51,6 +52,10 @@
     return self.decided.number > 0
 
 
+def _adds_last(self, waiting):
+    self.tenants[waiting.tenant] = deque([waiting])
+
+
 def _takes_first_tenant(self):
     tenant = next(iter(self.tenants))
     first = self.tenants[tenant].popleft()
@@ -271,7 +276,7 @@
         "who waited longest before a new keeper",
         admission.AdmissionCase,
         "test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting",
-        [(Takeover, "gathered", _polls)],
+        [(Takeover, "gathered", _polls), (Line, "_add_tenant", _adds_last)],
     ),
     (
         "age of a grant",
