--- a/swiftdeck/sim/late.py
+++ b/swiftdeck/sim/late.py
@@ -67,5 +67,5 @@
             return
         if mesh is not addressed or link is not None and link.gone:
             link = None
-        self.count[KINDS[HEAD.unpack_from(frame)[0]].__name__] += 1
+        self.count[KINDS[HEAD.unpack_from(frame)[0]].kind_name] += 1
         self.world.run_in(name, lambda: mesh.take_now(frame, link))
--- a/swiftdeck/sim/model/points.py
+++ b/swiftdeck/sim/model/points.py
@@ -115,7 +115,7 @@
             kind = kind_of(item)
             if kind in WATCHED:
                 source, target = transport.local[0], transport.remote[0]
-                label = f"{self.names[source]}>{self.names[target]} {kind.__name__}"
+                label = f"{self.names[source]}>{self.names[target]} {kind.kind_name}"
                 if kind is Promise:
                     self.points.on_promise(self.names[source], body_of(item))
                 self.points.reached(label)
--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -20,7 +20,7 @@
     fault_of,
     is_fault,
 )
-from swiftdeck.wire.messages import KINDS, NUMBERS, Done, FaultReturn, Wire
+from swiftdeck.wire.messages import KINDS, NUMBERS, Done, FaultReturn, WireMessage
 
 FRAME_LIMIT = 64 << 20
 """The most bytes of one frame."""
@@ -71,7 +71,7 @@
     exchange: int
     is_return: bool
     sender: str
-    message: Wire | None
+    message: WireMessage | None
 
     @classmethod
     def read(cls, frame: bytes) -> "Envelope | None":
@@ -262,7 +262,7 @@
                     return link
                 asked = self.asked[number] = Asked(link, answer)
                 data = self._envelope(message, number)
-                self.note_sent(type(message).__name__, data)
+                self.note_sent(message.kind_name, data)
                 if not link.send(data):
                     return UNREACHABLE.because("link is full")
                 return await asyncio.shield(answer)
@@ -272,7 +272,7 @@
             if await self._comes_in(asked, start_s, while_heard_ms):
                 return answer.result()
             self._drop_silent(asked.link, start_s, timeoutMs / 1000)
-            return TIMED_OUT.because(f"{type(message).__name__} to {addr}")
+            return TIMED_OUT.because(f"{message.kind_name} to {addr}")
         finally:
             self.asked.pop(number, None)
 
@@ -299,7 +299,7 @@
 
     def tell_all(self, addrs, message):
         """Send a message to many without waiting for anything; it is written out once."""
-        kind, data = type(message).__name__, self._envelope(message)
+        kind, data = message.kind_name, self._envelope(message)
         for addr in addrs:
             self.note_sent(kind, data)
             link = self.dialled.get(addr)
@@ -324,7 +324,7 @@
         """
         if self.datagrams.is_closing():
             return
-        kind, data = type(message).__name__, self._envelope(message)
+        kind, data = message.kind_name, self._envelope(message)
         for addr in addrs:
             self.note_sent(kind, data)
             try:
@@ -409,10 +409,10 @@
         self.note(
             "handler failed",
             code=HANDLER_FAILED.code,
-            kind=type(message).__name__,
+            kind=message.kind_name,
             reason=repr(error),
         )
-        return HANDLER_FAILED.because(type(message).__name__)
+        return HANDLER_FAILED.because(message.kind_name)
 
     def _give_back(self, link, exchange, result):
         """Send the return of a message, if one is expected: a message, a fault, or Done."""
@@ -422,7 +422,7 @@
             result = FaultReturn(code=result.code, reason=result.reason, retry_ms=result.retry_ms)
         answer = result if result is not None else Done()
         data = self._envelope(answer, exchange, True)
-        self.note_sent(type(answer).__name__, data)
+        self.note_sent(answer.kind_name, data)
         link.send(data)
 
 
--- a/swiftdeck/wire/messages/__init__.py
+++ b/swiftdeck/wire/messages/__init__.py
@@ -25,7 +25,7 @@
     ViewLeaseReturn,
     ViewReturn,
 )
-from swiftdeck.wire.messages.base import Wire
+from swiftdeck.wire.messages.base import WireMessage
 from swiftdeck.wire.messages.chain import (
     ChainEntry,
     CommitAsk,
@@ -215,7 +215,7 @@
     "ViewLeaseReturn",
     "ViewReturn",
     "Vote",
-    "Wire",
+    "WireMessage",
     "WorkerNews",
     "Write",
     "WriteReturn",
--- a/swiftdeck/wire/messages/admission.py
+++ b/swiftdeck/wire/messages/admission.py
@@ -2,16 +2,16 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class ListAsk(Wire):
+class ListAsk(WireMessage):
     """Asks a router for its list of workers."""
 
 
 @message
-class ListReturn(Wire):
+class ListReturn(WireMessage):
     """A list of workers and its age."""
 
     age_ms: int = bp.uint64_field(1)
@@ -19,7 +19,7 @@
 
 
 @message
-class GrantAsk(Wire):
+class GrantAsk(WireMessage):
     """Asks the coordinator of a model for the place of an attempt."""
 
     router: str = bp.string_field(1)
@@ -40,7 +40,7 @@
 
 
 @message
-class GrantReturn(Wire):
+class GrantReturn(WireMessage):
     """The place that an attempt was granted."""
 
     term: int = bp.uint64_field(1)
@@ -55,7 +55,7 @@
 
 
 @message
-class AttemptEnd(Wire):
+class AttemptEnd(WireMessage):
     """An attempt is over."""
 
     router: str = bp.string_field(1)
@@ -73,7 +73,7 @@
 
 
 @message
-class GrantDrop(Wire):
+class GrantDrop(WireMessage):
     """A call that waits for its place was given up."""
 
     router: str = bp.string_field(1)
@@ -82,7 +82,7 @@
 
 
 @message
-class OpenConversation(Wire):
+class OpenConversation(WireMessage):
     """A conversation that a router serves or served."""
 
     conversation: str = bp.string_field(1)
@@ -100,7 +100,7 @@
 
 
 @message
-class OpenAsk(Wire):
+class OpenAsk(WireMessage):
     """A new coordinator asks a router what is open there."""
 
     term: int = bp.uint64_field(1)
@@ -109,14 +109,14 @@
 
 
 @message
-class OpenReturn(Wire):
+class OpenReturn(WireMessage):
     """The conversations that are open at a router."""
 
     conversations: list[OpenConversation] = bp.message_field(1)
 
 
 @message
-class Hold(Wire):
+class Hold(WireMessage):
     """The calls that a router runs, and when it last heard the coordinator, by that one's clock."""
 
     router: str = bp.string_field(1)
@@ -127,7 +127,7 @@
 
 
 @message
-class HoldReturn(Wire):
+class HoldReturn(WireMessage):
     """Calls that the coordinator doesn't know, and when it answered, by its own clock."""
 
     lost: list[str] = bp.string_field(1)
--- a/swiftdeck/wire/messages/agreement.py
+++ b/swiftdeck/wire/messages/agreement.py
@@ -2,11 +2,11 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class CoreRef(Wire):
+class CoreRef(WireMessage):
     """A core: the identity on its disk, and its address."""
 
     core_id: str = bp.string_field(1)
@@ -14,7 +14,7 @@
 
 
 @message
-class View(Wire):
+class View(WireMessage):
     """The members of the chain in their order, and the cores that vote on the next view."""
 
     number: int = bp.uint64_field(1)
@@ -23,7 +23,7 @@
 
 
 @message
-class Prepare(Wire):
+class Prepare(WireMessage):
     """The first phase of a ballot for a view's number."""
 
     slot: int = bp.uint64_field(1)
@@ -32,7 +32,7 @@
 
 
 @message
-class Promise(Wire):
+class Promise(WireMessage):
     """The answer of a voter to the first phase."""
 
     granted: bool = bp.bool_field(1)
@@ -45,7 +45,7 @@
 
 
 @message
-class Accept(Wire):
+class Accept(WireMessage):
     """The second phase: the view to accept under a ballot."""
 
     slot: int = bp.uint64_field(1)
@@ -54,7 +54,7 @@
 
 
 @message
-class Decided(Wire):
+class Decided(WireMessage):
     """A view that was agreed on."""
 
     view: View = bp.message_field(1)
@@ -63,7 +63,7 @@
 
 
 @message
-class ViewAsk(Wire):
+class ViewAsk(WireMessage):
     """Asks a core for the view that it knows, and how it is."""
 
     core_id: str = bp.string_field(1)
@@ -71,7 +71,7 @@
 
 
 @message
-class ViewReturn(Wire):
+class ViewReturn(WireMessage):
     """What a core says of the view, of itself, and whom it hears."""
 
     view: View = bp.message_field(1)
@@ -84,7 +84,7 @@
 
 
 @message
-class ViewLeaseAsk(Wire):
+class ViewLeaseAsk(WireMessage):
     """Asks a voter for the lease of a view's member, or hands it back."""
 
     number: int = bp.uint64_field(1)
@@ -94,7 +94,7 @@
 
 
 @message
-class ViewLeaseReturn(Wire):
+class ViewLeaseReturn(WireMessage):
     """Whether a voter grants the lease."""
 
     granted: bool = bp.bool_field(1)
--- a/swiftdeck/wire/messages/base.py
+++ b/swiftdeck/wire/messages/base.py
@@ -1,16 +1,20 @@
 """What all messages share: how their defaults are filled in."""
 
 from dataclasses import dataclass, fields
+from typing import ClassVar
 
 import betterproto as bp
 
 
-class Wire(bp.Message):
+class WireMessage(bp.Message):
     """A message whose defaults are filled in when it is made.
 
-    Reading a field needs no look-up of them.
+    Reading a field needs no look-up of them. `kind_name` stands for the class in counters, log
+    fields, fault reasons and schedules.
     """
 
+    kind_name: ClassVar[str]
+
     __getattribute__ = object.__getattribute__
 
     def __post_init__(self):
@@ -31,8 +35,11 @@
         self.__dict__[name] = value
 
 
-def message(cls):
-    """Make a class a message."""
+def message(cls=None, *, kind_name=None):
+    """Make a class a message; its kind is named like the class unless a name is given."""
+    if cls is None:
+        return lambda cls: message(cls, kind_name=kind_name)
     made = dataclass(eq=False, repr=False)(cls)
     made.defaults = [(each.name, made._betterproto.default_gen[each.name]) for each in fields(made)]
+    made.kind_name = kind_name or cls.__name__
     return made
--- a/swiftdeck/wire/messages/chain.py
+++ b/swiftdeck/wire/messages/chain.py
@@ -2,11 +2,11 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class ChainEntry(Wire):
+class ChainEntry(WireMessage):
     """One entry of the log by its serial number."""
 
     serial: int = bp.uint64_field(1)
@@ -14,7 +14,7 @@
 
 
 @message
-class Pass(Wire):
+class Pass(WireMessage):
     """Entries for the next member of the chain."""
 
     view: int = bp.uint64_field(1)
@@ -24,14 +24,14 @@
 
 
 @message
-class PassReturn(Wire):
+class PassReturn(WireMessage):
     """The last entry that a member has on its disk."""
 
     last: int = bp.uint64_field(1)
 
 
 @message
-class JoinAsk(Wire):
+class JoinAsk(WireMessage):
     """A core asks to be taken into the chain."""
 
     core_id: str = bp.string_field(1)
@@ -40,7 +40,7 @@
 
 
 @message
-class LogAsk(Wire):
+class LogAsk(WireMessage):
     """Asks a member for its log from a serial number on."""
 
     serial: int = bp.uint64_field(1)
@@ -48,7 +48,7 @@
 
 
 @message
-class LogReturn(Wire):
+class LogReturn(WireMessage):
     """Entries of a member's log."""
 
     entries: list[ChainEntry] = bp.message_field(1)
@@ -56,7 +56,7 @@
 
 
 @message
-class LeaveAsk(Wire):
+class LeaveAsk(WireMessage):
     """A member without a vote asks for a view without it."""
 
     core_id: str = bp.string_field(1)
@@ -64,7 +64,7 @@
 
 
 @message
-class CopyAsk(Wire):
+class CopyAsk(WireMessage):
     """Asks a member for a piece of its state."""
 
     core_id: str = bp.string_field(1)
@@ -74,7 +74,7 @@
 
 
 @message
-class CopyReturn(Wire):
+class CopyReturn(WireMessage):
     """A piece of a snapshot of a member's state."""
 
     serial: int = bp.uint64_field(1)
@@ -85,7 +85,7 @@
 
 
 @message
-class Write(Wire):
+class Write(WireMessage):
     """A change for the head of the chain."""
 
     change_id: str = bp.string_field(1)
@@ -93,7 +93,7 @@
 
 
 @message
-class WriteReturn(Wire):
+class WriteReturn(WireMessage):
     """The entry that a change became."""
 
     serial: int = bp.uint64_field(1)
@@ -101,7 +101,7 @@
 
 
 @message
-class OutcomeAsk(Wire):
+class OutcomeAsk(WireMessage):
     """Asks the tail what became of a change."""
 
     change_id: str = bp.string_field(1)
@@ -109,7 +109,7 @@
 
 
 @message
-class OutcomeReturn(Wire):
+class OutcomeReturn(WireMessage):
     """What became of a change."""
 
     code: int = bp.uint32_field(1)
@@ -119,7 +119,7 @@
 
 
 @message
-class CommitAsk(Wire):
+class CommitAsk(WireMessage):
     """Asks the tail whether it has all entries up to a serial number."""
 
     view: int = bp.uint64_field(1)
--- a/swiftdeck/wire/messages/configuration.py
+++ b/swiftdeck/wire/messages/configuration.py
@@ -2,16 +2,16 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class ConfigAsk(Wire):
+class ConfigAsk(WireMessage):
     """Asks the tail for the configuration in force."""
 
 
 @message
-class ConfigReturn(Wire):
+class ConfigReturn(WireMessage):
     """The configuration in force at the tail."""
 
     version: int = bp.uint64_field(1)
@@ -19,7 +19,7 @@
 
 
 @message
-class NamedWeights(Wire):
+class NamedWeights(WireMessage):
     """When weights of a model were named, as an age."""
 
     model: str = bp.string_field(1)
@@ -29,7 +29,7 @@
 
 
 @message
-class LeaseAsk(Wire):
+class LeaseAsk(WireMessage):
     """A router asks the tail for a lease to serve by its configuration, or hands it back."""
 
     router: str = bp.string_field(1)
@@ -42,7 +42,7 @@
 
 
 @message
-class LeaseReturn(Wire):
+class LeaseReturn(WireMessage):
     """A lease, with the configuration or what changed in it."""
 
     lease_ms: int = bp.uint32_field(1)
@@ -59,28 +59,28 @@
 
 
 @message
-class Relay(Wire):
+class Relay(WireMessage):
     """A router's question for a lease, sent through another router."""
 
     ask: LeaseAsk = bp.message_field(1)
 
 
 @message
-class Nudge(Wire):
+class Nudge(WireMessage):
     """Tells a router that there is a newer configuration."""
 
     version: int = bp.uint64_field(1)
 
 
 @message
-class PeekAsk(Wire):
+class PeekAsk(WireMessage):
     """Asks a tail for what it has on its disk."""
 
     takes_packed: bool = bp.bool_field(1)
 
 
 @message
-class PeekReturn(Wire):
+class PeekReturn(WireMessage):
     """The configuration on a tail's disk."""
 
     version: int = bp.uint64_field(1)
--- a/swiftdeck/wire/messages/duty.py
+++ b/swiftdeck/wire/messages/duty.py
@@ -2,11 +2,11 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class Nominate(Wire):
+class Nominate(WireMessage):
     """A candidate for a duty asks for a vote, or gives it back."""
 
     view: int = bp.uint64_field(7)
@@ -19,7 +19,7 @@
 
 
 @message
-class Vote(Wire):
+class Vote(WireMessage):
     """Whether a voter grants a duty, and who has it otherwise."""
 
     granted: bool = bp.bool_field(1)
--- a/swiftdeck/wire/messages/gateway.py
+++ b/swiftdeck/wire/messages/gateway.py
@@ -2,11 +2,11 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class PlaceAsk(Wire):
+class PlaceAsk(WireMessage):
     """Asks the owner of a worker's book for a place."""
 
     router: str = bp.string_field(1)
@@ -25,7 +25,7 @@
 
 
 @message
-class PlaceReturn(Wire):
+class PlaceReturn(WireMessage):
     """What came of the question for a place.
 
     `is_busy` says that the worker has more to read than the question allowed, `unread` how many
@@ -38,7 +38,7 @@
 
 
 @message
-class PlaceEnd(Wire):
+class PlaceEnd(WireMessage):
     """Gives a place back, or leaves the line for it."""
 
     call: str = bp.string_field(1)
@@ -46,7 +46,7 @@
 
 
 @message
-class ListNews(Wire):
+class ListNews(WireMessage):
     """How old the newest reading of the list is, with its entries where they changed.
 
     A body has all entries, or those that differ from a base.
@@ -63,7 +63,7 @@
 
 
 @message
-class ListWish(Wire):
+class ListWish(WireMessage):
     """The list and the newest reading's number that a router holds; it wants another list whole."""
 
     digest: bytes = bp.bytes_field(1)
@@ -71,7 +71,7 @@
 
 
 @message
-class WorkerNews(Wire):
+class WorkerNews(WireMessage):
     """A worker fails: it is to be left alone for a while."""
 
     worker: str = bp.string_field(1)
@@ -79,7 +79,7 @@
 
 
 @message
-class SwapNews(Wire):
+class SwapNews(WireMessage):
     """Workers take new weights, or have taken them."""
 
     workers: list[str] = bp.string_field(1)
@@ -89,7 +89,7 @@
 
 
 @message
-class KeptNews(Wire):
+class KeptNews(WireMessage):
     """What a worker or a store keeps, or has forgotten."""
 
     holder: str = bp.string_field(1)
@@ -102,7 +102,7 @@
 
 
 @message
-class LoadNews(Wire):
+class LoadNews(WireMessage):
     """How much is to be read at a worker."""
 
     worker: str = bp.string_field(1)
@@ -112,7 +112,7 @@
 
 
 @message
-class Section(Wire):
+class Section(WireMessage):
     """What one router wants all others to know."""
 
     origin: str = bp.string_field(1)
@@ -122,7 +122,7 @@
 
 
 @message
-class Bulletin(Wire):
+class Bulletin(WireMessage):
     """What routers want all others to know; `reach` says whom the one that hears it is to tell."""
 
     sections: list[Section] = bp.message_field(1)
--- a/swiftdeck/wire/messages/membership.py
+++ b/swiftdeck/wire/messages/membership.py
@@ -2,11 +2,11 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class Member(Wire):
+class Member(WireMessage):
     """A process of the fleet: one life of it, and what is thought of it."""
 
     addr: str = bp.string_field(1)
@@ -21,7 +21,7 @@
 
 
 @message
-class Probe(Wire):
+class Probe(WireMessage):
     """Asks a process whether it lives, or another one to find out."""
 
     sender: Member = bp.message_field(1)
@@ -31,7 +31,7 @@
 
 
 @message
-class ProbeReturn(Wire):
+class ProbeReturn(WireMessage):
     """The answer to a probe, with the probe's number."""
 
     sender: Member = bp.message_field(1)
@@ -41,7 +41,7 @@
 
 
 @message
-class MemberList(Wire):
+class MemberList(WireMessage):
     """What a process knows of others, and its digest.
 
     One that is told is answered only where the digest differs.
@@ -53,7 +53,7 @@
 
 
 @message
-class NewsItem(Wire):
+class NewsItem(WireMessage):
     """One item of news; of two with one key the higher stamp stands."""
 
     key: str = bp.string_field(1)
@@ -62,14 +62,14 @@
 
 
 @message
-class News(Wire):
+class News(WireMessage):
     """Items of news that the sender has taken in."""
 
     items: list[NewsItem] = bp.message_field(1)
 
 
 @message
-class NewsDigest(Wire):
+class NewsDigest(WireMessage):
     """The keys and stamps of all items that the sender has."""
 
     keys: list[str] = bp.string_field(1)
--- a/swiftdeck/wire/messages/returns.py
+++ b/swiftdeck/wire/messages/returns.py
@@ -2,11 +2,11 @@
 
 import betterproto as bp
 
-from swiftdeck.wire.messages.base import Wire, message
+from swiftdeck.wire.messages.base import WireMessage, message
 
 
 @message
-class FaultReturn(Wire):
+class FaultReturn(WireMessage):
     """A fault in place of a return; see `fault.py` for the codes."""
 
     code: int = bp.uint32_field(1)
@@ -15,7 +15,7 @@
 
 
 @message
-class Done(Wire):
+class Done(WireMessage):
     """A return without anything to say but that it was done, or how much."""
 
     count: int = bp.uint64_field(1)
--- a/tests/wire/test_late_table.py
+++ b/tests/wire/test_late_table.py
@@ -28,7 +28,7 @@
 class LateTableTest(unittest.TestCase):
     def test_each_kind_of_message_has_one_row(self):
         kinds = [what.strip("`") for what, _, _ in rows() if what.startswith("`")]
-        self.assertEqual(sorted(kinds), sorted(kind.__name__ for kind in KINDS.values()))
+        self.assertEqual(sorted(kinds), sorted(kind.kind_name for kind in KINDS.values()))
 
     def test_each_row_names_a_test_that_exists(self):
         missing = sorted({test_id for _, _, test_id in rows() if not resolves(test_id)})
