--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -32,12 +32,12 @@
 from swiftdeck.wire.messages import (
     ChainEntry,
     CommitAsk,
+    ConfigChanged,
     CopyAsk,
     Done,
     LogAsk,
-    Nudge,
-    Pass,
-    PassReturn,
+    ReplicateAsk,
+    ReplicateReturn,
     Write,
     WriteReturn,
 )
@@ -100,7 +100,7 @@
         agreement.troubles.append(self.trouble)
         for kind, handler in (
             (Write, self.on_write),
-            (Pass, self.on_pass),
+            (ReplicateAsk, self.on_pass),
             (CopyAsk, self.transfer.on_ask),
             (LogAsk, self.transfer.on_log_ask),
             (CommitAsk, self.on_commit_ask),
@@ -510,7 +510,7 @@
             entries.append(ChainEntry(serial=serial, body=self.entries[serial]))
             size += len(self.entries[serial])
         after = view.members[at + 1].addr
-        ask = Pass(
+        ask = ReplicateAsk(
             view=view.number, entries=entries, last=last, must_copy=start < last and not entries
         )
         got = await self.mesh.ask(after, ask, 1500)
@@ -562,7 +562,7 @@
             self._know()
         self.kick.set()
         self.wake_committers()
-        return PassReturn(last=self.serial)
+        return ReplicateReturn(last=self.serial)
 
     async def take_entries(self, entries):
         """Append those that are new here, and sync them; gives a fault or None."""
@@ -582,7 +582,7 @@
         if self.is_last():
             version = self.durable.version
             for addr in self.leases.to_nudge(version):
-                self.mesh.tell(addr, Nudge(version=version))
+                self.mesh.tell(addr, ConfigChanged(version=version))
 
     async def _copy_from(self, addr, above=-1):
         return await self.transfer.take(addr, above)
--- a/swiftdeck/chain/tail_queries.py
+++ b/swiftdeck/chain/tail_queries.py
@@ -4,12 +4,12 @@
 from swiftdeck.wire.messages import (
     ConfigAsk,
     ConfigReturn,
+    DurableConfigAsk,
+    DurableConfigReturn,
     LeaseAsk,
     LeaseReturn,
     OutcomeAsk,
     OutcomeReturn,
-    PeekAsk,
-    PeekReturn,
 )
 
 OUTCOME_WAIT_MOST_MS = 30000
@@ -23,7 +23,7 @@
         for kind, handler in (
             (OutcomeAsk, self.on_outcome_ask),
             (ConfigAsk, self.on_config_ask),
-            (PeekAsk, self.on_peek_ask),
+            (DurableConfigAsk, self.on_peek_ask),
             (LeaseAsk, self.on_lease_ask),
         ):
             chain.mesh.on(kind, handler)
@@ -67,7 +67,7 @@
             return NOT_TAIL
         config = chain.durable.config
         packed = chain.updates.pack_whole(config) if ask.takes_packed else b""
-        return PeekReturn(
+        return DurableConfigReturn(
             version=chain.durable.version,
             document=b"" if packed else config.bytes(),
             digest=config.digest(),
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -7,7 +7,7 @@
 
 from swiftdeck.fault import is_fault
 from swiftdeck.gateway.interfaces import Listed
-from swiftdeck.wire.messages import ListNews, ListWish
+from swiftdeck.wire.messages import FullListAsk, ListNews
 
 LOOK_MS = 200
 
@@ -50,7 +50,7 @@
         self.read_s, self.digest, self.entries = -1e9, b"", {}
         self.number = 0
         mesh.on(ListNews, self.on_news)
-        mesh.on(ListWish, self.on_wish)
+        mesh.on(FullListAsk, self.on_wish)
 
     def start(self):
         """Go on reading, or standing by."""
@@ -130,7 +130,7 @@
             self._follow(news, asked_s, sender)
 
     def _wish(self, addr):
-        self.mesh.tell(addr, ListWish(digest=self.digest, number=self.number))
+        self.mesh.tell(addr, FullListAsk(digest=self.digest, number=self.number))
 
     def _follow(self, news, asked_s, sender):
         """Change the list held as told; one that doesn't come to the digest told is asked for whole."""
--- a/swiftdeck/sim/model/clients.py
+++ b/swiftdeck/sim/model/clients.py
@@ -11,7 +11,7 @@
 from swiftdeck.platform import configs
 from swiftdeck.platform.operator_door import BASE_HEADER, CONFIG_PATH
 from swiftdeck.wire.mesh import Mesh
-from swiftdeck.wire.messages import LeaseAsk, Nudge
+from swiftdeck.wire.messages import ConfigChanged, LeaseAsk
 
 ANSWER_MS, LEASE_ASK_MS = 1000, 400
 PAUSE_S, PAUSE_MOST_S, PAUSE_GROWTH = 0.1, 1.0, 1.5
@@ -100,7 +100,7 @@
         """One life of a router: renew the lease now and then, and at once when the tail nudges."""
         mesh, nudged = Mesh(addr), asyncio.Event()
         self.held, self.lives = 0, self.lives + 1
-        mesh.on(Nudge, lambda nudge, sender: nudged.set())
+        mesh.on(ConfigChanged, lambda nudge, sender: nudged.set())
         await mesh.start()
         while True:
             nudged.clear()
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/keeper.py
@@ -21,7 +21,7 @@
 from swiftdeck.traffic.moves import Moves
 from swiftdeck.traffic.placement import Placement
 from swiftdeck.traffic.takeover import Takeover
-from swiftdeck.wire.messages import GrantReturn, HoldReturn
+from swiftdeck.wire.messages import CallRenewalReturn, GrantReturn
 
 TICK_S = 0.1
 ADAPT_S = 30.0
@@ -249,8 +249,8 @@
 
         The list may have been on its way for long. It is newer than this coordinator's answer to
         the one before, whose time it brings back: what was granted well before that and isn't in
-        the list has ended. Returns a HoldReturn with the calls that are unknown here even after
-        the router was asked for its conversations, or a fault.
+        the list has ended. Returns a CallRenewalReturn with the calls that are unknown here even
+        after the router was asked for its conversations, or a fault.
         """
         if not self.is_ready():
             return NOT_KEEPER
@@ -261,7 +261,7 @@
         lost = self.books.reconcile(sender, set(hold.calls), settled_s)
         if lost:
             await self.takeover.gather(sender, self.term)
-        return HoldReturn(lost=sorted(lost), stamp_ms=int(self.loop.time() * 1000))
+        return CallRenewalReturn(lost=sorted(lost), stamp_ms=int(self.loop.time() * 1000))
 
     def status(self) -> dict:
         """Return the coordinator's state in its outward form."""
--- a/swiftdeck/traffic/lease.py
+++ b/swiftdeck/traffic/lease.py
@@ -10,7 +10,14 @@
 from swiftdeck.chain.weight_ages import WeightAges
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.fault import INVALID, NO_LEASE, is_fault
-from swiftdeck.wire.messages import LeaseAsk, LeaseReturn, Nudge, PeekAsk, PeekReturn, Relay
+from swiftdeck.wire.messages import (
+    ConfigChanged,
+    DurableConfigAsk,
+    DurableConfigReturn,
+    LeaseAsk,
+    LeaseReturn,
+    Relay,
+)
 
 ASK_MS, LONG_ASK_MS = 700, 3000
 """How long the tail may take to begin its answer, and to end one that is still coming in."""
@@ -49,7 +56,7 @@
         self.waiting, self.stopping, self.must_have_whole = [], False, False
         self.failures, self.peeks, self.routers = 0, False, 0
         self.weight_ages, self.core_changed_s, self.core_seen_s = WeightAges(), -1e9, -1e9
-        mesh.on(Nudge, self.on_nudge)
+        mesh.on(ConfigChanged, self.on_nudge)
         mesh.on(Relay, self.on_relay)
 
     def start(self):
@@ -148,7 +155,9 @@
             ref.addr for ref in self.cluster_map.view.members
         }
         open_tasks = {
-            asyncio.ensure_future(self.mesh.ask(addr, PeekAsk(takes_packed=True), PEEK_ASK_MS))
+            asyncio.ensure_future(
+                self.mesh.ask(addr, DurableConfigAsk(takes_packed=True), PEEK_ASK_MS)
+            )
             for addr in sorted(addrs)
         }
         told, timeout_s = [], None
@@ -159,7 +168,7 @@
             if not done:
                 break
             got = [each.result() for each in done]
-            told += [each for each in got if isinstance(each, PeekReturn) and each.version]
+            told += [each for each in got if isinstance(each, DurableConfigReturn) and each.version]
             timeout_s = PEEK_MORE_S if told else None
         return told
 
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -38,10 +38,10 @@
 from swiftdeck.traffic.workers import WorkerList
 from swiftdeck.wire.messages import (
     AttemptEnd,
+    CallRenewal,
+    CallRenewalReturn,
     GrantAsk,
     GrantDrop,
-    Hold,
-    HoldReturn,
     OpenAsk,
     OpenConversation,
     OpenReturn,
@@ -112,7 +112,7 @@
             (AttemptEnd, self.on_attempt_end, False),
             (GrantDrop, self.on_grant_drop, False),
             (OpenAsk, self.on_open_ask, False),
-            (Hold, self.on_hold, False),
+            (CallRenewal, self.on_hold, False),
         ):
             self.mesh.on(kind, handler, is_bound)
 
@@ -334,7 +334,7 @@
     async def _hold(self, keeper, model, calls):
         sent_s = self.loop.time()
         heard = self.heard.get(model, HeardKeeper(keeper[0], 0))
-        hold = Hold(
+        hold = CallRenewal(
             router=self.me.name,
             model=model,
             calls=calls,
@@ -347,8 +347,8 @@
             else self.mesh.ask(keeper[1], hold, 1000)
         )
         if not is_fault(got):
-            lost = set(got.lost) if isinstance(got, HoldReturn) else set()
-            if isinstance(got, HoldReturn):
+            lost = set(got.lost) if isinstance(got, CallRenewalReturn) else set()
+            if isinstance(got, CallRenewalReturn):
                 self.heard[model] = HeardKeeper(keeper[0], got.stamp_ms)
             self.board.count["grantsLapsed"] += len(lost)
             for running in [
--- a/swiftdeck/wire/messages/admission.py
+++ b/swiftdeck/wire/messages/admission.py
@@ -115,8 +115,8 @@
     conversations: list[OpenConversation] = bp.message_field(1)
 
 
-@message
-class Hold(WireMessage):
+@message(kind_name="Hold")
+class CallRenewal(WireMessage):
     """The calls that a router runs, and when it last heard the coordinator, by that one's clock."""
 
     router: str = bp.string_field(1)
@@ -126,8 +126,8 @@
     heard_ms: int = bp.uint64_field(5)
 
 
-@message
-class HoldReturn(WireMessage):
+@message(kind_name="HoldReturn")
+class CallRenewalReturn(WireMessage):
     """Calls that the coordinator doesn't know, and when it answered, by its own clock."""
 
     lost: list[str] = bp.string_field(1)
--- a/swiftdeck/wire/messages/chain.py
+++ b/swiftdeck/wire/messages/chain.py
@@ -13,8 +13,8 @@
     body: bytes = bp.bytes_field(2)
 
 
-@message
-class Pass(WireMessage):
+@message(kind_name="Pass")
+class ReplicateAsk(WireMessage):
     """Entries for the next member of the chain."""
 
     view: int = bp.uint64_field(1)
@@ -23,8 +23,8 @@
     must_copy: bool = bp.bool_field(4)
 
 
-@message
-class PassReturn(WireMessage):
+@message(kind_name="PassReturn")
+class ReplicateReturn(WireMessage):
     """The last entry that a member has on its disk."""
 
     last: int = bp.uint64_field(1)
--- a/swiftdeck/wire/messages/configuration.py
+++ b/swiftdeck/wire/messages/configuration.py
@@ -65,22 +65,22 @@
     ask: LeaseAsk = bp.message_field(1)
 
 
-@message
-class Nudge(WireMessage):
+@message(kind_name="Nudge")
+class ConfigChanged(WireMessage):
     """Tells a router that there is a newer configuration."""
 
     version: int = bp.uint64_field(1)
 
 
-@message
-class PeekAsk(WireMessage):
+@message(kind_name="PeekAsk")
+class DurableConfigAsk(WireMessage):
     """Asks a tail for what it has on its disk."""
 
     takes_packed: bool = bp.bool_field(1)
 
 
-@message
-class PeekReturn(WireMessage):
+@message(kind_name="PeekReturn")
+class DurableConfigReturn(WireMessage):
     """The configuration on a tail's disk."""
 
     version: int = bp.uint64_field(1)
--- a/swiftdeck/wire/messages/gateway.py
+++ b/swiftdeck/wire/messages/gateway.py
@@ -62,8 +62,8 @@
     number: int = bp.uint64_field(6)
 
 
-@message
-class ListWish(WireMessage):
+@message(kind_name="ListWish")
+class FullListAsk(WireMessage):
     """The list and the newest reading's number that a router holds; it wants another list whole."""
 
     digest: bytes = bp.bytes_field(1)
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -10,7 +10,7 @@
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
 from swiftdeck.traffic.router import Router
-from swiftdeck.wire.messages import Hold
+from swiftdeck.wire.messages import CallRenewal
 from tests.cases.bases import CallsOfWorkersCase
 
 
@@ -63,8 +63,10 @@
         router = next(town.up[name] for name in town.router_names() if name != town.keeper())
         town.caller.doors = [router.settings.http]
         town.world.run(2)
-        held = Hold(router=router.me.name, model="screener", term=keeper.term)
-        late = Hold(router=router.me.name, model="screener", calls=["gone"], term=keeper.term)
+        held = CallRenewal(router=router.me.name, model="screener", term=keeper.term)
+        late = CallRenewal(
+            router=router.me.name, model="screener", calls=["gone"], term=keeper.term
+        )
         returned = town.world.do(
             router.me.name, lambda: router.mesh.ask(keeper.router.me.addr, held)
         )
--- a/tests/cases/input.py
+++ b/tests/cases/input.py
@@ -12,11 +12,11 @@
 from swiftdeck.wire.messages import (
     NUMBERS,
     AttemptEnd,
+    CallRenewal,
     ChainEntry,
     CopyAsk,
     GrantAsk,
     GrantDrop,
-    Hold,
     JoinAsk,
     LeaseAsk,
     ListAsk,
@@ -24,8 +24,8 @@
     NewsDigest,
     Nominate,
     OutcomeAsk,
-    Pass,
     Relay,
+    ReplicateAsk,
     ViewAsk,
     ViewLeaseAsk,
     Write,
@@ -34,7 +34,7 @@
 HOSTILE = (
     GrantAsk,
     GrantDrop,
-    Hold,
+    CallRenewal,
     JoinAsk,
     AttemptEnd,
     LeaseAsk,
@@ -42,7 +42,7 @@
     NewsDigest,
     Nominate,
     OutcomeAsk,
-    Pass,
+    ReplicateAsk,
     Relay,
     MemberList,
     ViewAsk,
@@ -115,7 +115,7 @@
         message = kind(**values)
         if kind is GrantAsk:
             message.chain = rng.choice([[], [b""], [b"x" * 16, b"y"]])
-        if kind is Pass:
+        if kind is ReplicateAsk:
             message.entries = [
                 ChainEntry(serial=rng.choice([0, 5, 1 << 40]), body=rng.randbytes(9))
             ]
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -176,7 +176,7 @@
         "a lapsed grant is not revived by a hold",
         coordinators.CoordinatorsCase,
         "test_a_grant_that_lapsed_is_not_revived_by_a_hold_before_its_worker_is_reached",
-        [("swiftdeck.traffic.keeper", "HoldReturn", replacements.loses_nothing)],
+        [("swiftdeck.traffic.keeper", "CallRenewalReturn", replacements.loses_nothing)],
     ),
     (
         "late requests at a worker",
--- a/tests/cases/replacements.py
+++ b/tests/cases/replacements.py
@@ -12,7 +12,7 @@
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.ledger import Move, next_move
-from swiftdeck.wire.messages import GrantAsk, HoldReturn
+from swiftdeck.wire.messages import CallRenewalReturn, GrantAsk
 
 
 def claimed(self, key, run, digest):
@@ -30,7 +30,7 @@
 
 
 def loses_nothing(**fields):
-    return HoldReturn(**fields | {"lost": []})
+    return CallRenewalReturn(**fields | {"lost": []})
 
 
 async def gathers_nothing(self, addr, term):
--- a/tests/chain/test_complete_in.py
+++ b/tests/chain/test_complete_in.py
@@ -13,7 +13,7 @@
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.world import World
 from swiftdeck.wire.mesh import Mesh
-from swiftdeck.wire.messages import CoreRef, LogAsk, PassReturn, View
+from swiftdeck.wire.messages import CoreRef, LogAsk, ReplicateReturn, View
 
 ADDR, NAME, JOINED = "10.0.0.1:1", "core", 5
 OTHERS = [CoreRef(core_id=digit * 16, addr=f"10.0.0.{digit}:1") for digit in "234"]
@@ -187,7 +187,7 @@
 
         async def ask(addr, message, timeout_ms):
             passed.append(message.last)
-            return PassReturn(last=message.last)
+            return ReplicateReturn(last=message.last)
 
         with mock.patch.object(chain.mesh, "ask", ask):
             chain._append(1, msgspec.msgpack.encode(CHANGE))
--- a/tests/chain/test_nudges.py
+++ b/tests/chain/test_nudges.py
@@ -3,7 +3,7 @@
 import unittest
 
 from swiftdeck.sim.town import Town
-from swiftdeck.wire.messages import Nudge
+from swiftdeck.wire.messages import ConfigChanged
 
 
 class NudgesTest(unittest.TestCase):
@@ -13,7 +13,9 @@
         for name in town.core_names():
             mesh, tell = town.up[name].mesh, town.up[name].mesh.tell
             mesh.tell = lambda addr, message, tell=tell: (
-                told.append((addr, message.version)) if isinstance(message, Nudge) else None,
+                told.append((addr, message.version))
+                if isinstance(message, ConfigChanged)
+                else None,
                 tell(addr, message),
             )
         for cap in (5, 6, 7):
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -16,17 +16,17 @@
     ChainEntry,
     CommitAsk,
     ConfigAsk,
+    ConfigChanged,
     Decided,
+    DurableConfigAsk,
     JoinAsk,
     KeptNews,
     LeaseAsk,
     LeaveAsk,
     LoadNews,
-    Nudge,
     OutcomeAsk,
-    Pass,
-    PeekAsk,
     Prepare,
+    ReplicateAsk,
     Section,
     SwapNews,
     View,
@@ -109,7 +109,7 @@
         change_id, change = configs.items(msgspec.json.encode(made.body), made.base)
         entry = tail.state.examine(change | {"id": change_id})
         entries = [ChainEntry(serial=tail.serial + 1, body=msgspec.msgpack.encode(entry))]
-        return Pass(view=self.old_view.number, entries=entries, last=tail.serial + 1)
+        return ReplicateAsk(view=self.old_view.number, entries=entries, last=tail.serial + 1)
 
     def test_a_late_pass_of_an_earlier_view_is_not_taken(self):
         late = self.late_pass()
@@ -176,9 +176,9 @@
 
     def test_late_reads_say_what_holds_now(self):
         digest = self.core(-1).chain.state.config.digest()
-        for ask in (PeekAsk(), ConfigAsk()):
+        for ask in (DurableConfigAsk(), ConfigAsk()):
             self.assertEqual(self.bring(ask, -1, 0).version, self.version())
-        self.assertEqual(self.bring(PeekAsk(), -1, 0).digest, digest)
+        self.assertEqual(self.bring(DurableConfigAsk(), -1, 0).digest, digest)
         view = self.bring(ViewAsk(), -1, 0).view
         self.assertEqual(view.number, self.core(-1).agreement.decided.number)
         change_id, _ = configs.items(msgspec.json.encode(self.taken.body), self.taken.base)
@@ -194,7 +194,7 @@
         held = lease.held.version
         for version in (held - 1, held + 5):
             self.town.world.run_in(
-                "router1", lambda v=version: lease.on_nudge(Nudge(version=v), "")
+                "router1", lambda v=version: lease.on_nudge(ConfigChanged(version=v), "")
             )
             self.town.world.run(1)
             self.assertEqual((lease.held.version, lease.is_held()), (held, True))
--- a/tests/traffic/test_lease_peeks.py
+++ b/tests/traffic/test_lease_peeks.py
@@ -12,7 +12,7 @@
 from swiftdeck.fault import NOT_TAIL, TIMED_OUT
 from swiftdeck.sim.world import World
 from swiftdeck.traffic.lease import PEEK_AGAIN_S, ConfigLease
-from swiftdeck.wire.messages import PeekAsk, PeekReturn
+from swiftdeck.wire.messages import DurableConfigAsk, DurableConfigReturn
 
 CORES = [f"10.0.0.{at}:7000" for at in (1, 2, 3)]
 
@@ -27,9 +27,9 @@
         self.whole = {"document": config.bytes(), "digest": config.digest()}
 
     async def ask(self, addr, message, *_):
-        if isinstance(message, PeekAsk) and addr in self.answers:
+        if isinstance(message, DurableConfigAsk) and addr in self.answers:
             return self.answers[addr]
-        await asyncio.sleep(0.5 if isinstance(message, PeekAsk) else 3.0)
+        await asyncio.sleep(0.5 if isinstance(message, DurableConfigAsk) else 3.0)
         return TIMED_OUT
 
     def lease(self):
@@ -52,7 +52,7 @@
         return self.world.do("here", main)
 
     def told(self, version, view):
-        return PeekReturn(version=version, view=view, **self.whole)
+        return DurableConfigReturn(version=version, view=view, **self.whole)
 
     def test_a_configuration_is_taken_while_a_renewal_hangs(self):
         self.answers = {CORES[1]: self.told(4, 9), CORES[2]: NOT_TAIL}
@@ -66,7 +66,7 @@
         for told, version in ((packed, 4), (packed[:-5], None)):
             with self.subTest(version):
                 self.setUp()
-                answer = PeekReturn(version=4, view=9, digest=config.digest(), packed=told)
+                answer = DurableConfigReturn(version=4, view=9, digest=config.digest(), packed=told)
                 self.answers = {CORES[1]: answer}
                 lease = self.started()
                 self.world.run(PEEK_AGAIN_S + 0.1)
