--- a/swiftdeck/bench/measures/chain.py
+++ b/swiftdeck/bench/measures/chain.py
@@ -9,7 +9,7 @@
 from swiftdeck.bench.measures.figures import spread
 from swiftdeck.chain.state import CLAIM, FINISH, ChainState
 from swiftdeck.disk.journal import Journal
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 
 ACK_ROUTERS, ACK_ROUTES, ACK_CHANGES = (3, 9, 18), (0, 1000, 5000), 5
 DAY_S = 86400
@@ -22,18 +22,18 @@
     """Yield simulated milliseconds to acknowledge a change, by routers and by routes there are."""
     for routers in ACK_ROUTERS:
         for routes in ACK_ROUTES:
-            town = Town(seed, routers=routers, workers=1).start()
+            cluster = SimCluster(seed, routers=routers, workers=1).start()
             if routes:
                 names = (f"r{number}" for number in range(routes))
-                town.change("PATCH", {"routes": {name: {"model": "screener"} for name in names}})
-            took_ms = [_ack_ms(town, number + 1) for number in range(ACK_CHANGES)]
+                cluster.change("PATCH", {"routes": {name: {"model": "screener"} for name in names}})
+            took_ms = [_ack_ms(cluster, number + 1) for number in range(ACK_CHANGES)]
             yield {"routers": routers, "routes": routes, "ackMs": spread(took_ms)}
 
 
-def _ack_ms(town, cap):
-    start_s = town.world.now
-    town.change("PATCH", {"models": {"screener": {"cap": cap}}})
-    return (town.world.now - start_s) * 1000
+def _ack_ms(cluster, cap):
+    start_s = cluster.world.now
+    cluster.change("PATCH", {"models": {"screener": {"cap": cap}}})
+    return (cluster.world.now - start_s) * 1000
 
 
 def day(seed):
--- a/swiftdeck/bench/measures/placement.py
+++ b/swiftdeck/bench/measures/placement.py
@@ -8,7 +8,7 @@
 
 from swiftdeck.bench.measures.figures import share
 from swiftdeck.bench.thrash import Thrash
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.traffic.ring import Ring
 
 THRASH_SIZES = ((32, 1000), (32, 16), (32, 20), (48, 12), (48, 16), (48, 20), (48, 24))
@@ -78,14 +78,14 @@
 
 
 def _warmth(seed, site):
-    town = Town(seed, site, routers=9, workers=None, speed=0.5).start(cap=6, fetches=False)
-    for worker in town.site.workers:
-        town.up[worker["name"]].cache.room = SMALL_CACHE_TOKENS
-    agents = {tenant: int(at < 2) for at, tenant in enumerate(town.site.keys)}
-    start_ms = town.world.now * 1000
-    town.spawn(lambda: town.caller.run(WARM_S, agents, SHORT_EVERY_S))
-    town.world.run(WARM_S + WARM_ENDS_S)
-    return _warmth_row(_Runs.read(town.records, start_ms))
+    cluster = SimCluster(seed, site, routers=9, workers=None, speed=0.5).start(cap=6, fetches=False)
+    for worker in cluster.site.workers:
+        cluster.up[worker["name"]].cache.room = SMALL_CACHE_TOKENS
+    agents = {tenant: int(at < 2) for at, tenant in enumerate(cluster.site.keys)}
+    start_ms = cluster.world.now * 1000
+    cluster.spawn(lambda: cluster.caller.run(WARM_S, agents, SHORT_EVERY_S))
+    cluster.world.run(WARM_S + WARM_ENDS_S)
+    return _warmth_row(_Runs.read(cluster.records, start_ms))
 
 
 def _warmth_row(runs):
--- a/swiftdeck/bench/thrash.py
+++ b/swiftdeck/bench/thrash.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 
 ROOM_TOKENS = 1_650_000
 SCALE = 50
@@ -58,13 +58,13 @@
         self, cap, seed, agents=32, seconds=1800.0, room=ROOM_TOKENS, adapts=False, routers=2
     ):
         self.cap, self.seed, self.agents, self.seconds = cap, seed, agents, seconds
-        self.town = Town(seed, routers=routers, workers=1, speed=1.0)
+        self.cluster = SimCluster(seed, routers=routers, workers=1, speed=1.0)
         self.room, self.adapts = room, adapts
         self.finished = Counter()
 
     async def _agent(self, tenant, number):
         """Hold conversations one after another; they depend on the seed and the agent alone."""
-        caller, rng = self.town.caller, random.Random(f"{self.seed}/{number}")
+        caller, rng = self.cluster.caller, random.Random(f"{self.seed}/{number}")
         for conversation in itertools.count(1):
             parts = [f"case {number} {conversation}" + "x" * (FIRST_TOKENS // SCALE)]
             turns = plan_turns(rng, caller.doors)
@@ -77,7 +77,7 @@
     async def _call(self, tenant, parts, door, is_last):
         """Call until the return is whole."""
         while True:
-            returned = await self.town.caller.call(
+            returned = await self.cluster.caller.call(
                 tenant,
                 "check",
                 parts,
@@ -93,11 +93,11 @@
     def run(self) -> dict:
         """Make one run and return its figures."""
         self._start()
-        town, worker = self.town, self.town.up["worker1"]
-        start_s, computed = town.world.now, worker.computed
-        town.world.run(self.seconds)
+        cluster, worker = self.cluster, self.cluster.up["worker1"]
+        start_s, computed = cluster.world.now, worker.computed
+        cluster.world.run(self.seconds)
         hits = self._hits(start_s)
-        whole = sum(item["kind"] == "return" and item["whole"] for item in town.records)
+        whole = sum(item["kind"] == "return" and item["whole"] for item in cluster.records)
         counts = [self.finished[number] for number in range(self.agents)]
         return {
             "cap": self.cap,
@@ -111,20 +111,20 @@
 
     def _start(self):
         """Start the site and its agents."""
-        town = self.town
-        town.start(cap=self.cap, idleMs=60000, pauseMs=60000, adapts=self.adapts)
-        town.up["worker1"].cache.room, town.up["worker1"].tokens_per_char = self.room, SCALE
+        cluster = self.cluster
+        cluster.start(cap=self.cap, idleMs=60000, pauseMs=60000, adapts=self.adapts)
+        cluster.up["worker1"].cache.room, cluster.up["worker1"].tokens_per_char = self.room, SCALE
         bounds = ("waitMs", "horizonMs", "firstPieceMs", "pieceMs")
-        town.change("PATCH", {"routes": {"check": dict.fromkeys(bounds, FOREVER_MS)}})
-        tenants = list(town.site.keys)
+        cluster.change("PATCH", {"routes": {"check": dict.fromkeys(bounds, FOREVER_MS)}})
+        tenants = list(cluster.site.keys)
         for number in range(self.agents):
             tenant = tenants[number % len(tenants)]
-            town.spawn(lambda tenant=tenant, number=number: self._agent(tenant, number))
+            cluster.spawn(lambda tenant=tenant, number=number: self._agent(tenant, number))
 
     def _hits(self, start_s):
         """Return for each later call of a conversation whether its earlier prompt was kept."""
         return [
             item["hitParts"] >= item["parts"] - 1
-            for item in self.town.records
+            for item in self.cluster.records
             if item["kind"] == "prefill" and item["parts"] > 1 and item["atMs"] > start_s * 1000
         ]
--- a/swiftdeck/sim/faults/closing.py
+++ b/swiftdeck/sim/faults/closing.py
@@ -25,54 +25,56 @@
 
     def _tail(self):
         """The core where the chain ends."""
-        town = self.town
-        return next((name for name in town.core_names() if town.up[name].chain.is_last()), None)
+        cluster = self.cluster
+        return next(
+            (name for name in cluster.core_names() if cluster.up[name].chain.is_last()), None
+        )
 
     def _kill_some(self):
-        keeper = self.town.keeper()
-        others = [name for name in self.town.router_names() if name != keeper]
+        keeper = self.cluster.keeper()
+        others = [name for name in self.cluster.router_names() if name != keeper]
         router = self.injector.pick(others)
         worker = self.injector.pick(self.injector.worker_names())
         for name in (self._tail(), keeper, router, worker):
             if name:
                 self.injector.note_fault(name)
-                self.town.world.kill(name, silent=True)
+                self.cluster.world.kill(name, silent=True)
 
     def _cut_zone(self):
-        zone, site = self.random.choice(ZONES), self.town.site
+        zone, site = self.random.choice(ZONES), self.cluster.site
         nodes = [node for node in [*site.cores, *site.routers] if node["zone"] == zone]
         workers = [worker for worker in site.workers if worker["zone"] == zone]
         near = [self.injector.address(node["name"]) for node in nodes]
         near += [worker["addr"].rpartition(":")[0] for worker in workers]
         for node in [*nodes, *workers]:
             self.injector.note_fault(node["name"])
-        far = [ip for ip in self.town.ips.values() if ip not in near]
-        self.town.world.net.cut(near, far)
+        far = [ip for ip in self.cluster.ips.values() if ip not in near]
+        self.cluster.world.net.cut(near, far)
 
     def _kill_all_cores(self):
-        for name in self.town.core_names():
+        for name in self.cluster.core_names():
             self.injector.kill(name, least_s=0.5, most_s=2.0)
 
     def _freeze_keeper_and_tail(self):
-        for name in (self._tail(), self.town.keeper()):
+        for name in (self._tail(), self.cluster.keeper()):
             if name:
                 self.injector.note_fault(name)
-                self.town.world.freeze(name)
+                self.cluster.world.freeze(name)
 
     def _cut_core(self):
-        alone = self.injector.pick(self.town.core_names())
-        others = [name for name in self.town.addresses if name != alone]
+        alone = self.injector.pick(self.cluster.core_names())
+        others = [name for name in self.cluster.addresses if name != alone]
         far = [self.injector.address(name) for name in others]
-        self.town.world.net.cut([self.injector.address(alone)], far)
+        self.cluster.world.net.cut([self.injector.address(alone)], far)
 
     def _kill_all(self):
-        town = self.town
-        names = [*town.core_names(), *town.router_names(), *self.injector.worker_names()]
+        cluster = self.cluster
+        names = [*cluster.core_names(), *cluster.router_names(), *self.injector.worker_names()]
         for name in names:
             self.injector.kill(name, least_s=0.5, most_s=2.0)
 
     def _restart_platform(self):
-        world, platform = self.town.world, self.town.up["platform"]
+        world, platform = self.cluster.world, self.cluster.up["platform"]
         world.kill("platform")
         self.injector.note_fault("platform")
         address = self.injector.platform_address()
--- a/swiftdeck/sim/faults/disks.py
+++ b/swiftdeck/sim/faults/disks.py
@@ -9,40 +9,40 @@
     """Disks that are lost, full or slow, power that goes, and cores that come back empty."""
 
     def _all_cores_are_members(self):
-        town = self.town
+        cluster = self.cluster
         return self.injector.all_cores_run() and all(
-            town.up[name].agreement.position() >= 0 for name in town.core_names()
+            cluster.up[name].agreement.position() >= 0 for name in cluster.core_names()
         )
 
     def lose_disk(self):
         """Kill a core and lose its disk, right after a change was sent."""
         if self._all_cores_are_members():
-            name = self.injector.pick(self.town.core_names())
+            name = self.injector.pick(self.cluster.core_names())
             self.operator.patch(self.operator.line_change())
             self.injector.kill(name)
-            self.town.folders[name].wipe()
+            self.cluster.folders[name].wipe()
             self.injector.log(f"wipe {name}")
 
     def new_address(self):
         """Replace a core by an empty one on another machine, and tell the others its address."""
         if not self._all_cores_are_members():
             return
-        town = self.town
-        name = self.injector.pick(town.core_names())
-        town.world.kill(name)
-        town.folders[name].wipe()
-        ip = town.ip(f"{name}-{len(self.injector.trace)}")
-        town.addresses[name] |= {"inner": f"{ip}:7000", "http": f"{ip}:8000"}
-        town.seeds = [core["inner"] for core in town.site.cores]
-        for other in [*town.core_names(), *town.router_names()]:
-            town.up[other].membership.set_seeds(town.seeds)
+        cluster = self.cluster
+        name = self.injector.pick(cluster.core_names())
+        cluster.world.kill(name)
+        cluster.folders[name].wipe()
+        ip = cluster.ip(f"{name}-{len(self.injector.trace)}")
+        cluster.addresses[name] |= {"inner": f"{ip}:7000", "http": f"{ip}:8000"}
+        cluster.seeds = [core["inner"] for core in cluster.site.cores]
+        for other in [*cluster.core_names(), *cluster.router_names()]:
+            cluster.up[other].membership.set_seeds(cluster.seeds)
         self.injector.log(f"empty {name} at a new address")
         self.injector.later(lambda: self.injector.restart(name), 2, 6)
 
     def fill_disk(self):
         """Let a core's disk have no room left."""
-        name = self.injector.pick(self.town.core_names())
-        folder = self.town.folders.get(name)
+        name = self.injector.pick(self.cluster.core_names())
+        folder = self.cluster.folders.get(name)
         if folder:
             folder.full = True
             self.injector.log(f"full {name}")
@@ -50,8 +50,8 @@
 
     def stall_disk(self):
         """Let each sync of a core's disk take up to five seconds."""
-        name = self.injector.pick(self.town.core_names())
-        folder = self.town.folders.get(name)
+        name = self.injector.pick(self.cluster.core_names())
+        folder = self.cluster.folders.get(name)
         if folder:
             folder.stall_s = self.random.choice([0.05, 0.3, 5.0])
             self.injector.log(f"stall {name} {folder.stall_s}")
@@ -59,11 +59,11 @@
 
     def slow_disk(self):
         """Let each sync of a core's disk take up to nine tenths of a second."""
-        name = self.injector.pick(self.town.core_names())
+        name = self.injector.pick(self.cluster.core_names())
         self._slow_disk(name, self.random.uniform(0.02, SLOW_SYNC_S))
 
     def _slow_disk(self, name, stall_s):
-        folder = self.town.folders.get(name)
+        folder = self.cluster.folders.get(name)
         if folder:
             folder.stall_s = stall_s
             self.injector.log(f"slow disk {name} {stall_s:.2f}")
@@ -71,7 +71,7 @@
 
     def power_after_ack(self):
         """Cut the power of one core or of all, in the moment of an acknowledgement."""
-        names = self.town.core_names()
+        names = self.cluster.core_names()
         if self.random.random() >= 0.5:
             names = [self.injector.pick(names)]
 
@@ -80,20 +80,26 @@
                 self.injector.kill(name, least_s=0.3, most_s=3.0)
 
         self.operator.patch(
-            self.operator.line_change(), lambda: self.town.world.at(0.0, lose_power)
+            self.operator.line_change(), lambda: self.cluster.world.at(0.0, lose_power)
         )
 
     def power_before_sync(self):
         """Cut the head's power after operators may have read what its slow disk hasn't synced."""
-        town = self.town
-        name = next((each for each in town.core_names() if town.up[each].chain.is_first()), None)
-        if name is None or not self.injector.all_cores_run() or not town.up[name].chain.is_whole():
+        cluster = self.cluster
+        name = next(
+            (each for each in cluster.core_names() if cluster.up[each].chain.is_first()), None
+        )
+        if (
+            name is None
+            or not self.injector.all_cores_run()
+            or not cluster.up[name].chain.is_whole()
+        ):
             return
-        folder = town.folders[name]
+        folder = cluster.folders[name]
         folder.stall_s = SLOW_SYNC_S
         self.injector.log(f"power before sync {name}")
         document = self.operator.line_change()
-        others = [each for each in town.core_names() if each != name]
+        others = [each for each in cluster.core_names() if each != name]
         self.operator.patch(document, name=self.injector.pick(others))
 
         def lose_power():
@@ -105,7 +111,7 @@
 
     def kill_after_fault(self):
         """Kill a core soon after its disk became slow, or it was frozen or cut off."""
-        name = self.injector.pick(self.town.core_names())
+        name = self.injector.pick(self.cluster.core_names())
         if name is None or not self.injector.all_cores_run():
             return
         first = self.random.choice(["slow", "freeze", "cut"])
--- a/swiftdeck/sim/faults/injector.py
+++ b/swiftdeck/sim/faults/injector.py
@@ -11,8 +11,8 @@
     site's records, as `kill` and `back`, for the checker.
     """
 
-    def __init__(self, town):
-        self.town, self.random = town, town.world.random
+    def __init__(self, cluster):
+        self.cluster, self.random = cluster, cluster.world.random
         self.trace = []
         self.fault_count, self.open_faults = 0, {}
         self.weights, self.wall_offset_s = "w1", 0.0
@@ -20,24 +20,26 @@
 
     def log(self, text):
         """Note a fault in the trace."""
-        self.trace.append((round(self.town.world.now, 3), text))
+        self.trace.append((round(self.cluster.world.now, 3), text))
 
     def note_fault(self, name):
         """Record that a process is not well; returns the function to call when it is well again."""
         self.fault_count += 1
-        number, town = self.fault_count, self.town
+        number, cluster = self.fault_count, self.cluster
         self.open_faults[number] = name
-        town.record("operator")("kill", target=name, id=number, keeper=name in town.keeper_names())
+        cluster.record("operator")(
+            "kill", target=name, id=number, keeper=name in cluster.keeper_names()
+        )
 
         def recovered():
             if self.open_faults.pop(number, None):
-                town.record("operator")("back", id=number, target=name)
+                cluster.record("operator")("back", id=number, target=name)
 
         return recovered
 
     def later(self, action, least_s=1.0, most_s=12.0):
         """Run an action after a random time between two bounds."""
-        self.town.world.at(self.random.uniform(least_s, most_s), action)
+        self.cluster.world.at(self.random.uniform(least_s, most_s), action)
 
     def pick(self, names):
         """One of some names at random; None when there are none."""
@@ -45,42 +47,42 @@
 
     def address(self, name):
         """The IP address of a core or router."""
-        return self.town.addresses[name]["inner"].rpartition(":")[0]
+        return self.cluster.addresses[name]["inner"].rpartition(":")[0]
 
     def platform_address(self):
         """The IP address of the platform."""
-        return self.town.site.platform.rpartition(":")[0]
+        return self.cluster.site.platform.rpartition(":")[0]
 
     def worker_names(self):
         """Workers that run."""
-        names = [worker["name"] for worker in self.town.site.workers]
-        return [name for name in names if name in self.town.world.loops]
+        names = [worker["name"] for worker in self.cluster.site.workers]
+        return [name for name in names if name in self.cluster.world.loops]
 
     def all_cores_run(self):
         """Whether no core is down."""
-        return len(self.town.core_names()) == CORE_COUNT
+        return len(self.cluster.core_names()) == CORE_COUNT
 
     def restart(self, name):
         """Start a process that is down; does nothing to one that runs."""
-        town = self.town
-        if name in town.world.loops:
+        cluster = self.cluster
+        if name in cluster.world.loops:
             return
         if name.startswith("core"):
-            town.start_core(name)
+            cluster.start_core(name)
         elif name.startswith("router"):
-            town.start_router(name)
+            cluster.start_router(name)
         elif name.startswith("worker"):
-            town.start_worker(name, weights=self.random.choice(["w1", self.weights]))
+            cluster.start_worker(name, weights=self.random.choice(["w1", self.weights]))
 
     def kill(self, name, silent=False, least_s=1.0, most_s=12.0):
         """End a process, with the power of its disk; `silent` when no reset is sent."""
-        town = self.town
-        if name is None or name not in town.world.loops:
+        cluster = self.cluster
+        if name is None or name not in cluster.world.loops:
             return
         recovered = self.note_fault(name)
-        town.world.kill(name, silent)
-        if name in town.folders:
-            town.folders[name].lose_power(torn=self.random.choice(TORN_BYTES))
+        cluster.world.kill(name, silent)
+        if name in cluster.folders:
+            cluster.folders[name].lose_power(torn=self.random.choice(TORN_BYTES))
         self.log(f"kill {name}")
 
         def start_again():
@@ -91,30 +93,30 @@
 
     def freeze(self, name, most_s=15, least_s=0.5):
         """Stop a process in its tracks for a while."""
-        town = self.town
-        if not name or town.world.loops[name].frozen:
+        cluster = self.cluster
+        if not name or cluster.world.loops[name].frozen:
             return
-        town.world.freeze(name)
-        recovered, loop = self.note_fault(name), town.world.loops[name]
+        cluster.world.freeze(name)
+        recovered, loop = self.note_fault(name), cluster.world.loops[name]
         self.log(f"freeze {name}")
 
         def thaw():
-            if town.world.loops.get(name) is loop and loop.frozen:
-                town.world.thaw(name)
+            if cluster.world.loops.get(name) is loop and loop.frozen:
+                cluster.world.thaw(name)
             recovered()
 
         self.later(thaw, least_s, most_s)
 
     def cut(self, near, both=True):
         """Cut some addresses off from all others, in one direction or in both."""
-        town = self.town
-        far = [self.address(name) for name in town.addresses] + [self.platform_address()]
-        workers = [worker["addr"].rpartition(":")[0] for worker in town.site.workers]
+        cluster = self.cluster
+        far = [self.address(name) for name in cluster.addresses] + [self.platform_address()]
+        workers = [worker["addr"].rpartition(":")[0] for worker in cluster.site.workers]
         if self.random.random() < 0.3:
             far += workers
-        names = [name for name in town.router_names() if self.address(name) in near]
+        names = [name for name in cluster.router_names() if self.address(name) in near]
         recoveries = [self.note_fault(name) for name in names]
-        pairs = town.world.net.cut(near, [ip for ip in far if ip not in near], both)
+        pairs = cluster.world.net.cut(near, [ip for ip in far if ip not in near], both)
         self.log(f"cut {near} both={both}")
         self.heal_later(pairs, recoveries, 1, 15)
 
@@ -122,7 +124,7 @@
         """Undo some cuts after a random time, and note that the processes are well again."""
 
         def heal():
-            self.town.world.net.heal(pairs)
+            self.cluster.world.net.heal(pairs)
             for recovered in recoveries:
                 recovered()
 
@@ -138,31 +140,31 @@
         self._mend_workers()
         for number, name in list(self.open_faults.items()):
             del self.open_faults[number]
-            self.town.record("operator")("back", id=number, target=name)
+            self.cluster.record("operator")("back", id=number, target=name)
 
     def _mend_network_and_disks(self):
-        net = self.town.world.net
+        net = self.cluster.world.net
         net.heal()
-        net.loss_rate = self.town.late.share = 0.0
-        for folder in self.town.folders.values():
+        net.loss_rate = self.cluster.late.share = 0.0
+        for folder in self.cluster.folders.values():
             folder.full, folder.stall_s = False, 0.0
 
     def _mend_processes(self):
-        town = self.town
-        for name in [*town.addresses, *(worker["name"] for worker in town.site.workers)]:
-            if name in town.world.loops and town.world.loops[name].frozen:
-                town.world.thaw(name)
+        cluster = self.cluster
+        for name in [*cluster.addresses, *(worker["name"] for worker in cluster.site.workers)]:
+            if name in cluster.world.loops and cluster.world.loops[name].frozen:
+                cluster.world.thaw(name)
             self.restart(name)
-        if town.world.loops["platform"].frozen:
-            town.world.thaw("platform")
-        if "store" not in town.world.loops:
-            town.start_store()
+        if cluster.world.loops["platform"].frozen:
+            cluster.world.thaw("platform")
+        if "store" not in cluster.world.loops:
+            cluster.start_store()
 
     def _mend_workers(self):
-        town = self.town
-        platform = town.up["platform"]
-        for plan in town.site.workers:
-            worker = town.up[plan["name"]]
+        cluster = self.cluster
+        platform = cluster.up["platform"]
+        for plan in cluster.site.workers:
+            worker = cluster.up[plan["name"]]
             if worker.quirk:
                 worker.quirk = ""
                 worker.record("quirk", quirk="")
@@ -175,4 +177,4 @@
 
     def __init__(self, injector, operator):
         self.injector, self.operator = injector, operator
-        self.town, self.random = injector.town, injector.random
+        self.cluster, self.random = injector.cluster, injector.random
--- a/swiftdeck/sim/faults/network.py
+++ b/swiftdeck/sim/faults/network.py
@@ -8,29 +8,29 @@
 
     def cut_router(self):
         """Cut a core or a router off, mostly in both directions."""
-        address = self.injector.address(self.injector.pick(self.town.addresses))
+        address = self.injector.address(self.injector.pick(self.cluster.addresses))
         self.injector.cut([address], self.random.random() < 0.7)
 
     def cut_core(self):
         """Cut one or two cores off, along with some of the routers."""
-        cores = sorted(name for name in self.town.addresses if name.startswith("core"))
+        cores = sorted(name for name in self.cluster.addresses if name.startswith("core"))
         near = self.random.sample(cores, self.random.choice([1, 1, 2]))
-        routers = sorted(name for name in self.town.addresses if name.startswith("router"))
+        routers = sorted(name for name in self.cluster.addresses if name.startswith("router"))
         near = near + self.random.sample(routers, self.random.randint(0, len(routers) // 2))
         addresses = [self.injector.address(name) for name in near]
         self.injector.cut(addresses, self.random.random() < 0.7)
 
     def one_way(self):
         """Lose what one process sends, while it still hears the others."""
-        name = self.injector.pick(self.town.addresses)
+        name = self.injector.pick(self.cluster.addresses)
         self.injector.cut([self.injector.address(name)], False)
 
     def lose_datagrams(self):
         """Lose a share of all datagrams from now on."""
-        self.town.world.net.loss_rate = self.random.choice([0.0, 0.1, 0.4])
+        self.cluster.world.net.loss_rate = self.random.choice([0.0, 0.1, 0.4])
 
     def delay_messages(self):
         """Let a share of all messages between processes come late from now on, or none."""
-        late = self.town.late
+        late = self.cluster.late
         late.share = self.random.choice([0.0, 0.02, 0.1, 0.3])
         self.injector.log(f"late {late.share}")
--- a/swiftdeck/sim/faults/operator.py
+++ b/swiftdeck/sim/faults/operator.py
@@ -13,34 +13,34 @@
     """An operator whose changes and readings go to a core at random and are recorded."""
 
     def __init__(self, injector):
-        self.injector, self.town, self.random = injector, injector.town, injector.random
+        self.injector, self.cluster, self.random = injector, injector.cluster, injector.random
 
     def cap_change(self):
         """A change of the cap of the site's model."""
-        return {"models": {self.town.site.model: {"cap": self.random.randint(2, 8)}}}
+        return {"models": {self.cluster.site.model: {"cap": self.random.randint(2, 8)}}}
 
     def line_change(self):
         """A change of the longest waiting line of the site's model."""
-        return {"models": {self.town.site.model: {"lineMax": self.random.randint(20, 90)}}}
+        return {"models": {self.cluster.site.model: {"lineMax": self.random.randint(20, 90)}}}
 
     def patch(self, document, on_success=lambda: None, name=None):
         """Send a merge patch on the newest known version to a core, and record what came back."""
-        town = self.town
-        name, base = name or self.injector.pick(town.core_names()), town.version
+        cluster = self.cluster
+        name, base = name or self.injector.pick(cluster.core_names()), cluster.version
         if name is None:
             return
-        change_id = f"storm-{len(town.records)}-{self.random.getrandbits(32)}"
+        change_id = f"storm-{len(cluster.records)}-{self.random.getrandbits(32)}"
         asked_ms = self._now_ms()
 
         async def send():
             path, headers = f"/v1/config?base={base}", [("change-id", change_id)]
-            door = town.addresses[name]["http"]
+            door = cluster.addresses[name]["http"]
             answer = await fetch_json(door, "PATCH", path, document, headers, CHANGE_TIMEOUT_MS)
             status, body = answer or (0, {"changeId": change_id})
             if status == 200:
-                town.version = max(town.version, body["version"])
+                cluster.version = max(cluster.version, body["version"])
                 on_success()
-            town.record("operator")(
+            cluster.record("operator")(
                 "change",
                 method="PATCH",
                 base=base,
@@ -50,36 +50,36 @@
                 askedMs=asked_ms,
             )
 
-        town.spawn(send)
+        cluster.spawn(send)
 
     def read(self):
         """Read the configuration from a core, and record what came."""
-        name, asked_ms = self.injector.pick(self.town.core_names()), self._now_ms()
+        name, asked_ms = self.injector.pick(self.cluster.core_names()), self._now_ms()
         if name is None:
             return
 
         async def send():
-            door = self.town.addresses[name]["http"]
+            door = self.cluster.addresses[name]["http"]
             answer = await fetch_json(door, "GET", "/v1/config", timeoutMs=READ_TIMEOUT_MS)
             self._record_reading(answer, asked_ms)
 
-        self.town.spawn(send)
+        self.cluster.spawn(send)
 
     def read_back(self):
         """Ask what became of each undecided change, and read the whole configuration at the end."""
-        town = self.town
-        town.record("operator")("dayEnds")
-        changes = [item for item in town.records if item["kind"] == "change"]
+        cluster = self.cluster
+        cluster.record("operator")("dayEnds")
+        changes = [item for item in cluster.records if item["kind"] == "change"]
         known = {item["answer"].get("changeId") for item in changes if item["status"] == 200}
         for item in [change for change in changes if change["status"] not in DECIDED]:
             change_id = item["answer"].get("changeId", "")
             if change_id and change_id not in known:
-                self._settle(item, town.ask("GET", f"/v1/changes/{change_id}"))
+                self._settle(item, cluster.ask("GET", f"/v1/changes/{change_id}"))
         asked_ms = self._now_ms()
-        self._record_reading(town.ask("GET", "/v1/config"), asked_ms)
+        self._record_reading(cluster.ask("GET", "/v1/config"), asked_ms)
 
     def _now_ms(self):
-        return int(self.town.world.now * 1000)
+        return int(self.cluster.world.now * 1000)
 
     def _settle(self, change, answer):
         """Complete the record of an undecided change that was taken after all."""
@@ -94,7 +94,7 @@
     def _record_reading(self, answer, asked_ms):
         status, body = answer or (0, {})
         is_good = status == 200
-        self.town.record("operator")(
+        self.cluster.record("operator")(
             "read",
             status=status,
             version=body["version"] if is_good else 0,
@@ -129,12 +129,12 @@
 
     def rekey(self):
         """Exchange a tenant's key; its callers use the new one once it is in force."""
-        town, tenant = self.town, self.injector.pick(self.town.site.keys)
+        cluster, tenant = self.cluster, self.injector.pick(self.cluster.site.keys)
         self.key_count += 1
         key = f"key-{tenant}-{self.key_count}"
         self.operator.patch(
             {"tenants": {tenant: {"keys": [key_digest(key)]}}},
-            lambda: town.caller.keys.update({tenant: key}),
+            lambda: cluster.caller.keys.update({tenant: key}),
         )
         self.injector.log(f"rekey {tenant}")
 
@@ -142,7 +142,7 @@
         """Add a route, or remove one that an earlier change added."""
         added = [
             name
-            for item in self.town.records
+            for item in self.cluster.records
             if item["kind"] == "change" and item["status"] == 200
             for name, route in (item["document"].get("routes") or {}).items()
             if route and name.startswith("extra-")
@@ -150,12 +150,12 @@
         if added and self.random.random() < 0.5:
             self.operator.patch({"routes": {self.random.choice(added): None}})
         else:
-            name = f"extra-{len(self.town.records)}"
-            self.operator.patch({"routes": {name: {"model": self.town.site.model}}})
+            name = f"extra-{len(self.cluster.records)}"
+            self.operator.patch({"routes": {name: {"model": self.cluster.site.model}}})
 
     def grow(self):
         """Add some hundred routes with one change."""
-        at, route = len(self.injector.trace), {"model": self.town.site.model}
+        at, route = len(self.injector.trace), {"model": self.cluster.site.model}
         routes = {f"grown-{at}-{number}": route for number in range(GROWN_ROUTES)}
         self.operator.patch({"routes": routes})
 
@@ -165,16 +165,16 @@
         is_rollback = number > 2 and self.random.random() < 0.25
         weights = f"w{number - 1}" if is_rollback else f"w{number + 1}"
         self.injector.weights = weights
-        self.operator.patch({"models": {self.town.site.model: {"weights": weights}}})
+        self.operator.patch({"models": {self.cluster.site.model: {"weights": weights}}})
         self.injector.log(f"weights {weights}")
 
     def write_both_sides(self):
         """Cut the cores in two, and write on both sides."""
-        names = self.town.core_names()
+        names = self.cluster.core_names()
         if not self.injector.all_cores_run():
             return
         alone = self.injector.pick(names)
-        routers = self.town.router_names()
+        routers = self.cluster.router_names()
         near = [alone, *self.random.sample(routers, len(routers) // 2)]
         self.injector.cut([self.injector.address(name) for name in near], True)
         for name in (alone, next(name for name in names if name != alone)):
--- a/swiftdeck/sim/faults/processes.py
+++ b/swiftdeck/sim/faults/processes.py
@@ -21,38 +21,38 @@
 
     def kill_router(self):
         """Kill a router, with or without resets."""
-        name = self.injector.pick(self.town.router_names())
+        name = self.injector.pick(self.cluster.router_names())
         self.injector.kill(name, silent=self.random.random() < 0.5)
 
     def kill_keeper(self):
         """Kill the router that coordinates admission."""
-        self.injector.kill(self.town.keeper())
+        self.injector.kill(self.cluster.keeper())
 
     def kill_core(self):
         """Kill a core while all of them run."""
         if self.injector.all_cores_run():
-            self.injector.kill(self.injector.pick(self.town.core_names()))
+            self.injector.kill(self.injector.pick(self.cluster.core_names()))
 
     def kill_all_cores(self):
         """Kill all cores at once."""
-        for name in self.town.core_names():
+        for name in self.cluster.core_names():
             self.injector.kill(name, least_s=0.5, most_s=3.0)
 
     def kill_many(self):
         """Kill up to four routers and a core."""
-        names = self.town.router_names()
+        names = self.cluster.router_names()
         for name in sorted(self.random.sample(names, min(4, len(names)))):
             self.injector.kill(name, least_s=0.5, most_s=4.0)
         self.kill_core()
 
     def freeze(self):
         """Freeze a core or a router."""
-        names = [*self.town.core_names(), *self.town.router_names()]
+        names = [*self.cluster.core_names(), *self.cluster.router_names()]
         self.injector.freeze(self.injector.pick(names))
 
     def freeze_keeper(self):
         """Freeze the router that coordinates admission."""
-        self.injector.freeze(self.town.keeper())
+        self.injector.freeze(self.cluster.keeper())
 
     def freeze_worker(self):
         """Freeze a worker for six seconds at most."""
@@ -60,12 +60,12 @@
 
     def freeze_busy(self):
         """Freeze a router that holds a grant it has not acted on, until its slot is given away."""
-        world = self.town.world
+        world = self.cluster.world
         end_s = world.now + GRANT_WATCH_S
 
         def look():
-            for name in self.town.router_names():
-                if name != self.town.keeper() and self._holds_unused_grant(name):
+            for name in self.cluster.router_names():
+                if name != self.cluster.keeper() and self._holds_unused_grant(name):
                     return self.injector.freeze(name, least_s=LONGER_THAN_A_GRANT_S)
             if world.now < end_s:
                 world.at(0.001, look)
@@ -73,14 +73,14 @@
         look()
 
     def _holds_unused_grant(self, name):
-        ledgers = [running.call.ledger for running in self.town.up[name].running.values()]
+        ledgers = [running.call.ledger for running in self.cluster.up[name].running.values()]
         attempts = [ledger.attempts[-1] for ledger in ledgers if ledger.attempts]
         return any(attempt.grant is not None and not attempt.was_sent for attempt in attempts)
 
     def slow_clock(self):
         """Let the clock of a core or a router run a little slow, right or fast."""
-        world = self.town.world
-        names = [*self.town.core_names(), *self.town.router_names()]
+        world = self.cluster.world
+        names = [*self.cluster.core_names(), *self.cluster.router_names()]
         loop = world.loops.get(self.injector.pick(names))
         if loop:
             now_s = loop.time()
@@ -97,7 +97,7 @@
         if self.injector.is_rolling:
             return
         self.injector.is_rolling = True
-        names = sorted(self.town.addresses)
+        names = sorted(self.cluster.addresses)
         self.random.shuffle(names)
         for at, name in enumerate(names):
             least_s = 1 + ROLL_EVERY_S * at
@@ -105,19 +105,19 @@
         self.injector.log("roll nodes")
 
     def _roll(self, name):
-        town, world, injector = self.town, self.town.world, self.injector
+        cluster, world, injector = self.cluster, self.cluster.world, self.injector
         if not injector.is_rolling or name not in world.loops or world.loops[name].frozen:
             return
         recovered, loop = injector.note_fault(name), world.loops[name]
-        world.run_in(name, lambda: loop.create_task(town.up[name].stop()))
+        world.run_in(name, lambda: loop.create_task(cluster.up[name].stop()))
 
         def start_again():
             if injector.pending_restarts.pop(name, None) is None:
                 return
             if world.loops.get(name) is loop:
                 world.kill(name)
-            if name in town.folders:
-                town.folders[name].lose_power()
+            if name in cluster.folders:
+                cluster.folders[name].lose_power()
             injector.restart(name)
             recovered()
 
--- a/swiftdeck/sim/faults/workers.py
+++ b/swiftdeck/sim/faults/workers.py
@@ -21,11 +21,11 @@
 
     def drain(self):
         """Replace a worker."""
-        self._replace(self.injector.pick([worker["name"] for worker in self.town.site.workers]))
+        self._replace(self.injector.pick([worker["name"] for worker in self.cluster.site.workers]))
 
     def roll_workers(self):
         """Replace all workers, one after another."""
-        for at, worker in enumerate(self.town.site.workers):
+        for at, worker in enumerate(self.cluster.site.workers):
             least_s = 1 + RELEASE_EVERY_S * at
             name = worker["name"]
             self.injector.later(lambda name=name: self._replace(name), least_s, least_s + 1)
@@ -33,8 +33,8 @@
 
     def _replace(self, name):
         """Drain a worker, take it off the list, end it, and start a new one in its place."""
-        platform = self.town.up.get("platform")
-        plan = next(worker for worker in self.town.site.workers if worker["name"] == name)
+        platform = self.cluster.up.get("platform")
+        plan = next(worker for worker in self.cluster.site.workers if worker["name"] == name)
         if not self._may_drain(platform, plan):
             return
         platform.drain(name)
@@ -44,7 +44,7 @@
         def leave():
             recoveries.append(self.injector.note_fault(name))
             platform.remove(name)
-            self.town.world.kill(name)
+            self.cluster.world.kill(name)
 
         def start_again():
             self.injector.restart(name)
@@ -71,13 +71,13 @@
         name = self.injector.pick(self.injector.worker_names())
         if not name:
             return
-        worker, quirk = self.town.up[name], self.random.choice(QUIRKS)
+        worker, quirk = self.cluster.up[name], self.random.choice(QUIRKS)
         worker.quirk = quirk
         worker.record("quirk", quirk=quirk)
         self.injector.log(f"quirk {name} {quirk}")
 
         def mend():
-            if self.town.up.get(name) is worker:
+            if self.cluster.up.get(name) is worker:
                 worker.quirk = ""
                 worker.record("quirk", quirk="")
 
@@ -86,19 +86,19 @@
     def slow_links(self):
         """Let fetches of prefixes from each worker take up to five seconds longer."""
         for name in self.injector.worker_names():
-            self.town.up[name].link_s = self.random.choice([0.0, 0.5, 5.0])
+            self.cluster.up[name].link_s = self.random.choice([0.0, 0.5, 5.0])
 
     def lose_store(self):
         """Kill the store of prefixes; it comes back empty."""
-        world = self.town.world
+        world = self.cluster.world
         if "store" in world.loops:
             world.kill("store")
             self.injector.log("kill store")
-            self.injector.later(self.town.start_store, 2, 10)
+            self.injector.later(self.cluster.start_store, 2, 10)
 
     def lose_platform(self):
         """Freeze the platform."""
-        world = self.town.world
+        world = self.cluster.world
         if "platform" not in world.loops or world.loops["platform"].frozen:
             return
         world.freeze("platform")
@@ -113,11 +113,11 @@
 
     def cut_platform(self):
         """Cut some routers from the platform, in one direction or both, and drain a worker."""
-        names = self.town.router_names()
+        names = self.cluster.router_names()
         some = self.random.sample(names, self.random.randint(1, len(names)))
         addresses = [self.injector.address(name) for name in some]
         both = self.random.random() < 0.5
-        pairs = self.town.world.net.cut(addresses, [self.injector.platform_address()], both)
+        pairs = self.cluster.world.net.cut(addresses, [self.injector.platform_address()], both)
         recoveries = [self.injector.note_fault(name) for name in some]
         self.injector.log(f"cut platform from {len(some)}")
         self.injector.heal_later(pairs, recoveries, 1, 10)
@@ -125,15 +125,15 @@
 
     def split_list(self):
         """Cut the keeper and half of the routers from the platform and the others, then drain."""
-        keeper = self.town.keeper()
-        others = [name for name in self.town.router_names() if name != keeper]
+        keeper = self.cluster.keeper()
+        others = [name for name in self.cluster.router_names() if name != keeper]
         if keeper is None or len(others) < 2:
             return
         near = [keeper, *self.random.sample(others, len(others) // 2)]
         far = [self.injector.address(name) for name in others if name not in near]
         recoveries = [self.injector.note_fault(name) for name in near]
         addresses = [self.injector.address(name) for name in near]
-        pairs = self.town.world.net.cut(addresses, [self.injector.platform_address(), *far])
+        pairs = self.cluster.world.net.cut(addresses, [self.injector.platform_address(), *far])
         self.injector.log(f"split list {near}")
         self.injector.later(self.drain, 2, 3)
         self.injector.heal_later(pairs, recoveries, 8, 12)
--- a/swiftdeck/sim/town.py
+++ b/swiftdeck/sim/sim_cluster.py
@@ -22,7 +22,7 @@
 """How long the cores may take to serve, and a router to coordinate."""
 
 
-class Town:
+class SimCluster:
     """Starts the processes of a site in virtual time, and collects the records.
 
     `up` has the newest process of each name, `all` every one that ever ran. `settings` go to the
--- a/tests/bench/test_thrash.py
+++ b/tests/bench/test_thrash.py
@@ -10,12 +10,12 @@
     def asked(self, seed, delays_seed):
         """What each agent asked, in order, while messages are delayed by another seed."""
         thrash, asked = Thrash(3, seed, agents=3, seconds=25.0), defaultdict(list)
-        start = thrash.town.start
+        start = thrash.cluster.start
 
         def start_otherwise(**model):
-            thrash.town.world.random.seed(delays_seed)
+            thrash.cluster.world.random.seed(delays_seed)
             start(**model)
-            call = thrash.town.caller.call
+            call = thrash.cluster.caller.call
 
             def noted(tenant, route, parts, **more):
                 asked[tenant].append(
@@ -28,9 +28,9 @@
                 )
                 return call(tenant, route, parts, **more)
 
-            thrash.town.caller.call = noted
+            thrash.cluster.caller.call = noted
 
-        thrash.town.start = start_otherwise
+        thrash.cluster.start = start_otherwise
         thrash.run()
         return asked
 
--- a/tests/cases/bases.py
+++ b/tests/cases/bases.py
@@ -3,16 +3,16 @@
 import unittest
 
 from swiftdeck.bench.checker import check
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 
 
 class SiteCase(unittest.TestCase):
     """A case with a simulated site."""
 
-    def sound(self, town):
+    def sound(self, cluster):
         """The records break no rule, and nothing raised."""
-        self.assertEqual(check(town.records, {town.site.apart}), {})
-        self.assertEqual(town.world.faults, [])
+        self.assertEqual(check(cluster.records, {cluster.site.apart}), {})
+        self.assertEqual(cluster.world.faults, [])
 
 
 class ChangeCase(unittest.TestCase):
@@ -24,36 +24,40 @@
         """A change of the cap of the site's model."""
         return {"models": {"screener": {"cap": number}}}
 
-    def insist(self, town, number, name=None):
+    def insist(self, cluster, number, name=None):
         """Send one change under one id until it is acknowledged; gives how long that took."""
-        base, start_s = town.version, town.world.now
+        base, start_s = cluster.version, cluster.world.now
         for _ in range(self.TRIES):
-            got = town.change("PATCH", self.cap(number), base, name, change_id=f"insist-{number}")
+            got = cluster.change(
+                "PATCH", self.cap(number), base, name, change_id=f"insist-{number}"
+            )
             if got and got[0] == 200:
-                return town.world.now - start_s
+                return cluster.world.now - start_s
             self.assertNotIn(got[0] if got else 0, (409, 422), got)
         self.fail(f"never acknowledged: {got}")
 
-    def member(self, town, position):
+    def member(self, cluster, position):
         """The name of the core at a place of the chain."""
         return next(
-            name for name in town.core_names() if town.up[name].agreement.position() == position
+            name
+            for name in cluster.core_names()
+            if cluster.up[name].agreement.position() == position
         )
 
 
 class ThreeCoresCase(ChangeCase):
     """A case with a site of three cores."""
 
-    def town(self, seed=1, **more):
-        town = Town(seed, **({"routers": 2, "workers": 1} | more))
-        return town.start()
+    def cluster(self, seed=1, **more):
+        cluster = SimCluster(seed, **({"routers": 2, "workers": 1} | more))
+        return cluster.start()
 
-    def settle(self, town, members=3):
+    def settle(self, cluster, members=3):
         """Let the chain mend itself to so many members."""
-        town.world.run(0.05)
+        cluster.world.run(0.05)
 
         def is_mended():
-            cores = [town.up[name] for name in town.core_names()]
+            cores = [cluster.up[name] for name in cluster.core_names()]
             return all(
                 len(core.agreement.decided.members) == members
                 and core.chain.is_whole()
@@ -62,50 +66,50 @@
                 if core.agreement.position() >= 0
             ) and any(core.agreement.position() >= 0 for core in cores)
 
-        self.assertTrue(town.world.run(until=is_mended, limit_s=40), "chain was not mended")
+        self.assertTrue(cluster.world.run(until=is_mended, limit_s=40), "chain was not mended")
 
 
 class OpenConversationsCase(SiteCase):
     """A case that counts open conversations against a cap."""
 
-    def town(self, seed=1, cap=2, **more):
+    def cluster(self, seed=1, cap=2, **more):
         settings = {
             name: more.pop(name)
             for name in list(more)
             if name in ("idleMs", "pauseMs", "lineMax", "adapts", "capLeast")
         }
-        return Town(seed, **({"routers": 3, "workers": 1} | more)).start(cap=cap, **settings)
+        return SimCluster(seed, **({"routers": 3, "workers": 1} | more)).start(cap=cap, **settings)
 
-    def most_open(self, town, until, limit_s=120):
+    def most_open(self, cluster, until, limit_s=120):
         """Let time pass and give the most conversations that any book had open."""
         most = 0
 
         def look():
             nonlocal most
-            if town.keeper():
-                most = max([most, *(len(book.open) for book in town.books().values())])
+            if cluster.keeper():
+                most = max([most, *(len(book.open) for book in cluster.books().values())])
             return until()
 
         for _ in range(int(limit_s / 0.05)):
-            town.world.run(0.05)
+            cluster.world.run(0.05)
             if look():
                 return most
         self.fail("not done in time")
 
-    def open(self, town):
-        return sum(len(book.open) for book in town.books().values())
+    def open(self, cluster):
+        return sum(len(book.open) for book in cluster.books().values())
 
 
 class CallsOfWorkersCase(SiteCase):
     """A case that counts the runs of two workers."""
 
-    def town(self, seed=1, **more):
-        return Town(seed, **({"routers": 2, "workers": 2} | more)).start()
+    def cluster(self, seed=1, **more):
+        return SimCluster(seed, **({"routers": 2, "workers": 2} | more)).start()
 
-    def runs(self, town):
-        return [item for item in town.records if item["kind"] == "run"]
+    def runs(self, cluster):
+        return [item for item in cluster.records if item["kind"] == "run"]
 
-    def quirk(self, town, quirk):
-        for worker in town.site.workers:
-            town.up[worker["name"]].quirk = quirk
-            town.up[worker["name"]].record("quirk", quirk=quirk)
+    def quirk(self, cluster, quirk):
+        for worker in cluster.site.workers:
+            cluster.up[worker["name"]].quirk = quirk
+            cluster.up[worker["name"]].record("quirk", quirk=quirk)
--- a/tests/cases/coordinators.py
+++ b/tests/cases/coordinators.py
@@ -10,130 +10,138 @@
     """Conversations whose coordinator or router is killed, frozen or cut off."""
 
     def test_slots_of_a_dead_router_come_back_once_its_lease_has_run_out(self):
-        town = self.town(cap=1)
-        keeper = town.keeper()
-        victim = next(name for name in town.router_names() if name != keeper)
-        town.spawn(
-            lambda: town.caller.call(
-                "saga", "check", ["b", "x"], max_tokens=20000, door=town.addresses[victim]["http"]
+        cluster = self.cluster(cap=1)
+        keeper = cluster.keeper()
+        victim = next(name for name in cluster.router_names() if name != keeper)
+        cluster.spawn(
+            lambda: cluster.caller.call(
+                "saga",
+                "check",
+                ["b", "x"],
+                max_tokens=20000,
+                door=cluster.addresses[victim]["http"],
             )
         )
-        town.world.run(1)
-        self.assertEqual(self.open(town), 1)
-        town.world.kill(victim, silent=True)
-        at_s = town.world.now
-        town.caller.doors = [town.addresses[name]["http"] for name in town.router_names()]
-        got = town.call("oita", "check", ["b", "y"])
+        cluster.world.run(1)
+        self.assertEqual(self.open(cluster), 1)
+        cluster.world.kill(victim, silent=True)
+        at_s = cluster.world.now
+        cluster.caller.doors = [cluster.addresses[name]["http"] for name in cluster.router_names()]
+        got = cluster.call("oita", "check", ["b", "y"])
         self.assertTrue(got["whole"], got)
-        self.assertLess(town.world.now - at_s, 9)
+        self.assertLess(cluster.world.now - at_s, 9)
 
     def test_a_router_that_is_cut_off_adds_no_more_than_what_it_ran_and_only_until_that_ends(self):
-        town = self.town(cap=2, routers=4, idleMs=8000, pauseMs=3000)
-        name = next(each for each in town.router_names() if each != town.keeper())
-        doors = [town.addresses[each]["http"] for each in town.router_names() if each != name]
+        cluster = self.cluster(cap=2, routers=4, idleMs=8000, pauseMs=3000)
+        name = next(each for each in cluster.router_names() if each != cluster.keeper())
+        doors = [cluster.addresses[each]["http"] for each in cluster.router_names() if each != name]
 
         def running():
-            ended = {item["run"] for item in town.records if item["kind"] == "ran"}
+            ended = {item["run"] for item in cluster.records if item["kind"] == "ran"}
             return len(
                 [
                     item
-                    for item in town.records
+                    for item in cluster.records
                     if item["kind"] == "run" and item["run"] not in ended
                 ]
             )
 
         own = [
-            town.spawn(
-                lambda number=number: town.caller.call(
+            cluster.spawn(
+                lambda number=number: cluster.caller.call(
                     "saga",
                     "check",
                     ["b", str(number)],
                     is_last=True,
                     max_tokens=12000,
-                    door=town.addresses[name]["http"],
+                    door=cluster.addresses[name]["http"],
                 )
             )
             for number in range(2)
         ]
-        town.world.run(1)
-        ip = town.addresses[name]["inner"].rpartition(":")[0]
-        town.world.net.cut(
+        cluster.world.run(1)
+        ip = cluster.addresses[name]["inner"].rpartition(":")[0]
+        cluster.world.net.cut(
             [ip],
             [
                 node["inner"].rpartition(":")[0]
-                for each, node in town.addresses.items()
+                for each, node in cluster.addresses.items()
                 if each != name
             ],
         )
-        town.record("operator")("kill", target=name, id=1)
-        cut = town.spawn(
-            lambda: town.caller.call(
-                "saga", "check", ["b", "cut off"], door=town.addresses[name]["http"]
+        cluster.record("operator")("kill", target=name, id=1)
+        cut = cluster.spawn(
+            lambda: cluster.caller.call(
+                "saga", "check", ["b", "cut off"], door=cluster.addresses[name]["http"]
             )
         )
         box = [
-            town.spawn(lambda number=number: town.caller.agents("oita", turns=(1, 3), rest_s=0.1))
+            cluster.spawn(
+                lambda number=number: cluster.caller.agents("oita", turns=(1, 3), rest_s=0.1)
+            )
             for number in range(6)
         ]
-        town.caller.doors, most, over = doors, 0, 0
+        cluster.caller.doors, most, over = doors, 0, 0
         for _ in range(140):
-            town.world.run(0.1)
+            cluster.world.run(0.1)
             most, over = max(most, running()), over + (running() > 2)
         self.assertEqual((most, any(own)), (4, False))
         self.assertGreater(over, 10)
-        town.world.net.heal()
-        town.record("operator")("back", id=1, target=name)
-        self.assertTrue(town.world.run(until=lambda: self.open(town) > 2, limit_s=3))
-        town.world.run(until=lambda: all(own), limit_s=60)
+        cluster.world.net.heal()
+        cluster.record("operator")("back", id=1, target=name)
+        self.assertTrue(cluster.world.run(until=lambda: self.open(cluster) > 2, limit_s=3))
+        cluster.world.run(until=lambda: all(own), limit_s=60)
         starts = [
             item
-            for each in town.router_names()
-            for item in town.up[each].decisions.items
+            for each in cluster.router_names()
+            for item in cluster.up[each].decisions.items
             if item["kind"] == "start"
         ]
         self.assertTrue(all(item["open"] <= item["cap"] for item in starts))
         self.assertTrue(all(each[0]["whole"] for each in own))
         self.assertTrue(cut and cut[0]["notRun"])
-        town.caller.stopping = True
-        town.world.run(until=lambda: all(box), limit_s=60)
-        self.sound(town)
+        cluster.caller.stopping = True
+        cluster.world.run(until=lambda: all(box), limit_s=60)
+        self.sound(cluster)
 
     def test_a_new_keeper_counts_open_conversations_before_it_grants_a_start(self):
         for how in ("kill", "freeze", "cut"):
-            town = self.town(cap=2, routers=4, idleMs=60000, pauseMs=60000)
-            old = town.keeper()
-            running = self.fill(town, self.other_doors(town, old))
-            self.take_out(town, old, how)
-            at_s, start = town.world.now, self.spawn_start(town)
-            self.run_to_next_keeper(town, old)
-            self.assertLess(town.world.now - at_s, 12, how)
-            town.world.run(1)
-            self.assertEqual(self.open(town), 2, how)
+            cluster = self.cluster(cap=2, routers=4, idleMs=60000, pauseMs=60000)
+            old = cluster.keeper()
+            running = self.fill(cluster, self.other_doors(cluster, old))
+            self.take_out(cluster, old, how)
+            at_s, start = cluster.world.now, self.spawn_start(cluster)
+            self.run_to_next_keeper(cluster, old)
+            self.assertLess(cluster.world.now - at_s, 12, how)
+            cluster.world.run(1)
+            self.assertEqual(self.open(cluster), 2, how)
             if how == "freeze":
-                town.world.thaw(old)
-            town.world.net.heal()
-            town.world.run(5)
+                cluster.world.thaw(old)
+            cluster.world.net.heal()
+            cluster.world.run(5)
             held = [
                 name
-                for name in town.router_names()
-                for keeper in town.up[name].keepers.values()
+                for name in cluster.router_names()
+                for keeper in cluster.up[name].keepers.values()
                 if keeper.duty.is_held()
             ]
             self.assertEqual(len(held), 1, how)
             self.assertTrue(not start or not start[0]["whole"], how)
             self.assertFalse(any(running), how)
 
-    def other_doors(self, town, name):
+    def other_doors(self, cluster, name):
         """Give the doors of all routers but one, to which callers go from now on."""
-        doors = [town.addresses[other]["http"] for other in town.router_names() if other != name]
-        town.caller.doors = doors
+        doors = [
+            cluster.addresses[other]["http"] for other in cluster.router_names() if other != name
+        ]
+        cluster.caller.doors = doors
         return doors
 
-    def fill(self, town, doors):
+    def fill(self, cluster, doors):
         """Begin two long conversations; gives the lists that take their returns."""
         running = [
-            town.spawn(
-                lambda number=number: town.caller.call(
+            cluster.spawn(
+                lambda number=number: cluster.caller.call(
                     "saga",
                     "check",
                     ["b", str(number)],
@@ -144,125 +152,133 @@
             )
             for number in range(2)
         ]
-        town.world.run(1)
+        cluster.world.run(1)
         return running
 
-    def take_out(self, town, name, how):
+    def take_out(self, cluster, name, how):
         """Kill or freeze a process, or cut it from all others."""
         if how == "kill":
-            town.world.kill(name)
+            cluster.world.kill(name)
         elif how == "freeze":
-            town.world.freeze(name)
+            cluster.world.freeze(name)
         else:
             ips = {
-                other: node["inner"].rpartition(":")[0] for other, node in town.addresses.items()
+                other: node["inner"].rpartition(":")[0] for other, node in cluster.addresses.items()
             }
             alone = ips.pop(name)
-            town.world.net.cut([alone], list(ips.values()))
+            cluster.world.net.cut([alone], list(ips.values()))
 
-    def spawn_start(self, town):
+    def spawn_start(self, cluster):
         """Begin a conversation that waits five seconds; gives the list that takes its return."""
-        return town.spawn(lambda: town.caller.call("oita", "check", ["b", "new"], timeout_s=5))
+        return cluster.spawn(
+            lambda: cluster.caller.call("oita", "check", ["b", "new"], timeout_s=5)
+        )
 
-    def run_to_next_keeper(self, town, old):
+    def run_to_next_keeper(self, cluster, old):
         """Let time pass until another router keeps the books."""
-        town.world.run(until=lambda: town.keeper() not in (None, old), limit_s=20)
+        cluster.world.run(until=lambda: cluster.keeper() not in (None, old), limit_s=20)
 
     def test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting(self):
         for seed in (1, 2, 3):
-            town = self.town(seed, cap=1, routers=4, idleMs=60000, pauseMs=60000)
-            self.assertEqual(town.change("PATCH", {"routes": {"check": {"waitMs": 40000}}})[0], 200)
-            old = town.keeper()
-            doors = [town.addresses[name]["http"] for name in town.router_names() if name != old]
-            long, order = self.queue_up(town, doors)
-            town.world.kill(old)
-            self.assertTrue(self.run_until_runs(town, 1 + len(order)))
+            cluster = self.cluster(seed, cap=1, routers=4, idleMs=60000, pauseMs=60000)
+            self.assertEqual(
+                cluster.change("PATCH", {"routes": {"check": {"waitMs": 40000}}})[0], 200
+            )
+            old = cluster.keeper()
+            doors = [
+                cluster.addresses[name]["http"] for name in cluster.router_names() if name != old
+            ]
+            long, order = self.queue_up(cluster, doors)
+            cluster.world.kill(old)
+            self.assertTrue(self.run_until_runs(cluster, 1 + len(order)))
             self.assertTrue(long[0]["whole"])
-            tenants = [item["tenant"] for item in town.records if item["kind"] == "run"][1:]
+            tenants = [item["tenant"] for item in cluster.records if item["kind"] == "run"][1:]
             self.assertEqual(tenants, order)
-            self.sound(town)
+            self.sound(cluster)
 
-    def queue_up(self, town, doors):
+    def queue_up(self, cluster, doors):
         """Begin a long call at a worker for one, and let six tenants wait behind it.
 
         Gives the list that takes the return of the long call, and the tenants in their order.
         """
-        long = town.spawn(
-            lambda: town.caller.call(
+        long = cluster.spawn(
+            lambda: cluster.caller.call(
                 "saga", "check", ["b", "long"], is_last=True, max_tokens=4800, door=doors[0]
             )
         )
-        town.world.run(1)
+        cluster.world.run(1)
         order = ["chikugo", "hitoyoshi", "kumamoto", "miyazaki", "nagasaki", "oita"]
         for at, tenant in enumerate(order):
-            town.spawn(
-                lambda tenant=tenant, at=at: town.caller.call(
+            cluster.spawn(
+                lambda tenant=tenant, at=at: cluster.caller.call(
                     tenant, "check", ["b", tenant], is_last=True, door=doors[at % 3]
                 )
             )
-            town.world.run(0.23)
+            cluster.world.run(0.23)
         return long, order
 
-    def run_until_runs(self, town, count):
+    def run_until_runs(self, cluster, count):
         """Let time pass until the workers ran so many calls; gives whether they did in time."""
-        return town.world.run(
-            until=lambda: sum(item["kind"] == "run" for item in town.records) == count,
+        return cluster.world.run(
+            until=lambda: sum(item["kind"] == "run" for item in cluster.records) == count,
             limit_s=60,
         )
 
     def test_a_keeper_frozen_while_it_renews_gathers_anew_when_it_wakes(self):
-        town = self.town(routers=1)
-        name = town.keeper()
-        town.call("saga", "check", ["b", "x"])
-        mesh, duty = town.up[name].mesh, next(iter(town.up[name].keepers.values())).duty
-        town.world.freeze("core3")
-        town.world.run(2)
+        cluster = self.cluster(routers=1)
+        name = cluster.keeper()
+        cluster.call("saga", "check", ["b", "x"])
+        mesh, duty = cluster.up[name].mesh, next(iter(cluster.up[name].keepers.values())).duty
+        cluster.world.freeze("core3")
+        cluster.world.run(2)
         self.assertTrue(
-            town.world.run(
+            cluster.world.run(
                 until=lambda: (
-                    sum(asked.link.addr in town.seeds for asked in mesh.asked.values()) >= 3
+                    sum(asked.link.addr in cluster.seeds for asked in mesh.asked.values()) >= 3
                 ),
                 limit_s=5,
             )
         )
         left_s = duty.until_s - duty.loop.time()
-        town.world.freeze(name)
-        town.world.run(left_s + 0.1)
-        town.world.thaw(name)
-        self.assertTrue(town.world.run(until=lambda: town.keeper() == name, limit_s=8))
-        self.assertTrue(town.call("saga", "check", ["b", "y"])["whole"])
+        cluster.world.freeze(name)
+        cluster.world.run(left_s + 0.1)
+        cluster.world.thaw(name)
+        self.assertTrue(cluster.world.run(until=lambda: cluster.keeper() == name, limit_s=8))
+        self.assertTrue(cluster.call("saga", "check", ["b", "y"])["whole"])
 
     def test_a_router_frozen_with_a_grant_on_its_way_does_not_act_on_it_later(self):
-        town = self.town(cap=1, routers=4, idleMs=200, pauseMs=100)
-        keeper = town.keeper()
+        cluster = self.cluster(cap=1, routers=4, idleMs=200, pauseMs=100)
+        keeper = cluster.keeper()
         frozen, door, other = [
-            town.addresses[name]["http"] for name in town.router_names() if name != keeper
+            cluster.addresses[name]["http"] for name in cluster.router_names() if name != keeper
         ]
-        name = next(name for name in town.router_names() if town.addresses[name]["http"] == frozen)
-        first = town.spawn(
-            lambda: town.caller.call(
+        name = next(
+            name for name in cluster.router_names() if cluster.addresses[name]["http"] == frozen
+        )
+        first = cluster.spawn(
+            lambda: cluster.caller.call(
                 "saga", "check", ["b", "x"], is_last=True, max_tokens=800, door=door
             )
         )
-        town.world.run(0.5)
-        late = town.spawn(lambda: town.caller.call("oita", "check", ["b", "y"], door=frozen))
-        town.world.run(
-            until=lambda: any(len(book.line) for book in town.books().values()), limit_s=5
+        cluster.world.run(0.5)
+        late = cluster.spawn(lambda: cluster.caller.call("oita", "check", ["b", "y"], door=frozen))
+        cluster.world.run(
+            until=lambda: any(len(book.line) for book in cluster.books().values()), limit_s=5
         )
-        town.world.freeze(name)
-        town.world.run(until=lambda: first, limit_s=60)
-        town.world.run(5)
-        long = town.spawn(
-            lambda: town.caller.call("saga", "check", ["b", "z"], max_tokens=8000, door=other)
+        cluster.world.freeze(name)
+        cluster.world.run(until=lambda: first, limit_s=60)
+        cluster.world.run(5)
+        long = cluster.spawn(
+            lambda: cluster.caller.call("saga", "check", ["b", "z"], max_tokens=8000, door=other)
         )
-        town.world.run(2)
-        self.assertEqual(self.open(town), 1)
-        before = len([item for item in town.records if item["kind"] == "run"])
-        town.world.thaw(name)
-        town.world.run(2)
-        self.assertEqual(len([item for item in town.records if item["kind"] == "run"]), before)
-        town.world.run(until=lambda: late and long, limit_s=90)
-        self.sound(town)
+        cluster.world.run(2)
+        self.assertEqual(self.open(cluster), 1)
+        before = len([item for item in cluster.records if item["kind"] == "run"])
+        cluster.world.thaw(name)
+        cluster.world.run(2)
+        self.assertEqual(len([item for item in cluster.records if item["kind"] == "run"]), before)
+        cluster.world.run(until=lambda: late and long, limit_s=90)
+        self.sound(cluster)
 
     def test_a_grant_that_outlived_a_freeze_is_not_acted_on(self):
         for is_claimed in (False, True):
@@ -277,46 +293,48 @@
         It is frozen when it has asked for its claim, or has it. `link_s` is how much longer its
         bytes take to the worker: with 0.2 s its hold is answered before its connection is.
         """
-        town = self.town(cap=1, routers=4, idleMs=200, pauseMs=100, listOldMs=20000)
-        keeper = town.keeper()
-        name, other = [router for router in town.router_names() if router != keeper][:2]
-        ip = town.addresses[name]["inner"].rpartition(":")[0]
-        worker = town.site.workers[0]["addr"].rpartition(":")[0]
-        town.world.net.slow[(ip, worker)] = link_s
-        with mock.patch.object(Claims, "claim", self.freezing_claim(town, name, is_claimed)):
-            late = self.call_at(town, name, "oita", ["b", "y"], idempotency="k")
-            town.world.run(6)
-            long = self.call_at(town, other, "saga", ["b", "z"])
-            town.world.run(1)
-            self.assertEqual(self.run_count(town), 1)
-            town.up[name].lease.until_s += 20
-            town.world.thaw(name)
-            town.world.run(1)
-            self.assertEqual(self.run_count(town), 1, is_claimed)
-            town.world.run(until=lambda: late and long, limit_s=90)
-        self.sound(town)
+        cluster = self.cluster(cap=1, routers=4, idleMs=200, pauseMs=100, listOldMs=20000)
+        keeper = cluster.keeper()
+        name, other = [router for router in cluster.router_names() if router != keeper][:2]
+        ip = cluster.addresses[name]["inner"].rpartition(":")[0]
+        worker = cluster.site.workers[0]["addr"].rpartition(":")[0]
+        cluster.world.net.slow[(ip, worker)] = link_s
+        with mock.patch.object(Claims, "claim", self.freezing_claim(cluster, name, is_claimed)):
+            late = self.call_at(cluster, name, "oita", ["b", "y"], idempotency="k")
+            cluster.world.run(6)
+            long = self.call_at(cluster, other, "saga", ["b", "z"])
+            cluster.world.run(1)
+            self.assertEqual(self.run_count(cluster), 1)
+            cluster.up[name].lease.until_s += 20
+            cluster.world.thaw(name)
+            cluster.world.run(1)
+            self.assertEqual(self.run_count(cluster), 1, is_claimed)
+            cluster.world.run(until=lambda: late and long, limit_s=90)
+        self.sound(cluster)
 
-    def freezing_claim(self, town, name, is_claimed):
+    def freezing_claim(self, cluster, name, is_claimed):
         """Give a claim that freezes a router once, when it has asked for it or has it."""
         claim, frozen = Claims.claim, []
 
         def freezes(claims, *call):
             held = claim(claims, *call)
-            if claims is town.up[name].claims and not frozen:
+            if claims is cluster.up[name].claims and not frozen:
                 frozen.append(name)
-                when = held.add_done_callback if is_claimed else town.world.loops[name].call_soon
-                when(lambda *_: town.world.freeze(name))
+                when = held.add_done_callback if is_claimed else cluster.world.loops[name].call_soon
+                when(lambda *_: cluster.world.freeze(name))
             return held
 
         return freezes
 
-    def call_at(self, town, name, tenant, parts, **options):
+    def call_at(self, cluster, name, tenant, parts, **options):
         """Make a long call at a router; gives the list that takes its return."""
-        door = town.addresses[name]["http"]
-        return town.spawn(
-            lambda: town.caller.call(tenant, "check", parts, max_tokens=3200, door=door, **options)
+        door = cluster.addresses[name]["http"]
+        return cluster.spawn(
+            lambda: cluster.caller.call(
+                tenant, "check", parts, max_tokens=3200, door=door, **options
+            )
         )
 
-    def run_count(self, town):
+    def run_count(self, cluster):
         """How many calls began at workers."""
-        return sum(item["kind"] == "run" for item in town.records)
+        return sum(item["kind"] == "run" for item in cluster.records)
--- a/tests/cases/doctor.py
+++ b/tests/cases/doctor.py
@@ -5,64 +5,66 @@
 
 from swiftdeck.control.client import OperatorClient
 from swiftdeck.control.doctor import FINDINGS, diagnose, examine
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 
 
 class DoctorCase(unittest.TestCase):
     """A whole site is examined through one core."""
 
-    def town(self):
-        return Town(7, routers=3, workers=2).start()
+    def cluster(self):
+        return SimCluster(7, routers=3, workers=2).start()
 
-    def codes(self, town, core="core1", seeds=(), folder=""):
-        client = OperatorClient(town.addresses[core]["http"])
+    def codes(self, cluster, core="core1", seeds=(), folder=""):
+        client = OperatorClient(cluster.addresses[core]["http"])
         return {
             each["code"]
-            for each in town.world.do(
+            for each in cluster.world.do(
                 "operator", lambda: examine(client, seeds, folder), limit_s=60
             )
         }
 
     def test_a_sound_site_has_no_findings(self):
-        town = self.town()
-        self.assertEqual(self.codes(town, seeds=town.seeds), set())
+        cluster = self.cluster()
+        self.assertEqual(self.codes(cluster, seeds=cluster.seeds), set())
 
     def test_a_silent_core_and_an_unreached_seed_are_found(self):
-        town = self.town()
-        town.world.kill("core3")
-        found = self.codes(town, seeds=town.seeds)
+        cluster = self.cluster()
+        cluster.world.kill("core3")
+        found = self.codes(cluster, seeds=cluster.seeds)
         self.assertLessEqual({701, 702}, found)
-        town.world.run(8)
-        self.assertLessEqual({701, 706}, self.codes(town))
-        town.world.kill("core1")
-        self.assertEqual(self.codes(town), {700})
-        town.world.run(8)
-        self.assertLessEqual({707, 708}, self.codes(town, "core2"))
+        cluster.world.run(8)
+        self.assertLessEqual({701, 706}, self.codes(cluster))
+        cluster.world.kill("core1")
+        self.assertEqual(self.codes(cluster), {700})
+        cluster.world.run(8)
+        self.assertLessEqual({707, 708}, self.codes(cluster, "core2"))
 
     def test_disks_are_found(self):
-        town = self.town()
-        town.folders["core2"].full = True
-        town.change("PATCH", {"models": {"screener": {"cap": 3}}})
-        town.world.run(6)
-        self.assertLessEqual({703, 705}, self.codes(town))
-        self.assertIn(704, self.codes(town, folder="/nonexistent"))
+        cluster = self.cluster()
+        cluster.folders["core2"].full = True
+        cluster.change("PATCH", {"models": {"screener": {"cap": 3}}})
+        cluster.world.run(6)
+        self.assertLessEqual({703, 705}, self.codes(cluster))
+        self.assertIn(704, self.codes(cluster, folder="/nonexistent"))
 
     def test_an_old_list_a_silent_worker_and_a_wild_clock_are_found(self):
-        town = self.town()
-        ip = town.addresses["router1"]["inner"].rpartition(":")[0]
+        cluster = self.cluster()
+        ip = cluster.addresses["router1"]["inner"].rpartition(":")[0]
         others = [
-            town.addresses[name]["inner"].rpartition(":")[0] for name in ("router2", "router3")
+            cluster.addresses[name]["inner"].rpartition(":")[0] for name in ("router2", "router3")
         ]
-        town.world.net.cut([ip], [town.site.platform.rpartition(":")[0], *others])
-        town.world.kill("worker2")
-        loop = town.world.loops["router2"]
-        loop.offset, loop.rate = loop.time() - town.world.now * 1.2, 1.2
-        town.world.run(4)
-        self.assertLessEqual({709, 712, 715}, self.codes(town))
+        cluster.world.net.cut([ip], [cluster.site.platform.rpartition(":")[0], *others])
+        cluster.world.kill("worker2")
+        loop = cluster.world.loops["router2"]
+        loop.offset, loop.rate = loop.time() - cluster.world.now * 1.2, 1.2
+        cluster.world.run(4)
+        self.assertLessEqual({709, 712, 715}, self.codes(cluster))
 
     def test_every_finding_that_statuses_show_is_made(self):
-        town = self.town()
-        statuses = {name: town.ask("GET", "/v1/status", name=name)[1] for name in town.addresses}
+        cluster = self.cluster()
+        statuses = {
+            name: cluster.ask("GET", "/v1/status", name=name)[1] for name in cluster.addresses
+        }
         self.assertEqual(diagnose(statuses), [])
         planted = {
             701: lambda s: s.update(router1=None),
@@ -98,18 +100,18 @@
         )
 
     def test_operators_watch_and_explain_decisions(self):
-        town, lines = self.town(), []
-        town.change("PATCH", {"models": {"screener": {"cap": 1, "pauseMs": 1000}}})
-        town.call("saga", "check", ["b", "x"])
-        got = town.call("oita", "check", ["b", "y"])
-        client = OperatorClient(town.addresses["core2"]["http"])
-        status, told = town.world.do("operator", lambda: client.explain(got["call"]))
+        cluster, lines = self.cluster(), []
+        cluster.change("PATCH", {"models": {"screener": {"cap": 1, "pauseMs": 1000}}})
+        cluster.call("saga", "check", ["b", "x"])
+        got = cluster.call("oita", "check", ["b", "y"])
+        client = OperatorClient(cluster.addresses["core2"]["http"])
+        status, told = cluster.world.do("operator", lambda: client.explain(got["call"]))
         kinds = [item["kind"] for item in told["decisions"]]
         self.assertEqual((status, told["silent"]), (200, []))
         self.assertLessEqual({"start"}, set(kinds))
         self.assertEqual(
-            town.world.do("operator", lambda: client.watch(lines.append, follow=False)), 0
+            cluster.world.do("operator", lambda: client.watch(lines.append, follow=False)), 0
         )
         self.assertTrue(any('"kind":"start"' in line for line in lines))
-        fleet = town.world.do("operator", lambda: client.fleet())
+        fleet = cluster.world.do("operator", lambda: client.fleet())
         self.assertEqual(fleet[1]["counters"]["callsServed"], 2)
--- a/tests/cases/input.py
+++ b/tests/cases/input.py
@@ -7,7 +7,7 @@
 
 from swiftdeck.fault import HANDLER_FAILED
 from swiftdeck.http.client import connect
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.wire.mesh import HEAD
 from swiftdeck.wire.messages import (
     NUMBERS,
@@ -55,8 +55,8 @@
 class InputCase(unittest.TestCase):
     """Noise and hostile values, then a look whether all still serve."""
 
-    def doors(self, town):
-        nodes = [*town.site.cores, *town.site.routers]
+    def doors(self, cluster):
+        nodes = [*cluster.site.cores, *cluster.site.routers]
         return [node["inner"] for node in nodes], [node["http"] for node in nodes]
 
     def noise(self, rng):
@@ -126,13 +126,13 @@
         )
 
     def test_noise_at_every_door_harms_nothing(self):
-        town, rng = Town(5, routers=2, workers=1).start(), random.Random(5)
-        inner, outer = self.doors(town)
+        cluster, rng = SimCluster(5, routers=2, workers=1).start(), random.Random(5)
+        inner, outer = self.doors(cluster)
 
         async def throw():
             loop = asyncio.get_running_loop()
             udp, _ = await loop.create_datagram_endpoint(
-                asyncio.DatagramProtocol, local_addr=(town.ip("operator"), 9)
+                asyncio.DatagramProtocol, local_addr=(cluster.ip("operator"), 9)
             )
             for _ in range(150):
                 door = rng.choice([*inner, *outer])
@@ -149,20 +149,20 @@
                 if rng.random() < 0.7:
                     link.close()
 
-        town.world.do("operator", throw, limit_s=120)
-        town.world.run(20)
-        self.assertEqual(town.world.faults, [])
+        cluster.world.do("operator", throw, limit_s=120)
+        cluster.world.run(20)
+        self.assertEqual(cluster.world.faults, [])
         failed = {
-            name: town.up[name].counters().get(f"faults.{HANDLER_FAILED.code}", 0)
-            for name in town.addresses
+            name: cluster.up[name].counters().get(f"faults.{HANDLER_FAILED.code}", 0)
+            for name in cluster.addresses
         }
         self.assertEqual(set(failed.values()), {0}, failed)
-        self.assertEqual(town.change("PATCH", {"models": {"screener": {"cap": 5}}})[0], 200)
-        self.assertTrue(town.call("saga", "tag", ["a", "b"])["whole"])
-        self.assertTrue(all(not town.up[name].open for name in town.router_names()))
+        self.assertEqual(cluster.change("PATCH", {"models": {"screener": {"cap": 5}}})[0], 200)
+        self.assertTrue(cluster.call("saga", "tag", ["a", "b"])["whole"])
+        self.assertTrue(all(not cluster.up[name].open for name in cluster.router_names()))
 
     def test_malformed_lists_workers_and_stores_are_faults_not_tracebacks(self):
-        town, rng = Town(6, routers=2, workers=2).start(), random.Random(6)
+        cluster, rng = SimCluster(6, routers=2, workers=2).start(), random.Random(6)
 
         def garbage(part):
             async def handle(exchange):
@@ -185,10 +185,10 @@
             part.http.handler = handle
 
         for name in ("platform", "store", "worker1", "worker2"):
-            garbage(town.up[name])
-        town.world.run(3)
+            garbage(cluster.up[name])
+        cluster.world.run(3)
         got = [
-            town.call("saga", route, ["b", str(number)])
+            cluster.call("saga", route, ["b", str(number)])
             for number, route in enumerate(["tag", "check"] * 3)
         ]
         self.assertEqual(
@@ -196,9 +196,9 @@
             [],
             got,
         )
-        self.assertEqual(town.world.faults, [])
+        self.assertEqual(cluster.world.faults, [])
         failed = [
-            town.up[name].http.count.get(f"faults.{HANDLER_FAILED.code}", 0)
-            for name in town.router_names()
+            cluster.up[name].http.count.get(f"faults.{HANDLER_FAILED.code}", 0)
+            for name in cluster.router_names()
         ]
         self.assertEqual(set(failed), {0})
--- a/tests/cases/late_messages.py
+++ b/tests/cases/late_messages.py
@@ -1,7 +1,7 @@
 """Cases of messages of the own interface that reach a router long after they were given up."""
 
 from swiftdeck.fault import OLD_TERM
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.wire.messages import GrantAsk, GrantDrop, OpenAsk
 from tests.cases.bases import SiteCase
 
@@ -12,22 +12,24 @@
     """Single messages of an earlier time, brought to the coordinator that they were for."""
 
     def setUp(self):
-        self.town = Town(1, routers=2, workers=1).start()
-        self.keeper = self.town.up[self.town.keeper()].keepers[MODEL]
-        names = [name for name in self.town.router_names() if name != self.town.keeper()]
-        self.router = self.town.up[names[0]]
-        self.town.caller.doors = [self.router.settings.http]
+        self.cluster = SimCluster(1, routers=2, workers=1).start()
+        self.keeper = self.cluster.up[self.cluster.keeper()].keepers[MODEL]
+        names = [name for name in self.cluster.router_names() if name != self.cluster.keeper()]
+        self.router = self.cluster.up[names[0]]
+        self.cluster.caller.doors = [self.router.settings.http]
 
     def ask(self, message):
         """Bring a message of the other router to the coordinator; gives what comes back."""
         addr = self.keeper.router.me.addr
-        return self.town.world.do(self.router.me.name, lambda: self.router.mesh.ask(addr, message))
+        return self.cluster.world.do(
+            self.router.me.name, lambda: self.router.mesh.ask(addr, message)
+        )
 
     def tell(self, message):
         """Bring a message that nobody waits for."""
         addr = self.keeper.router.me.addr
-        self.town.world.run_in(self.router.me.name, lambda: self.router.mesh.tell(addr, message))
-        self.town.world.run(0.1)
+        self.cluster.world.run_in(self.router.me.name, lambda: self.router.mesh.tell(addr, message))
+        self.cluster.world.run(0.1)
 
     def grant_ask(self, call):
         """A question for a place, as the other router asks it."""
@@ -52,7 +54,7 @@
     def test_a_late_question_for_a_place_takes_one_for_no_longer_than_a_lease(self):
         self.ask(self.grant_ask("gone"))
         self.assertEqual(self.running(), {"gone"})
-        self.town.world.run(WAIT_S)
+        self.cluster.world.run(WAIT_S)
         self.assertEqual(self.running(), set())
 
     def test_a_late_withdrawal_ends_no_call_that_has_a_place(self):
@@ -63,7 +65,7 @@
 
     def test_a_late_question_of_an_earlier_coordinator_is_refused(self):
         self.ask(self.grant_ask("one"))
-        self.town.world.run(1)
+        self.cluster.world.run(1)
         known = self.router.known[MODEL]
         late = OpenAsk(term=known[0] - 1, model=MODEL, keeper="10.9.9.9:1")
         self.assertEqual(self.router.on_open_ask(late, "10.9.9.9:1").code, OLD_TERM.code)
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -15,7 +15,7 @@
 from swiftdeck.disk.journal import Journal
 from swiftdeck.fault import HANDLER_FAILED, NO_LEASE
 from swiftdeck.http.server import HttpConversation
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.traffic.book import Book
 from swiftdeck.traffic.books import Books
 from swiftdeck.traffic.budget import Budget
@@ -346,13 +346,13 @@
 @contextlib.contextmanager
 def noted_sites():
     """Give a list that takes all sites that are made meanwhile."""
-    sites, start = [], Town.__init__
+    sites, start = [], SimCluster.__init__
 
     def noted_start(site, *arguments, **settings):
         sites.append(site)
         start(site, *arguments, **settings)
 
-    with mock.patch.object(Town, "__init__", noted_start):
+    with mock.patch.object(SimCluster, "__init__", noted_start):
         yield sites
 
 
--- a/tests/chain/test_batches.py
+++ b/tests/chain/test_batches.py
@@ -4,7 +4,7 @@
 import unittest
 
 from swiftdeck.chain.state import CLAIM
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 
 LOG = "chain.log"
 
@@ -33,9 +33,9 @@
 
 class BatchesTest(unittest.TestCase):
     def test_orders_that_come_at_once_are_one_write_at_every_member(self):
-        town = Town(4, routers=1).start()
-        counts = {name: WritesSinceSync(town.folders[name]) for name in town.core_names()}
-        writer = town.up["core1"].change_writer
+        cluster = SimCluster(4, routers=1).start()
+        counts = {name: WritesSinceSync(cluster.folders[name]) for name in cluster.core_names()}
+        writer = cluster.up["core1"].change_writer
 
         async def claim_many():
             claims = [
@@ -46,7 +46,7 @@
                 *(writer.write(f"batch{at}", claim) for at, claim in enumerate(claims))
             )
 
-        outcomes = town.world.do("core1", claim_many)
+        outcomes = cluster.world.do("core1", claim_many)
         self.assertEqual([outcome.results for outcome in outcomes], [[""]] * 8)
         self.assertEqual(
             {name: count.most for name, count in counts.items()}, dict.fromkeys(counts, 1)
--- a/tests/chain/test_nudges.py
+++ b/tests/chain/test_nudges.py
@@ -2,16 +2,16 @@
 
 import unittest
 
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.wire.messages import ConfigChanged
 
 
 class NudgesTest(unittest.TestCase):
     def test_each_router_is_told_of_a_version_once(self):
-        town = Town(4, routers=6).start()
+        cluster = SimCluster(4, routers=6).start()
         told = []
-        for name in town.core_names():
-            mesh, tell = town.up[name].mesh, town.up[name].mesh.tell
+        for name in cluster.core_names():
+            mesh, tell = cluster.up[name].mesh, cluster.up[name].mesh.tell
             mesh.tell = lambda addr, message, tell=tell: (
                 told.append((addr, message.version))
                 if isinstance(message, ConfigChanged)
@@ -20,10 +20,11 @@
             )
         for cap in (5, 6, 7):
             self.assertEqual(
-                town.change("PATCH", {"models": {town.site.model: {"cap": cap}}})[0], 200
+                cluster.change("PATCH", {"models": {cluster.site.model: {"cap": cap}}})[0], 200
             )
         self.assertEqual(len(told), len(set(told)))
         self.assertEqual(len(told), 18)
         self.assertEqual(
-            {town.up[name].lease.held.version for name in town.router_names()}, {town.version}
+            {cluster.up[name].lease.held.version for name in cluster.router_names()},
+            {cluster.version},
         )
--- a/tests/chain/test_state_transfer.py
+++ b/tests/chain/test_state_transfer.py
@@ -3,7 +3,7 @@
 import unittest
 
 from swiftdeck.fault import NOT_TAIL, is_fault
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.wire.messages import CopyAsk, LogAsk
 
 OUTSIDER = "0123456789abcdef"
@@ -11,29 +11,29 @@
 
 class StateTransferTest(unittest.TestCase):
     def test_only_a_whole_tail_gives_its_state_to_a_core_outside_the_chain(self):
-        town = Town(4, routers=1).start()
+        cluster = SimCluster(4, routers=1).start()
         cores = sorted(
-            (town.up[name] for name in town.core_names()),
+            (cluster.up[name] for name in cluster.core_names()),
             key=lambda core: core.agreement.position(),
         )
         for core in cores:
-            name = next(name for name in town.core_names() if town.up[name] is core)
+            name = next(name for name in cluster.core_names() if cluster.up[name] is core)
 
             async def ask(transfer=core.chain.transfer):
                 copied = await transfer.on_ask(CopyAsk(core_id=OUTSIDER), "10.9.9.9:1")
                 return copied, transfer.on_log_ask(LogAsk(serial=0), "10.9.9.9:1")
 
-            copied, log = town.world.do(name, ask)
+            copied, log = cluster.world.do(name, ask)
             is_tail = core is cores[-1]
             self.assertEqual(is_fault(copied), not is_tail, name)
             self.assertEqual(is_fault(log) and log.code == NOT_TAIL.code, not is_tail, name)
 
     def test_a_snapshot_goes_with_the_state_that_it_was_made_of(self):
         """A member that takes another state over no longer offers what it had before."""
-        town = Town(4, routers=1).start()
-        cores = [town.up[name] for name in town.core_names()]
+        cluster = SimCluster(4, routers=1).start()
+        cores = [cluster.up[name] for name in cluster.core_names()]
         tail = max(cores, key=lambda core: core.agreement.position())
-        name = next(name for name in town.core_names() if town.up[name] is tail)
+        name = next(name for name in cluster.core_names() if cluster.up[name] is tail)
 
         async def ask():
             chain = tail.chain
@@ -44,5 +44,5 @@
                 CopyAsk(core_id=OUTSIDER, digest=old.digest), "10.9.9.9:1"
             )
 
-        old, new = town.world.do(name, ask)
+        old, new = cluster.world.do(name, ask)
         self.assertEqual(new.serial, old.serial + 1)
--- a/tests/gateway/cases/answers.py
+++ b/tests/gateway/cases/answers.py
@@ -10,7 +10,7 @@
 from swiftdeck.http.server import HttpConversation
 from swiftdeck.platform.speech import Workers
 from tests.gateway.case import SiteCase
-from tests.gateway.town import ROUTES, PlatformTown
+from tests.gateway.platform_cluster import ROUTES, PlatformCluster
 
 HELD_MS = 250
 VERDICT = Workers.verdict
@@ -42,13 +42,13 @@
 )
 
 
-def held_too_long(town):
+def held_too_long(cluster):
     """Requests that ended more than a quarter of a second past their route's timeout."""
-    asked = {item["id"]: item for item in town.records if item["kind"] == "try"}
+    asked = {item["id"]: item for item in cluster.records if item["kind"] == "try"}
     timeouts = {fields[0]: fields[3]["timeout-ms"] for fields in ROUTES.values()}
     return [
         item["id"]
-        for item in town.records
+        for item in cluster.records
         if item["kind"] == "result"
         for begun in [asked[item["id"]]]
         if item["atMs"] - begun["atMs"] > timeouts[f"/{begun['target'].split('/')[1]}/"] + HELD_MS
@@ -61,20 +61,20 @@
         with mock.patch.object(
             WorkerConnection, "is_clean", WorkerConnection.is_clean if keeps else lambda link: False
         ):
-            town = self.town(seed, rate=10)
+            cluster = self.cluster(seed, rate=10)
             for name, quirk in zip(TROUBLED, itertools.cycle(quirks)):
-                town.up[name].quirk, town.up[name].quirk_share = quirk, share
-            town.world.run(seconds)
-            town.rest()
-        return town
+                cluster.up[name].quirk, cluster.up[name].quirk_share = quirk, share
+            cluster.world.run(seconds)
+            cluster.rest()
+        return cluster
 
     def test_no_wrong_answer_breaks_a_rule_on_kept_and_on_new_connections(self):
         for (seed, quirks), keeps in itertools.product(enumerate(MATRIX, 20), (True, False)):
             with self.subTest(quirks, keeps=keeps):
-                town = self.day(quirks, seed, keeps=keeps)
-                self.assertEqual(town.breaches(), {})
-                self.assertEqual(town.world.faults, [])
-                self.assertEqual(held_too_long(town), [])
+                cluster = self.day(quirks, seed, keeps=keeps)
+                self.assertEqual(cluster.breaches(), {})
+                self.assertEqual(cluster.world.faults, [])
+                self.assertEqual(held_too_long(cluster), [])
 
     def test_without_each_look_at_an_answer_the_rules_fall(self):
         own_id = by_headers(b"swiftdeck-request-id", id=True)
@@ -105,40 +105,44 @@
             return True
 
         with mock.patch.object(PlatformWorker, "_answer", no_content):
-            town = PlatformTown(35).start()
-            got = town.ask("r-once")
+            cluster = PlatformCluster(35).start()
+            got = cluster.ask("r-once")
             self.assertEqual((got["status"], got["complete"]), (204, True))
-            self.assertEqual((town.count("callsServed"), town.count("streamsBroken")), (1, 0))
-            self.assertEqual(town.breaches(), {})
+            self.assertEqual((cluster.count("callsServed"), cluster.count("streamsBroken")), (1, 0))
+            self.assertEqual(cluster.breaches(), {})
 
     def silent(self):
         """Requests with more time than their route has, at workers that never answer."""
-        town = PlatformTown(34).start()
-        for name in town.workers:
-            town.up[name].quirk = "silence"
+        cluster = PlatformCluster(34).start()
+        for name in cluster.workers:
+            cluster.up[name].quirk = "silence"
         for name in ("r-once", "r-safe", "r-stream", "r-resume"):
-            town.beside(lambda name=name: town._asking(name, within_ms=9000, tries=1), "clients")
-        town.world.run(9.5)
-        return town
+            cluster.beside(
+                lambda name=name: cluster._asking(name, within_ms=9000, tries=1), "clients"
+            )
+        cluster.world.run(9.5)
+        return cluster
 
     def test_a_worker_that_never_answers_holds_a_request_no_longer_than_its_route_says(self):
-        town = self.silent()
-        self.assertEqual(held_too_long(town), [])
-        self.assertEqual(town.breaches(), {})
-        ends = [item["status"] for item in town.records if item["kind"] == "result"]
+        cluster = self.silent()
+        self.assertEqual(held_too_long(cluster), [])
+        self.assertEqual(cluster.breaches(), {})
+        ends = [item["status"] for item in cluster.records if item["kind"] == "result"]
         self.assertEqual(set(ends) - {502, 504, 0}, set(), ends)
 
     def test_a_client_that_takes_nothing_holds_its_request_no_longer_than_the_route_says(self):
-        town, never = PlatformTown(33).start(), HttpConversation.writable
+        cluster, never = PlatformCluster(33).start(), HttpConversation.writable
 
         async def writable(self):
-            if self.server is town.up["router1"].http:
+            if self.server is cluster.up["router1"].http:
                 await asyncio.get_running_loop().create_future()
             return await never(self)
 
         with mock.patch.object(HttpConversation, "writable", writable):
-            town.beside(lambda: town._asking("r-safe", door="router1", within_ms=9000), "clients")
-            town.world.run(1)
-            self.assertEqual(town.up["router1"].open, 1)
-            town.world.run(2.2)
-        self.assertEqual((town.up["router1"].open, town.count("workersShunned")), (0, 0))
+            cluster.beside(
+                lambda: cluster._asking("r-safe", door="router1", within_ms=9000), "clients"
+            )
+            cluster.world.run(1)
+            self.assertEqual(cluster.up["router1"].open, 1)
+            cluster.world.run(2.2)
+        self.assertEqual((cluster.up["router1"].open, cluster.count("workersShunned")), (0, 0))
--- a/tests/gateway/cases/draining.py
+++ b/tests/gateway/cases/draining.py
@@ -6,8 +6,8 @@
 from swiftdeck.gateway.admission import Admission
 from swiftdeck.http.drain import Drain, OpenRequests
 from tests.gateway.case import SiteCase
+from tests.gateway.platform_cluster import BOUNDS, MODEL, PlatformCluster, document
 from tests.gateway.raw import RawClient, request_bytes
-from tests.gateway.town import BOUNDS, MODEL, PlatformTown, document
 
 STREAM_LINES = (
     "Accept: text/event-stream",
@@ -38,23 +38,23 @@
 
 class DrainingCase(SiteCase):
     def setUp(self):
-        self.town = PlatformTown(61).start()
+        self.cluster = PlatformCluster(61).start()
 
     def connections(self, count, router="router1"):
         """Connections that have had an answer each and rest now."""
         clients = [self.connect(router) for _ in range(count)]
         for at, client in enumerate(clients):
             self.within(lambda client=client, at=at: client.ask(f"before{at}"))
-        self.town.world.run(1)
+        self.cluster.world.run(1)
         return clients
 
     def connect(self, router="router1"):
         """A new connection."""
-        return self.town.operate(lambda: RawClient(self.town, router).open())
+        return self.cluster.operate(lambda: RawClient(self.cluster, router).open())
 
     def within(self, action):
         """Do something inside the clients' process."""
-        self.town._do("operator", action)
+        self.cluster._do("operator", action)
 
     def send(self, client, name, events=12, **more):
         """Send a request for a stream on a connection."""
@@ -63,19 +63,19 @@
 
     def stop(self):
         """The router is told to stop."""
-        self.stop_s = self.town.world.now
-        self.stopping = self.town.terminate("router1")
+        self.stop_s = self.cluster.world.now
+        self.stopping = self.cluster.terminate("router1")
 
     def until(self, after_s):
         """Run until so long after the router was told to stop."""
-        self.town.world.run(self.stop_s + after_s - self.town.world.now)
+        self.cluster.world.run(self.stop_s + after_s - self.cluster.world.now)
 
     def end(self):
         """Let the router come to its end and its process with it, within its grace."""
-        left_s = self.stop_s + GRACE_S - self.town.world.now
-        self.assertTrue(self.town.world.run(until=self.stopping.done, limit_s=left_s))
-        self.town.world.kill("router1")
-        self.town.world.run(0.1)
+        left_s = self.stop_s + GRACE_S - self.cluster.world.now
+        self.assertTrue(self.cluster.world.run(until=self.stopping.done, limit_s=left_s))
+        self.cluster.world.kill("router1")
+        self.cluster.world.run(0.1)
 
     def account(self, *clients):
         """Results by request."""
@@ -84,13 +84,13 @@
     def ended_s(self, name):
         """When a worker was done with a request, or never, from when the router was told to stop."""
         ends = [
-            each for each in self.town.records if (each["kind"], each.get("id")) == ("ran", name)
+            each for each in self.cluster.records if (each["kind"], each.get("id")) == ("ran", name)
         ]
         return ends[-1]["atMs"] / 1000 - self.stop_s
 
     def passed_on(self):
         """Names of the requests that have reached a worker."""
-        return {item["id"] for item in self.town.records if item["kind"] == "arrive"}
+        return {item["id"] for item in self.cluster.records if item["kind"] == "arrive"}
 
     def assert_refused(self, results, *names):
         """These requests weren't passed on, and were told so."""
@@ -119,12 +119,12 @@
         results, late = self.late_requests()
         self.assert_refused(results, *late)
         self.assertTrue(results["long"]["complete"], results["long"])
-        self.assertEqual(self.town.breaches(), {})
+        self.assertEqual(self.cluster.breaches(), {})
 
     def test_without_an_end_of_admission_the_checker_and_the_invariant_catch_it(self):
         with mock.patch.object(Drain, "admits", lambda self, now_s: True):
             self.late_requests()
-        found = self.town.breaches()
+        found = self.cluster.breaches()
         self.assertIn("LOST", found)
         self.assertIn("invariant.passedOnAfterAdmissionEnd", found)
 
@@ -146,12 +146,12 @@
         results = self.account(busy, parted, pipelining)
         self.assert_refused(results, "parted")
         self.assertTrue(results["first"]["complete"])
-        self.assertEqual(self.town.breaches(), {})
+        self.assertEqual(self.cluster.breaches(), {})
 
     def test_requests_that_wait_behind_an_answer_are_each_answered(self):
         (client,) = self.connections(1)
         self.send(client, "first", 900)
-        self.town.world.run(0.1)
+        self.cluster.world.run(0.1)
         for name in ("second", "third"):
             self.send(client, name)
         self.stop()
@@ -159,7 +159,7 @@
         results = self.account(client)
         self.assertTrue(results["first"]["complete"])
         self.assert_refused(results, "second", "third")
-        self.assertEqual(self.town.breaches(), {})
+        self.assertEqual(self.cluster.breaches(), {})
 
     def test_a_request_that_is_never_whole_is_told_that_it_has_not_run(self):
         busy, parted = self.connections(2)
@@ -171,24 +171,24 @@
         self.end()
         self.assertIn(b"HTTP/1.1 503", parted.got)
         self.assertIn(b"connection: close", parted.got)
-        self.assertEqual(self.town.breaches(), {})
+        self.assertEqual(self.cluster.breaches(), {})
 
     def too_long(self):
         """A router has an answer under way, and a request without one, until it has no more time."""
         streaming, silent = self.connections(2)
         for name in ("app1", "app2"):
-            self.town.up[name].quirk = "silence"
+            self.cluster.up[name].quirk = "silence"
         self.send(streaming, "stream", 4000, time_left_ms=LONG_TIME_LEFT_MS)
         self.within(lambda: silent.ask("silent", "r-once", time_left_ms=LONG_TIME_LEFT_MS))
-        self.town.world.run(0.2)
+        self.cluster.world.run(0.2)
         self.stop()
         self.end()
         return self.account(streaming, silent)
 
     def route_timeouts(self, timeout_ms=LONG_TIME_LEFT_MS):
         """Let routes take longer than a router may work after it was told to stop."""
-        for router in self.town.routers():
-            for each in self.town.up[router].document.paths.values():
+        for router in self.cluster.routers():
+            for each in self.cluster.up[router].document.paths.values():
                 each.timeout_ms = timeout_ms
 
     def test_only_an_answer_that_has_begun_is_cut_and_that_in_the_last_sixth_of_the_grace(self):
@@ -197,14 +197,14 @@
         self.assertEqual((results["stream"]["status"], results["stream"]["complete"]), (200, False))
         self.assertGreaterEqual(self.ended_s("stream"), GRACE_S * 5 / 6)
         self.assertEqual((results["silent"]["status"], results["silent"]["complete"]), (502, True))
-        self.assertEqual(self.town.count("requestsCut.endOfWork"), 1)
-        self.assertEqual(self.town.breaches(), {})
+        self.assertEqual(self.cluster.count("requestsCut.endOfWork"), 1)
+        self.assertEqual(self.cluster.breaches(), {})
 
     def test_without_an_end_of_the_work_the_invariant_catches_it(self):
         self.route_timeouts()
         with mock.patch.object(OpenRequests, "begin_drain", begins_without_an_end):
             self.too_long()
-        self.assertEqual(self.town.breaches().get("invariant.requestsCut"), 1)
+        self.assertEqual(self.cluster.breaches().get("invariant.requestsCut"), 1)
 
     def test_a_request_that_is_still_being_placed_at_the_end_is_promised_not_to_have_run(self):
         self.route_timeouts()
@@ -216,22 +216,22 @@
             self.stop()
             self.end()
         self.assert_refused(self.account(client), "waiting")
-        self.assertEqual(self.town.breaches(), {})
+        self.assertEqual(self.cluster.breaches(), {})
 
     def test_no_acknowledgement_waits_for_a_router_that_has_stopped(self):
         self.stop()
         self.end()
-        begun_s = self.town.world.now
-        put = self.town.operator.put
-        self.assertEqual(self.town.operate(lambda: put(document(), NEXT_VERSION)), 200)
-        self.assertLess(self.town.world.now - begun_s, 0.5)
+        begun_s = self.cluster.world.now
+        put = self.cluster.operator.put
+        self.assertEqual(self.cluster.operate(lambda: put(document(), NEXT_VERSION)), 200)
+        self.assertLess(self.cluster.world.now - begun_s, 0.5)
 
     def test_a_router_that_is_frozen_after_sigterm_refuses_what_came_meanwhile(self):
         busy, *at_rest = self.connections(1 + AT_REST)
         self.send(busy, "long", 300)
         self.stop()
         self.until(0.5)
-        self.town.freeze("router1", FROZEN_S)
+        self.cluster.freeze("router1", FROZEN_S)
         self.until(LATE_S)
         for at, client in enumerate(at_rest):
             self.send(client, f"late{at}")
@@ -239,39 +239,39 @@
         results = self.account(*at_rest)
         self.assert_refused(results, *(f"late{at}" for at in range(AT_REST)))
         self.end()
-        self.assertEqual(self.town.breaches(), {})
+        self.assertEqual(self.cluster.breaches(), {})
 
     def test_a_router_that_reaches_no_core_ends_within_its_grace(self):
-        cores = [ip for name, ip in self.town.machines.items() if name.startswith("core")]
-        others = [ip for name, ip in self.town.machines.items() if name != "router1"]
+        cores = [ip for name, ip in self.cluster.machines.items() if name.startswith("core")]
+        others = [ip for name, ip in self.cluster.machines.items() if name != "router1"]
         for cut_off in (cores, others):
             self.setUp()
             (client,) = self.connections(1)
-            self.town.trouble(
+            self.cluster.trouble(
                 "router1",
-                lambda cut_off=cut_off: self.town.world.net.cut(
-                    [self.town.machines["router1"]], cut_off
+                lambda cut_off=cut_off: self.cluster.world.net.cut(
+                    [self.cluster.machines["router1"]], cut_off
                 ),
                 1e3,
             )
-            self.town.world.run(1)
+            self.cluster.world.run(1)
             self.send(client, "open", 900)
             self.stop()
             self.end()
             self.assertTrue(self.account(client)["open"]["complete"])
-            self.assertEqual(self.town.invariant_violations(), {})
+            self.assertEqual(self.cluster.invariant_violations(), {})
 
     def test_a_time_at_rest_that_grows_and_shrinks_under_load_cuts_nothing(self):
-        self.town.drive(12)
+        self.cluster.drive(12)
         for turn in range(8):
             limits = document()["limits"] | {"idle-ms": (400, 15000)[turn % 2]}
             changed = document() | {"limits": limits}
-            put = self.town.operator.put
-            status = self.town.operate(
+            put = self.cluster.operator.put
+            status = self.cluster.operate(
                 lambda changed=changed, turn=turn: put(changed, NEXT_VERSION + turn)
             )
             self.assertEqual(status, 200)
-            self.town.world.run(1.2)
-        self.assert_kept(self.town)
-        cut = [item for item in self.town.records if item["kind"] == "result" and item["sent"]]
+            self.cluster.world.run(1.2)
+        self.assert_kept(self.cluster)
+        cut = [item for item in self.cluster.records if item["kind"] == "result" and item["sent"]]
         self.assertEqual([item for item in cut if not item["complete"]], [])
--- a/tests/gateway/cases/invalid_orders.py
+++ b/tests/gateway/cases/invalid_orders.py
@@ -8,8 +8,8 @@
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform import operator_door
 from swiftdeck.platform.operator_door import CONFIG_PATH, WEIGHTS_PATH
-from tests.gateway.orders import OrderTown
-from tests.gateway.town import KEYS, MODEL, document, route
+from tests.gateway.orders import OrderCluster
+from tests.gateway.platform_cluster import KEYS, MODEL, document, route
 
 NOW, NEXT = 3, 9
 
@@ -79,43 +79,44 @@
 
 
 class InvalidOrdersCase(unittest.TestCase):
-    def ask(self, town, name, method, body, base, path=CONFIG_PATH):
+    def ask(self, cluster, name, method, body, base, path=CONFIG_PATH):
         """The status that a core gives to one call."""
         headers = [("If-Match", str(base))] if base is not None else []
-        addr = f"{town.machines[name]}:8080"
-        got = town.operate(lambda: fetch_json(addr, method, path, body, headers, 1000))
+        addr = f"{cluster.machines[name]}:8080"
+        got = cluster.operate(lambda: fetch_json(addr, method, path, body, headers, 1000))
         return got[0] if got else 0
 
-    def said(self, town, orders, names):
+    def said(self, cluster, orders, names):
         """Statuses by kind of order at some cores."""
         return {
-            kind: {self.ask(town, name, *order) for name in names} for kind, order in orders.items()
+            kind: {self.ask(cluster, name, *order) for name in names}
+            for kind, order in orders.items()
         }
 
     def test_each_kind_gets_a_4xx_at_each_core(self):
         for cores in (3, 5):
-            town = OrderTown(1, cores).start()
+            cluster = OrderCluster(1, cores).start()
             for orders in (BY_ITSELF, BY_WHAT_IS_CURRENT):
-                for kind, said in self.said(town, orders, town.cores()).items():
+                for kind, said in self.said(cluster, orders, cluster.cores()).items():
                     self.assertTrue(said <= {400, 412}, (kind, said))
             weights = {
                 "unknown": {"model": "x", "version": 2},
                 "none": {"model": MODEL, "version": 0},
             }
             for body in weights.values():
-                self.assertEqual(self.ask(town, "core2", "POST", body, None, WEIGHTS_PATH), 400)
-            self.assertEqual(town.read("core1"), NOW)
+                self.assertEqual(self.ask(cluster, "core2", "POST", body, None, WEIGHTS_PATH), 400)
+            self.assertEqual(cluster.read("core1"), NOW)
 
     def said_cut_off(self, orders):
         """What each core says when it is cut off from the others, at once and when its lease has run out."""
         statuses = {}
         for position in (0, 1, -1):
-            town = OrderTown(2).start()
-            name = town.member(position)
-            town.cut(name)
+            cluster = OrderCluster(2).start()
+            name = cluster.member(position)
+            cluster.cut(name)
             for wait_s in (0.05, 3.0):
-                town.world.run(wait_s)
-                for kind, said in self.said(town, orders, [name]).items():
+                cluster.world.run(wait_s)
+                for kind, said in self.said(cluster, orders, [name]).items():
                     statuses.setdefault(kind, set()).update(said)
         return statuses
 
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -38,8 +38,8 @@
 from tests.gateway.case import SiteCase
 from tests.gateway.cases.orders import FIRST, OrderStorm
 from tests.gateway.loss_storm import LossStorm
-from tests.gateway.orders import LOST_RACE, TAKEN, OrderTown
-from tests.gateway.town import MODEL
+from tests.gateway.orders import LOST_RACE, TAKEN, OrderCluster
+from tests.gateway.platform_cluster import MODEL
 
 SHARE = 0.25
 
@@ -49,7 +49,7 @@
         for seed in (1, 2):
             storm = OrderStorm(seed, (3, 5)[seed % 2], rounds=4, late_share=SHARE)
             self.assertEqual(storm.found(), [], seed)
-            self.assertGreater(storm.town.late.count.total(), 500)
+            self.assertGreater(storm.cluster.late.count.total(), 500)
 
     def test_storms_of_losses_with_messages_that_come_late(self):
         for seed, cores in ((3, 3), (4, 5)):
@@ -62,26 +62,28 @@
 
     def setUp(self):
         """A site whose view is not the first, and on which two orders have been taken."""
-        self.town = OrderTown(3).start()
-        self.town.kill(self.town.member(1), back_s=3)
-        self.town.world.run(4)
-        self.town.settle()
+        self.cluster = OrderCluster(3).start()
+        self.cluster.kill(self.cluster.member(1), back_s=3)
+        self.cluster.world.run(4)
+        self.cluster.settle()
         self.old_view = View().parse(bytes(self.core(-1).agreement.decided))
-        self.town.kill(self.town.member(1), back_s=3)
-        self.town.world.run(4)
-        self.town.settle()
-        self.lost, self.taken = self.town.patch(5, FIRST), self.town.patch(7, FIRST)
-        self.assertEqual(self.town.send(self.taken, "core1"), TAKEN)
-        self.assertEqual(self.town.send(self.lost, "core1"), LOST_RACE)
+        self.cluster.kill(self.cluster.member(1), back_s=3)
+        self.cluster.world.run(4)
+        self.cluster.settle()
+        self.lost, self.taken = self.cluster.patch(5, FIRST), self.cluster.patch(7, FIRST)
+        self.assertEqual(self.cluster.send(self.taken, "core1"), TAKEN)
+        self.assertEqual(self.cluster.send(self.lost, "core1"), LOST_RACE)
 
     def core(self, position):
         """The core at a place of the view."""
-        return self.town.up[self.town.member(position)]
+        return self.cluster.up[self.cluster.member(position)]
 
     def bring(self, message, position, from_position):
         """Bring a message of one member to another; gives what comes back."""
-        sender, target = self.town.member(from_position), self.core(position).me.addr
-        return self.town.world.do(sender, lambda: self.town.up[sender].mesh.ask(target, message))
+        sender, target = self.cluster.member(from_position), self.core(position).me.addr
+        return self.cluster.world.do(
+            sender, lambda: self.cluster.up[sender].mesh.ask(target, message)
+        )
 
     def number(self):
         """The operator's number in force at the tail."""
@@ -96,16 +98,16 @@
         version = self.core(0).chain.state.stored.version
         self.assertFalse(is_fault(self.bring(self.write_of(self.taken), 0, -1)))
         self.assertEqual(self.bring(self.write_of(self.lost), 0, -1).code, LOST_RACE_FAULT.code)
-        self.town.world.run(1)
+        self.cluster.world.run(1)
         self.assertEqual((self.core(-1).chain.state.stored.version, self.number()), (version, 7))
         with mock.patch.object(ChainState, "_outpaced", lambda self, change: None):
             self.assertFalse(is_fault(self.bring(self.write_of(self.lost), 0, -1)))
-        self.town.world.run(1)
+        self.cluster.world.run(1)
         self.assertEqual(self.number(), 5)
 
     def late_pass(self):
         """An entry of an earlier view, one past the last that the tail has."""
-        tail, made = self.core(-1).chain, self.town.patch(9, 7)
+        tail, made = self.core(-1).chain, self.cluster.patch(9, 7)
         change_id, change = configs.items(msgspec.json.encode(made.body), made.base)
         entry = tail.state.examine(change | {"id": change_id})
         entries = [ChainEntry(serial=tail.serial + 1, body=msgspec.msgpack.encode(entry))]
@@ -150,15 +152,15 @@
         self.assertEqual(self.bring(join, -1, 0).code, OLD_VIEW.code)
 
     def test_a_late_question_for_a_lease_does_not_take_back_what_a_router_has(self):
-        lease, tail = self.town.up["router1"].lease, self.core(-1).chain
-        self.town.world.run(1)
+        lease, tail = self.cluster.up["router1"].lease, self.core(-1).chain
+        self.cluster.world.run(1)
         held = tail.leases.holders[lease.router].held
         late = LeaseAsk(router=lease.router, addr=lease.me.addr, held=held - 1)
         self.bring(late, -1, 0)
         self.assertEqual((tail.leases.holders[lease.router].held, held), (lease.held.version, held))
 
     def test_a_late_return_of_a_lease_by_an_earlier_life_frees_no_acknowledgement(self):
-        lease, tail = self.town.up["router1"].lease, self.core(-1).chain
+        lease, tail = self.cluster.up["router1"].lease, self.core(-1).chain
         earlier = f"{lease.me.name}/dead"
         late = LeaseAsk(router=earlier, addr=lease.me.addr, held=1, hand_back=True)
         self.assertFalse(is_fault(self.bring(late, -1, 0)))
@@ -171,7 +173,7 @@
         gone = self.core(-1).agreement
         late = LeaveAsk(core_id=gone.core_id, view=self.old_view.number)
         self.assertEqual(self.bring(late, 0, -1).code, OLD_VIEW.code)
-        self.town.world.run(1)
+        self.cluster.world.run(1)
         self.assertGreaterEqual(gone.position(), 0)
 
     def test_late_reads_say_what_holds_now(self):
@@ -190,13 +192,13 @@
         return self.core(-1).chain.durable.version
 
     def test_a_late_nudge_only_makes_a_router_look(self):
-        lease = self.town.up["router1"].lease
+        lease = self.cluster.up["router1"].lease
         held = lease.held.version
         for version in (held - 1, held + 5):
-            self.town.world.run_in(
+            self.cluster.world.run_in(
                 "router1", lambda v=version: lease.on_nudge(ConfigChanged(version=v), "")
             )
-            self.town.world.run(1)
+            self.cluster.world.run(1)
             self.assertEqual((lease.held.version, lease.is_held()), (held, True))
 
 
@@ -204,40 +206,40 @@
     """News between routers that come long after they were told."""
 
     def test_late_word_of_new_weights_takes_no_version_back(self):
-        town = self.town(81)
-        self.assertEqual(town.operate(lambda: town.operator.name(MODEL, 2)), 200)
-        town.world.run(6)
-        gateway = town.up["router1"]
+        cluster = self.cluster(81)
+        self.assertEqual(cluster.operate(lambda: cluster.operator.name(MODEL, 2)), 200)
+        cluster.world.run(6)
+        gateway = cluster.up["router1"]
         workers = list(gateway.worker_registry.by_service["lm"])
         news = SwapNews(workers=[each.name for each in workers], model=MODEL, version=1, for_ms=500)
-        town.world.run_in("router1", lambda: gateway.on_swap_news(news, ""))
+        cluster.world.run_in("router1", lambda: gateway.on_swap_news(news, ""))
         self.assertEqual({each.weights[MODEL] for each in workers}, {2})
         until_s = {each.swapping_until_s for each in workers}
         self.assertLessEqual(max(until_s), gateway.loop.time() + 0.5)
-        town.world.run(2)
-        self.assert_kept(town)
+        cluster.world.run(2)
+        self.assert_kept(cluster)
 
     def test_late_word_of_a_failing_worker_lapses(self):
-        town = self.town(82)
-        town.world.run(2)
-        gateway = town.up["router1"]
+        cluster = self.cluster(82)
+        cluster.world.run(2)
+        gateway = cluster.up["router1"]
         worker = gateway.worker_registry.by_service["lm"][0]
         worker.answered_s = -1.0
         news = WorkerNews(worker=worker.name, for_ms=60000)
-        town.world.run_in("router1", lambda: gateway.on_worker_news(news, ""))
-        town.world.run(2.1)
+        cluster.world.run_in("router1", lambda: gateway.on_worker_news(news, ""))
+        cluster.world.run(2.1)
         self.assertLessEqual(worker.shunned_until_s, gateway.loop.time())
-        self.assert_kept(town)
+        self.assert_kept(cluster)
 
     def test_late_word_of_loads_and_kept_parts_costs_no_request(self):
-        town = self.town(83, rate=12)
-        gateway = town.up["router1"]
+        cluster = self.cluster(83, rate=12)
+        gateway = cluster.up["router1"]
         names = [each.name for each in gateway.worker_registry.by_service["lm"]]
         for name in names:
             load = LoadNews(worker=name, backlog=1 << 20, running=9, tokens_per_s=10)
             kept = KeptNews(holder=name, salts=["s"], parts=["p"], tokens=[9000])
             section = Section(origin="10.2.0.2:7000", loads=[load], kept=[kept])
             bulletin = Bulletin(sections=[section])
-            town.world.run_in("router1", lambda b=bulletin: gateway.broadcast.on_bulletin(b, ""))
-        town.world.run(6)
-        self.assert_kept(town, 0.9)
+            cluster.world.run_in("router1", lambda b=bulletin: gateway.broadcast.on_bulletin(b, ""))
+        cluster.world.run(6)
+        self.assert_kept(cluster, 0.9)
--- a/tests/gateway/cases/leaving_clients.py
+++ b/tests/gateway/cases/leaving_clients.py
@@ -8,8 +8,8 @@
 from swiftdeck.gateway.pool import Pool
 from swiftdeck.http.server import HttpExchange
 from tests.gateway.case import SiteCase
+from tests.gateway.platform_cluster import PlatformCluster
 from tests.gateway.raw import RawClient
-from tests.gateway.town import PlatformTown
 
 LEAVES_S, SOON_S = 0.3, 0.5
 MODELS, APPS = ("lm1", "lm2", "lm3", "lm4"), ("app1", "app2")
@@ -21,25 +21,25 @@
 
 
 class LeavingClientsCase(SiteCase):
-    def leave(self, route, workers, count=12, quirk="silence", town=None):
+    def leave(self, route, workers, count=12, quirk="silence", cluster=None):
         """Clients ask for something that its workers hold back, and leave."""
-        town = town or PlatformTown(61).start()
+        cluster = cluster or PlatformCluster(61).start()
         for name in workers:
-            town.up[name].quirk = quirk
+            cluster.up[name].quirk = quirk
         for at in range(count):
-            town.beside(
-                lambda at=at: town._asking(route, f"left{at}", leaves_s=LEAVES_S, keeps=False),
+            cluster.beside(
+                lambda at=at: cluster._asking(route, f"left{at}", leaves_s=LEAVES_S, keeps=False),
                 "clients",
             )
-        town.world.run(LEAVES_S + SOON_S + 0.1)
-        return town
+        cluster.world.run(LEAVES_S + SOON_S + 0.1)
+        return cluster
 
-    def assert_nothing_is_left(self, town):
+    def assert_nothing_is_left(self, cluster):
         """No request is open at a router, and nothing runs at a worker."""
-        self.assertEqual([town.up[name].open for name in town.routers()], [0, 0, 0])
-        self.assertEqual([len(town.up[name].active) for name in town.workers], [0] * 6)
-        self.assertEqual(town.breaches(), {})
-        self.assertEqual(town.world.faults, [])
+        self.assertEqual([cluster.up[name].open for name in cluster.routers()], [0, 0, 0])
+        self.assertEqual([len(cluster.up[name].active) for name in cluster.workers], [0] * 6)
+        self.assertEqual(cluster.breaches(), {})
+        self.assertEqual(cluster.world.faults, [])
 
     def test_work_that_a_worker_holds_back_ends_with_its_client(self):
         for route, workers in (("r-stream", MODELS), ("r-resume", MODELS), ("r-safe", APPS)):
@@ -62,29 +62,29 @@
             (mock.patch.object(Pool, "take", waits_forever), "r-once"),
         ):
             with self.subTest(route), waiting:
-                town = self.leave(route, ())
-                self.assertEqual([item for item in town.records if item["kind"] == "arrive"], [])
-                self.assert_nothing_is_left(town)
+                cluster = self.leave(route, ())
+                self.assertEqual([item for item in cluster.records if item["kind"] == "arrive"], [])
+                self.assert_nothing_is_left(cluster)
 
     def test_what_may_run_only_once_is_not_taken_back_from_its_worker(self):
-        town = self.leave("r-once", APPS, count=4, quirk="slow")
-        self.assertEqual(sum(len(town.up[name].active) for name in APPS), 4)
-        town.world.run(1.0)
+        cluster = self.leave("r-once", APPS, count=4, quirk="slow")
+        self.assertEqual(sum(len(cluster.up[name].active) for name in APPS), 4)
+        cluster.world.run(1.0)
         self.assertEqual(
-            [item["whole"] for item in town.records if item["kind"] == "ran"], [True] * 4
+            [item["whole"] for item in cluster.records if item["kind"] == "ran"], [True] * 4
         )
-        self.assert_nothing_is_left(town)
+        self.assert_nothing_is_left(cluster)
 
     def half_closed(self, route):
         """What a client gets that asks for something slow, sends no more and listens."""
-        town = PlatformTown(62).start()
+        cluster = PlatformCluster(62).start()
         for name in APPS:
-            town.up[name].quirk = "slow"
-        client = town.operate(lambda: RawClient(town, "router1").open())
-        town._do("operator", lambda: client.ask("h1", route))
-        town.world.run(0.2)
-        town._do("operator", client.transport.write_eof)
-        town.world.run(2.0)
+            cluster.up[name].quirk = "slow"
+        client = cluster.operate(lambda: RawClient(cluster, "router1").open())
+        cluster._do("operator", lambda: client.ask("h1", route))
+        cluster.world.run(0.2)
+        cluster._do("operator", client.transport.write_eof)
+        cluster.world.run(2.0)
         return client
 
     def test_a_client_that_only_listens_gets_what_may_run_only_once_and_else_an_answer_at_once(
@@ -96,15 +96,15 @@
         self.assertIn(CLIENT_ENDED.name.encode(), bytes(client.got))
 
     def test_a_frozen_router_sends_nothing_on_for_clients_that_left_meanwhile(self):
-        town = PlatformTown(63).start()
-        town.freeze("router1", 2.0)
+        cluster = PlatformCluster(63).start()
+        cluster.freeze("router1", 2.0)
         for at, route in enumerate(("r-safe", "r-resume", "r-stream") * 4):
-            town.beside(
-                lambda at=at, route=route: town._asking(
+            cluster.beside(
+                lambda at=at, route=route: cluster._asking(
                     route, f"late{at}", door="router1", leaves_s=LEAVES_S, keeps=False
                 ),
                 "clients",
             )
-        town.world.run(4.0)
-        self.assertEqual([item for item in town.records if item["kind"] == "arrive"], [])
-        self.assert_nothing_is_left(town)
+        cluster.world.run(4.0)
+        self.assertEqual([item for item in cluster.records if item["kind"] == "arrive"], [])
+        self.assert_nothing_is_left(cluster)
--- a/tests/gateway/cases/operator.py
+++ b/tests/gateway/cases/operator.py
@@ -5,52 +5,56 @@
 from swiftdeck.gateway.gateway import Gateway
 from swiftdeck.gateway.swap import Swaps
 from tests.gateway.case import SiteCase
-from tests.gateway.town import BOUNDS, KEYS, MODEL, document, route
+from tests.gateway.platform_cluster import BOUNDS, KEYS, MODEL, document, route
 
 
 class OperatorCase(SiteCase):
-    def versions(self, town):
+    def versions(self, cluster):
         """The weights that workers have."""
-        return {town.up[name].versions.get(MODEL) for name in town.workers if name.startswith("lm")}
+        return {
+            cluster.up[name].versions.get(MODEL)
+            for name in cluster.workers
+            if name.startswith("lm")
+        }
 
-    def orders(self, town):
+    def orders(self, cluster):
         """(Worker, owner, fence, status) of all orders."""
         return [
             (item["worker"], item["owner"], item["fence"], item["status"])
-            for item in town.records
+            for item in cluster.records
             if item["kind"] == "order"
         ]
 
     def test_new_weights_cross_the_fleet_with_no_call_lost_or_refused(self):
         for seed in (1, 2):
-            town = self.town(seed, rate=12)
-            self.assertEqual(town.operate(lambda: town.operator.name(MODEL, 2)), 200)
-            town.world.run(6)
-            self.assertEqual(self.versions(town), {2})
-            self.assert_kept(town)
-            self.assertEqual(town.count("turnedAway.503"), 0)
+            cluster = self.cluster(seed, rate=12)
+            self.assertEqual(cluster.operate(lambda: cluster.operator.name(MODEL, 2)), 200)
+            cluster.world.run(6)
+            self.assertEqual(self.versions(cluster), {2})
+            self.assert_kept(cluster)
+            self.assertEqual(cluster.count("turnedAway.503"), 0)
             self.assertEqual(
-                sorted(self.orders(town)),
-                [(f"i-lm{at}-1", "core1", self.orders(town)[0][2], 202) for at in range(1, 5)],
+                sorted(self.orders(cluster)),
+                [(f"i-lm{at}-1", "core1", self.orders(cluster)[0][2], 202) for at in range(1, 5)],
             )
             self.assertEqual(
-                {item["status"] for item in town.records if item["kind"] == "result"}, {200}
+                {item["status"] for item in cluster.records if item["kind"] == "result"}, {200}
             )
 
     def test_without_word_of_an_order_calls_are_turned_away(self):
         with mock.patch.object(Gateway, "on_swap_news", lambda self, news, sender: None):
-            town = self.town(1, rate=12)
-            town.operate(lambda: town.operator.name(MODEL, 2))
-            town.world.run(6)
-            self.assertGreater(town.count("turnedAway.503"), 0)
+            cluster = self.cluster(1, rate=12)
+            cluster.operate(lambda: cluster.operator.name(MODEL, 2))
+            cluster.world.run(6)
+            self.assertGreater(cluster.count("turnedAway.503"), 0)
 
     def test_a_worker_that_no_order_reaches_is_not_served_on_old_weights_for_long(self):
         def day():
-            town = self.town(3)
-            town.up["lm4"].busy = "other"
-            town.operate(lambda: town.operator.name(MODEL, 2))
-            town.world.run(BOUNDS["version_ms"] / 1000 + 3)
-            return town
+            cluster = self.cluster(3)
+            cluster.up["lm4"].busy = "other"
+            cluster.operate(lambda: cluster.operator.name(MODEL, 2))
+            cluster.world.run(BOUNDS["version_ms"] / 1000 + 3)
+            return cluster
 
         with mock.patch.object(Gateway, "on_swap_news", lambda self, news, sender: None):
             self.assert_kept(day(), 0.9)
@@ -65,21 +69,21 @@
 
     def naming_at_a_frozen_head(self, seed=4):
         """The head freezes when it is about to order, and wakes when another has begun."""
-        town = self.town(seed, rate=5)
-        town.world.run(5)
-        head = town.head()
-        town.operate(lambda: town.operator.name(MODEL, 2))
-        town.world.run(0.08)
-        town.freeze(head, 6.5)
-        town.world.run(14)
-        return town, head
+        cluster = self.cluster(seed, rate=5)
+        cluster.world.run(5)
+        head = cluster.head()
+        cluster.operate(lambda: cluster.operator.name(MODEL, 2))
+        cluster.world.run(0.08)
+        cluster.freeze(head, 6.5)
+        cluster.world.run(14)
+        return cluster, head
 
     def test_the_head_freezes_when_it_is_about_to_order(self):
-        town, head = self.naming_at_a_frozen_head()
-        self.assertEqual(self.versions(town), {2})
-        self.assertNotEqual(town.head(), head)
-        self.assert_kept(town)
-        self.assertTrue(all(status != 412 for *_, status in self.orders(town)))
+        cluster, head = self.naming_at_a_frozen_head()
+        self.assertEqual(self.versions(cluster), {2})
+        self.assertNotEqual(cluster.head(), head)
+        self.assert_kept(cluster)
+        self.assertTrue(all(status != 412 for *_, status in self.orders(cluster)))
 
     def test_two_holders_lie_apart(self):
         fence = Swaps.fence
@@ -96,47 +100,47 @@
             return got
 
         def killed():
-            town = self.town(5, rate=5)
-            town.world.run(5)
-            worker = town.up["lm1"]
+            cluster = self.cluster(5, rate=5)
+            cluster.world.run(5)
+            worker = cluster.up["lm1"]
             worker._order_status = lambda asked: 409
-            town.operate(lambda: town.operator.name(MODEL, 2))
-            town.world.run(0.5)
-            town.kill(town.head(), back_s=6)
+            cluster.operate(lambda: cluster.operator.name(MODEL, 2))
+            cluster.world.run(0.5)
+            cluster.kill(cluster.head(), back_s=6)
             del worker._order_status
-            town.world.run(9)
-            return town
+            cluster.world.run(9)
+            return cluster
 
         self.assert_kept(killed())
         self.assert_falls_without(mock.patch.object(Swaps, "fence", hasty), killed, "ONE")
 
     def test_weights_are_named_while_the_head_dies(self):
         for seed in (6, 7):
-            town = self.town(seed, rate=5)
-            town.world.run(4)
-            task = town.beside(lambda: town.operator.name(MODEL, 2))
-            town.world.run(0.004 * (seed - 5))
-            town.kill(town.head(), back_s=0.5)
-            town.world.run(until=task.done, limit_s=30)
+            cluster = self.cluster(seed, rate=5)
+            cluster.world.run(4)
+            task = cluster.beside(lambda: cluster.operator.name(MODEL, 2))
+            cluster.world.run(0.004 * (seed - 5))
+            cluster.kill(cluster.head(), back_s=0.5)
+            cluster.world.run(until=task.done, limit_s=30)
             self.assertEqual(task.result(), 200)
-            town.world.run(9)
-            self.assertEqual(self.versions(town), {2})
-            self.assert_kept(town)
+            cluster.world.run(9)
+            self.assertEqual(self.versions(cluster), {2})
+            self.assert_kept(cluster)
 
     def test_a_head_that_starts_again_under_its_view_does_not_sit_its_pause_out_again(self):
         def day():
-            town = self.town(6, rate=5)
-            town.world.run(5)
-            head = town.head()
-            town.operate(lambda: town.operator.name(MODEL, 2))
-            view = town.up[head].agreement.decided.number
-            town.kill(head, back_s=0.4)
-            begun_ms = town.world.now * 1000
-            town.world.run(9)
-            same = town.up[head].agreement.decided.number == view
-            self.assert_kept(town)
+            cluster = self.cluster(6, rate=5)
+            cluster.world.run(5)
+            head = cluster.head()
+            cluster.operate(lambda: cluster.operator.name(MODEL, 2))
+            view = cluster.up[head].agreement.decided.number
+            cluster.kill(head, back_s=0.4)
+            begun_ms = cluster.world.now * 1000
+            cluster.world.run(9)
+            same = cluster.up[head].agreement.decided.number == view
+            self.assert_kept(cluster)
             return same, [
-                item["atMs"] - begun_ms for item in town.records if item["kind"] == "order"
+                item["atMs"] - begun_ms for item in cluster.records if item["kind"] == "order"
             ]
 
         same, orders = day()
@@ -148,82 +152,84 @@
 
     def test_the_head_is_killed_during_a_change(self):
         for seed in range(8, 11):
-            town = self.town(seed, rate=4)
-            task = town.beside(
-                lambda: town.operator.patch(5, put={"routes": [route("r-new", "/new/", "app")]})
+            cluster = self.cluster(seed, rate=4)
+            task = cluster.beside(
+                lambda: cluster.operator.patch(5, put={"routes": [route("r-new", "/new/", "app")]})
             )
-            town.world.run(0.003 * (seed - 7))
-            town.kill(town.head(), back_s=2)
-            begun_s = town.world.now
-            self.assertTrue(town.world.run(until=task.done, limit_s=30))
+            cluster.world.run(0.003 * (seed - 7))
+            cluster.kill(cluster.head(), back_s=2)
+            begun_s = cluster.world.now
+            self.assertTrue(cluster.world.run(until=task.done, limit_s=30))
             self.assertEqual(task.result(), 200)
-            self.assertLess(town.world.now - begun_s, 8)
-            town.world.run(3)
-            self.assertEqual(town.ask("none", start="/new/")["status"], 200)
-            self.assert_kept(town)
+            self.assertLess(cluster.world.now - begun_s, 8)
+            cluster.world.run(3)
+            self.assertEqual(cluster.ask("none", start="/new/")["status"], 200)
+            self.assert_kept(cluster)
 
     def test_all_cores_are_killed_and_come_back_while_routers_serve_on(self):
-        town = self.town(11)
-        town.operate(
-            lambda: town.operator.patch(5, put={"routes": [route("r-new", "/new/", "app")]})
+        cluster = self.cluster(11)
+        cluster.operate(
+            lambda: cluster.operator.patch(5, put={"routes": [route("r-new", "/new/", "app")]})
         )
-        for name in town.cores():
-            town.kill(name, back_s=1)
-            town.folders[name].lose_power()
-        town.world.run(8)
-        self.assertIsNotNone(town.head())
+        for name in cluster.cores():
+            cluster.kill(name, back_s=1)
+            cluster.folders[name].lose_power()
+        cluster.world.run(8)
+        self.assertIsNotNone(cluster.head())
         self.assertEqual(
-            town.operate(lambda: town.operator.patch(7, remove={"routes": ["r-new"]})), 200
+            cluster.operate(lambda: cluster.operator.patch(7, remove={"routes": ["r-new"]})), 200
         )
-        town.world.run(2.5)
-        self.assertEqual(town.ask("none", start="/new/")["status"], 404)
-        self.assert_kept(town, 0.95)
+        cluster.world.run(2.5)
+        self.assertEqual(cluster.ask("none", start="/new/")["status"], 404)
+        self.assert_kept(cluster, 0.95)
 
-    def change(self, town, version):
+    def change(self, cluster, version):
         """Add a route, and give the seconds until it is acknowledged."""
-        begun_s = town.world.now
+        begun_s = cluster.world.now
         put = {"routes": [route(f"r-{version}", f"/v{version}/", "app")]}
-        self.assertEqual(town.operate(lambda: town.operator.patch(version, put=put)), 200)
-        return town.world.now - begun_s
+        self.assertEqual(cluster.operate(lambda: cluster.operator.patch(version, put=put)), 200)
+        return cluster.world.now - begun_s
 
     def test_a_core_loses_its_disk_right_after_it_has_acknowledged(self):
         for position, all_lose_power in ((0, False), (2, True)):
-            town = self.town(14 + position, rate=4)
-            self.change(town, 5)
+            cluster = self.cluster(14 + position, rate=4)
+            self.change(cluster, 5)
             lost = next(
-                name for name in town.cores() if town.up[name].agreement.position() == position
+                name
+                for name in cluster.cores()
+                if cluster.up[name].agreement.position() == position
             )
-            for name in town.cores() if all_lose_power else [lost]:
-                town.kill(name, back_s=0.8)
-                (town.folders[name].wipe if name == lost else town.folders[name].lose_power)()
-            town.world.run(1)
-            self.assertLess(self.change(town, 7), 4)
-            town.world.run(2.1)
+            for name in cluster.cores() if all_lose_power else [lost]:
+                cluster.kill(name, back_s=0.8)
+                (cluster.folders[name].wipe if name == lost else cluster.folders[name].lose_power)()
+            cluster.world.run(1)
+            self.assertLess(self.change(cluster, 7), 4)
+            cluster.world.run(2.1)
             self.assertEqual(
-                [town.ask("none", start=f"/v{version}/")["status"] for version in (5, 7)],
+                [cluster.ask("none", start=f"/v{version}/")["status"] for version in (5, 7)],
                 [200, 200],
             )
-            self.assert_kept(town)
+            self.assert_kept(cluster)
 
     def test_the_heads_disk_is_full_or_fails(self):
         for field in ("full", "failing"):
-            town = self.town(17, rate=4)
-            disk = town.folders[town.head()]
+            cluster = self.cluster(17, rate=4)
+            disk = cluster.folders[cluster.head()]
             setattr(disk, field, True)
-            self.assertLess(self.change(town, 5), 4)
+            self.assertLess(self.change(cluster, 5), 4)
             setattr(disk, field, False)
-            town.world.run(3)
-            self.assertLess(self.change(town, 7), 4)
-            self.assert_kept(town)
+            cluster.world.run(3)
+            self.assertLess(self.change(cluster, 7), 4)
+            self.assert_kept(cluster)
 
     def test_a_key_that_is_taken_away_is_refused_everywhere_and_its_tenant_goes_on_with_another(
         self,
     ):
         def day():
-            town = self.town(12, rate=4)
+            cluster = self.cluster(12, rate=4)
             self.assertEqual(
-                town.operate(
-                    lambda: town.operator.patch(
+                cluster.operate(
+                    lambda: cluster.operator.patch(
                         5,
                         put={
                             "customers": [{"name": "nowu640", "api-keys": ["key-n2"], "urgency": 1}]
@@ -232,22 +238,22 @@
                 ),
                 200,
             )
-            town.world.run(BOUNDS["apply_within_ms"] / 1000 + 0.1)
-            return town
+            cluster.world.run(BOUNDS["apply_within_ms"] / 1000 + 0.1)
+            return cluster
 
-        town = day()
+        cluster = day()
         self.assertEqual(
             [
                 [
-                    town.ask(name, door=door, key=key)["status"]
+                    cluster.ask(name, door=door, key=key)["status"]
                     for name in ("r-safe", "r-resume")
                     for key in KEYS["nowu640"]
                 ]
-                for door in town.routers()
+                for door in cluster.routers()
             ],
             [[401, 200, 401, 200]] * 3,
         )
-        self.assertEqual(town.breaches(), {})
+        self.assertEqual(cluster.breaches(), {})
         held = Gateway.on_config
 
         def keeps_keys(self, document):
@@ -256,34 +262,34 @@
             self.tenants = old | self.tenants
 
         def asked():
-            town = day()
-            town.ask("r-safe")
-            return town
+            cluster = day()
+            cluster.ask("r-safe")
+            return cluster
 
         self.assert_falls_without(
             mock.patch.object(Gateway, "on_config", keeps_keys), asked, "CONFIG"
         )
 
     def test_changes_follow_one_another_and_two_operators_race(self):
-        town = self.town(13, rate=4)
+        cluster = self.cluster(13, rate=4)
         for version in range(5, 25, 3):
             change = {"routes": [route(f"r-{version}", f"/v{version}/", "app")]}
             one, two = (
-                town.beside(lambda: town.operator.patch(number, put=change))
+                cluster.beside(lambda: cluster.operator.patch(number, put=change))
                 for number in (version, version + 1)
             )
-            town.world.run(until=lambda: one.done() and two.done(), limit_s=20)
+            cluster.world.run(until=lambda: one.done() and two.done(), limit_s=20)
             self.assertEqual(sorted((one.result(), two.result())), [200, 412])
-            town.world.run(0.4)
+            cluster.world.run(0.4)
         bad = document() | {"routes": [route("r-safe") | {"backend": "gone"}]}
-        self.assertEqual(town.operate(lambda: town.operator.put(bad, 90, is_bad=True)), 400)
-        town.world.run(2.1)
+        self.assertEqual(cluster.operate(lambda: cluster.operator.put(bad, 90, is_bad=True)), 400)
+        cluster.world.run(2.1)
         self.assertEqual(
             {
-                town.ask("none", start=f"/v{version}/", door=door)["status"]
+                cluster.ask("none", start=f"/v{version}/", door=door)["status"]
                 for version in (5, 14, 23)
-                for door in town.routers()
+                for door in cluster.routers()
             },
             {200},
         )
-        self.assert_kept(town)
+        self.assert_kept(cluster)
--- a/tests/gateway/cases/routers.py
+++ b/tests/gateway/cases/routers.py
@@ -5,7 +5,7 @@
 from swiftdeck.gateway.gateway import Gateway
 from swiftdeck.traffic.lease import ConfigLease
 from tests.gateway.case import SiteCase
-from tests.gateway.town import HOST, PlatformTown
+from tests.gateway.platform_cluster import HOST, PlatformCluster
 
 
 async def stops_at_once(self):
@@ -16,76 +16,81 @@
 
 class RoutersCase(SiteCase):
     def test_a_router_is_killed_and_comes_back(self):
-        town = self.town(1)
-        town.kill("router1", back_s=3)
-        town.world.run(8)
-        self.assert_kept(town, 0.93)
-        self.assertTrue(town.up["router1"].is_ready())
+        cluster = self.cluster(1)
+        cluster.kill("router1", back_s=3)
+        cluster.world.run(8)
+        self.assert_kept(cluster, 0.93)
+        self.assertTrue(cluster.up["router1"].is_ready())
 
     def test_a_router_is_gone_for_good_and_its_places_come_back(self):
-        town = self.town(2, rate=12)
-        town.kill("router2", silent=True)
-        town.world.run(10)
-        self.assert_kept(town, 0.93)
+        cluster = self.cluster(2, rate=12)
+        cluster.kill("router2", silent=True)
+        cluster.world.run(10)
+        self.assert_kept(cluster, 0.93)
         books = [
             book
-            for name in town.routers()
-            for book in town.up[name].admission.books.status().values()
+            for name in cluster.routers()
+            for book in cluster.up[name].admission.books.status().values()
         ]
         self.assertEqual(sum(book["open"] + book["line"] for book in books), 0, books)
 
     def test_a_frozen_router_wakes_with_what_came_meanwhile(self):
-        town = self.town(3)
-        town.freeze("router2", 1)
-        town.world.run(4)
-        town.freeze("router2", 4)
-        town.world.run(7)
-        self.assert_kept(town, 0.9)
+        cluster = self.cluster(3)
+        cluster.freeze("router2", 1)
+        cluster.world.run(4)
+        cluster.freeze("router2", 4)
+        cluster.world.run(7)
+        self.assert_kept(cluster, 0.9)
 
     def test_a_router_that_is_cut_off_from_all_others_serves_on(self):
-        town = self.town(5)
-        others = [ip for name, ip in town.machines.items() if name != "router1"]
-        town.trouble("router1", lambda: town.world.net.cut([town.machines["router1"]], others), 8)
-        town.world.run(8)
+        cluster = self.cluster(5)
+        others = [ip for name, ip in cluster.machines.items() if name != "router1"]
+        cluster.trouble(
+            "router1", lambda: cluster.world.net.cut([cluster.machines["router1"]], others), 8
+        )
+        cluster.world.run(8)
         self.assertEqual(
-            [town.ask(name, door="router1")["status"] for name in ("r-safe", "r-once", "r-resume")],
+            [
+                cluster.ask(name, door="router1")["status"]
+                for name in ("r-safe", "r-once", "r-resume")
+            ],
             [200] * 3,
         )
-        town.world.net.heal()
-        town.world.run(3)
-        self.assert_kept(town)
+        cluster.world.net.heal()
+        cluster.world.run(3)
+        self.assert_kept(cluster)
 
     def test_routers_that_are_stopped_in_turn_lose_nothing(self):
-        town = self.town(6, rate=10)
-        for name in town.routers():
-            task = town.beside(town.up[name].stop, name)
-            self.assertTrue(town.world.run(until=task.done, limit_s=8))
-            town.world.kill(name)
-            town.world.run(0.3)
-            town.start_router(name)
-            town.world.run(1.5)
-        town.rest()
+        cluster = self.cluster(6, rate=10)
+        for name in cluster.routers():
+            task = cluster.beside(cluster.up[name].stop, name)
+            self.assertTrue(cluster.world.run(until=task.done, limit_s=8))
+            cluster.world.kill(name)
+            cluster.world.run(0.3)
+            cluster.start_router(name)
+            cluster.world.run(1.5)
+        cluster.rest()
         self.assertEqual(
             [
                 item
-                for item in town.records
+                for item in cluster.records
                 if item["kind"] == "result" and item["sent"] and not item["complete"]
             ],
             [],
         )
-        self.assert_kept(town)
+        self.assert_kept(cluster)
 
     def roll(self, rate=14):
         """Routers are told to stop in turn while they are busy, and come back."""
-        town = self.town(17, rate)
+        cluster = self.cluster(17, rate)
         for name in ("router1", "router2"):
-            stopping = town.terminate(name)
-            town.world.run(until=stopping.done, limit_s=8)
-            town.world.kill(name)
-            town.world.run(0.3)
-            town.start_router(name)
-            town.world.run(1.5)
-        return town
+            stopping = cluster.terminate(name)
+            cluster.world.run(until=stopping.done, limit_s=8)
+            cluster.world.kill(name)
+            cluster.world.run(0.3)
+            cluster.start_router(name)
+            cluster.world.run(1.5)
+        return cluster
 
     def test_a_busy_router_that_is_told_to_stop_loses_nothing(self):
         self.assert_kept(self.roll())
@@ -95,16 +100,17 @@
 
     def test_a_long_stream_is_finished_by_a_router_that_stops(self):
         def events():
-            town = PlatformTown(7).start()
-            task = town.beside(
-                lambda: town._asking("r-stream", door="router1", out=600, within_ms=6000), "clients"
+            cluster = PlatformCluster(7).start()
+            task = cluster.beside(
+                lambda: cluster._asking("r-stream", door="router1", out=600, within_ms=6000),
+                "clients",
             )
-            town.world.run(0.5)
-            stopping = town.beside(town.up["router1"].stop, "router1")
-            town.world.run(until=stopping.done, limit_s=8)
-            town.world.kill("router1")
-            town.world.run(until=task.done, limit_s=8)
-            self.assertEqual(town.breaches(), {})
+            cluster.world.run(0.5)
+            stopping = cluster.beside(cluster.up["router1"].stop, "router1")
+            cluster.world.run(until=stopping.done, limit_s=8)
+            cluster.world.kill("router1")
+            cluster.world.run(until=task.done, limit_s=8)
+            self.assertEqual(cluster.breaches(), {})
             return len(task.result()["events"])
 
         self.assertEqual(events(), 600)
@@ -113,29 +119,29 @@
 
     def begin_without_lease(self):
         """A router starts while most cores are gone."""
-        town = self.town(8)
-        for name in town.cores()[:2]:
-            town.kill(name)
-        town.world.run(5)
-        town.kill("router1", back_s=0.5)
-        town.world.run(5)
-        return town
+        cluster = self.cluster(8)
+        for name in cluster.cores()[:2]:
+            cluster.kill(name)
+        cluster.world.run(5)
+        cluster.kill("router1", back_s=0.5)
+        cluster.world.run(5)
+        return cluster
 
     def test_a_router_that_starts_while_no_lease_is_to_be_had_takes_what_a_tail_has_synced(self):
-        town = self.begin_without_lease()
+        cluster = self.begin_without_lease()
         self.assertEqual(
-            (town.up["router1"].is_ready(), town.up["router1"].lease.is_held()), (True, False)
+            (cluster.up["router1"].is_ready(), cluster.up["router1"].lease.is_held()), (True, False)
         )
         self.assertEqual(
-            [town.ask(name, door="router1")["status"] for name in ("r-safe", "r-resume")],
+            [cluster.ask(name, door="router1")["status"] for name in ("r-safe", "r-resume")],
             [200, 200],
         )
-        self.assertEqual(town.ask("none", start="/nowhere/", door="router1")["status"], 404)
+        self.assertEqual(cluster.ask("none", start="/nowhere/", door="router1")["status"], 404)
         for name in ("core1", "core2"):
-            town.start_core(name)
-        town.world.run(8)
-        self.assertTrue(town.up["router1"].lease.is_held())
-        self.assert_kept(town, 0.95)
+            cluster.start_core(name)
+        cluster.world.run(8)
+        self.assertTrue(cluster.up["router1"].lease.is_held())
+        self.assert_kept(cluster, 0.95)
 
         async def peeks_at_nothing(self):
             return None
@@ -144,27 +150,29 @@
             self.assertFalse(self.begin_without_lease().up["router1"].is_ready())
 
     def test_clients_that_leave_take_nothing_with_them(self):
-        town = PlatformTown(9).start()
+        cluster = PlatformCluster(9).start()
         for at in range(12):
-            town.beside(
-                lambda: town._asking("r-stream", f"x{at}", out=400, within_ms=200 + 20 * at),
+            cluster.beside(
+                lambda: cluster._asking("r-stream", f"x{at}", out=400, within_ms=200 + 20 * at),
                 "clients",
             )
-        town.world.run(8)
-        self.assertEqual([town.up[name].open for name in town.routers()], [0, 0, 0])
+        cluster.world.run(8)
+        self.assertEqual([cluster.up[name].open for name in cluster.routers()], [0, 0, 0])
         self.assertEqual(
             sum(
                 worker.running + worker.running_long
-                for name in town.routers()
-                for worker in town.up[name].worker_registry.workers.values()
+                for name in cluster.routers()
+                for worker in cluster.up[name].worker_registry.workers.values()
             ),
             0,
         )
         books = [
             book
-            for name in town.routers()
-            for book in town.up[name].admission.books.status().values()
+            for name in cluster.routers()
+            for book in cluster.up[name].admission.books.status().values()
         ]
         self.assertEqual(sum(book["open"] + book["line"] for book in books), 0, books)
-        self.assertEqual(town.breaches(), {})
-        self.assertTrue(all(item["host"] == HOST for item in town.records if item["kind"] == "try"))
+        self.assertEqual(cluster.breaches(), {})
+        self.assertTrue(
+            all(item["host"] == HOST for item in cluster.records if item["kind"] == "try")
+        )
--- a/tests/gateway/cases/stopping_routers.py
+++ b/tests/gateway/cases/stopping_routers.py
@@ -4,19 +4,19 @@
 from unittest import mock
 
 from swiftdeck.chain.router_leases import RouterLeases
-from tests.gateway.core_town import CoreTown
-from tests.gateway.town import BOUNDS, PlatformTown
+from tests.gateway.core_cluster import CoreCluster
+from tests.gateway.platform_cluster import BOUNDS, PlatformCluster
 
 ROUTERS, PER_S, ROUTER_EVERY_S, CORE_EVERY_S = 3, 8, 4.0, 10.0
 SETTLED_ACK_S = 1.5
 """What a change may take where no core is in trouble; the rules allow `ack_within_ms`."""
 
 
-class LongDay(CoreTown):
+class LongDay(CoreCluster):
     """A stream of changes; a router is stopped or vanishes every few seconds, and now and then a core leaves or is killed."""
 
     def __init__(self, seed=1, cores=3):
-        PlatformTown.__init__(
+        PlatformCluster.__init__(
             self, seed, routers=ROUTERS, cores=cores, models=1, apps=1, tolerate=(cores - 1) // 2
         )
         self.seeds, self.catch_up_s, self.added, self.changed = None, 4.0, 0, 5
@@ -54,7 +54,7 @@
 
     def terminate_router(self, name):
         """SIGTERM to a router, which ends by itself."""
-        loop, task = self.world.loops[name], PlatformTown.terminate(self, name)
+        loop, task = self.world.loops[name], PlatformCluster.terminate(self, name)
         task.add_done_callback(
             lambda _: self.world.at(0, lambda: loop.dead or self.world.kill(name))
         )
@@ -75,25 +75,25 @@
 
 class StoppingRoutersCase(unittest.TestCase):
     def test_no_acknowledgement_waits_for_a_router_that_stops_or_vanishes(self):
-        town = LongDay(1).start()
-        count, longest_s = town.play(30.0)
+        cluster = LongDay(1).start()
+        count, longest_s = cluster.play(30.0)
         self.assertGreater(count, 150)
         self.assertLess(longest_s, SETTLED_ACK_S)
-        self.assertEqual(town.world.faults, [])
+        self.assertEqual(cluster.world.faults, [])
 
     def test_without_the_bound_it_would(self):
-        town = LongDay(1)
+        cluster = LongDay(1)
         with mock.patch.object(RouterLeases, "is_in_force", waits_for_all):
-            longest_s = town.start().play(30.0)[1]
+            longest_s = cluster.start().play(30.0)[1]
         self.assertGreater(longest_s, SETTLED_ACK_S)
 
     def test_changes_go_on_through_changes_of_the_view(self):
-        town = LongDay(2).start()
-        count, longest_s = town.play(45.0, has_core_troubles=True)
+        cluster = LongDay(2).start()
+        count, longest_s = cluster.play(45.0, has_core_troubles=True)
         self.assertGreater(count, 150)
         self.assertLess(longest_s, SETTLED_ACK_S)
-        town.settle()
-        self.assertEqual(town.breaches(), {})
+        cluster.settle()
+        self.assertEqual(cluster.breaches(), {})
 
 
 def waits_for_all(self, version):
--- a/tests/gateway/cases/storms.py
+++ b/tests/gateway/cases/storms.py
@@ -11,7 +11,7 @@
             with self.subTest(seed):
                 storm = Storm(seed, 12.0)
                 self.assertEqual(storm.calm_down(), [], storm.log)
-                served, count = storm.town.served()
+                served, count = storm.cluster.served()
                 self.assertGreater(served, 0.85 * count)
 
     def test_after_a_storm_in_which_routers_stop_again_and_again(self):
@@ -19,7 +19,7 @@
             with self.subTest(seed):
                 storm = RollingStorm(seed, 12.0)
                 self.assertEqual(storm.calm_down(), [], storm.log)
-                served, count = storm.town.served()
+                served, count = storm.cluster.served()
                 self.assertGreater(served, 0.8 * count)
 
     def test_after_a_storm_in_which_messages_come_late(self):
@@ -27,6 +27,6 @@
             with self.subTest(seed):
                 storm = LateStorm(seed, 12.0)
                 self.assertEqual(storm.calm_down(), [], storm.log)
-                served, count = storm.town.served()
+                served, count = storm.cluster.served()
                 self.assertGreater(served, 0.85 * count)
-                self.assertGreater(storm.town.late.count.total(), 50)
+                self.assertGreater(storm.cluster.late.count.total(), 50)
--- a/tests/gateway/cases/workers.py
+++ b/tests/gateway/cases/workers.py
@@ -35,15 +35,15 @@
 class WorkersCase(SiteCase):
     def quirky(self, quirks, seed=2, share=0.3):
         """A day on which some workers misbehave now and then."""
-        town = self.town(seed)
+        cluster = self.cluster(seed)
         for name, quirk in zip(TROUBLED, itertools.cycle(quirks)):
-            town.up[name].quirk, town.up[name].quirk_share = quirk, share
-        town.world.run(6)
+            cluster.up[name].quirk, cluster.up[name].quirk_share = quirk, share
+        cluster.world.run(6)
         self.assertTrue(
             set(quirks)
-            & ({item["quirk"] for item in town.records if item["kind"] == "run"} | {"full"})
+            & ({item["quirk"] for item in cluster.records if item["kind"] == "run"} | {"full"})
         )
-        return town
+        return cluster
 
     def test_troubles_of_workers_break_no_rule_and_what_may_be_repeated_is_served(self):
         for quirks in (
@@ -53,11 +53,11 @@
             ("slow", "full", "full"),
         ):
             with self.subTest(quirks):
-                town = self.quirky(quirks)
-                self.assert_kept(town, 0.85)
+                cluster = self.quirky(quirks)
+                self.assert_kept(cluster, 0.85)
                 last, tries = (
-                    town.results(),
-                    {item["root"]: item for item in town.records if item["kind"] == "try"},
+                    cluster.results(),
+                    {item["root"]: item for item in cluster.records if item["kind"] == "try"},
                 )
                 self.assertEqual(
                     [
@@ -70,9 +70,9 @@
                 )
 
     def test_late_answers_belong_to_no_request(self):
-        town = self.quirky(("surplus",) * 3, 4, 1.0)
-        self.assert_kept(town)
-        self.assertGreater(town.count("surplusAnswers") + town.count("surplusBytes"), 10)
+        cluster = self.quirky(("surplus",) * 3, 4, 1.0)
+        self.assert_kept(cluster)
+        self.assertGreater(cluster.count("surplusAnswers") + cluster.count("surplusBytes"), 10)
 
         def day():
             return self.quirky(("surplus",) * 3, 4, 1.0)
@@ -102,49 +102,49 @@
 
     def crash(self):
         """Workers crash, stand on the list for a while, and come back as others."""
-        town = self.town(5)
+        cluster = self.cluster(5)
         for name in ("lm2", "app1"):
-            town.world.kill(name)
-        town.world.run(2)
-        town.forget("lm2", "app1")
-        town.world.run(2)
+            cluster.world.kill(name)
+        cluster.world.run(2)
+        cluster.forget("lm2", "app1")
+        cluster.world.run(2)
         for name in ("lm2", "app1"):
-            town.start_worker(name)
-        town.world.run(3)
-        return town
+            cluster.start_worker(name)
+        cluster.world.run(3)
+        return cluster
 
     def test_workers_crash_and_come_back(self):
         self.assert_kept(self.crash(), 0.95)
 
     def test_an_address_goes_to_a_worker_of_another_service(self):
-        town = self.town(6)
-        town.world.kill("app1")
-        town.workers["lm9"] = town.workers["app1"]
-        town.start_worker("lm9")
-        town.world.run(2)
-        town.forget("app1")
-        town.world.run(3)
-        self.assert_kept(town, 0.95)
+        cluster = self.cluster(6)
+        cluster.world.kill("app1")
+        cluster.workers["lm9"] = cluster.workers["app1"]
+        cluster.start_worker("lm9")
+        cluster.world.run(2)
+        cluster.forget("app1")
+        cluster.world.run(3)
+        self.assert_kept(cluster, 0.95)
         self.assertIn(
             ("i-lm9-1", 421),
             {
                 (item["worker"], item["status"])
-                for item in town.records
+                for item in cluster.records
                 if item["kind"] == "refused"
             },
         )
 
     def leave(self):
         """Workers are shown as leaving, serve on for a while, and end."""
-        town = self.town(7, rate=16.0)
+        cluster = self.cluster(7, rate=16.0)
         for name in ("lm2", "app1"):
-            town.up[name].is_leaving = True
-        town.world.run(4.5)
+            cluster.up[name].is_leaving = True
+        cluster.world.run(4.5)
         for name in ("lm2", "app1"):
-            town.world.kill(name)
-            town.forget(name)
-        town.world.run(1)
-        return town
+            cluster.world.kill(name)
+            cluster.forget(name)
+        cluster.world.run(1)
+        return cluster
 
     def test_workers_leave_and_nothing_is_lost(self):
         self.assert_kept(self.leave())
@@ -153,19 +153,19 @@
         )
 
     def test_the_store_goes_down_and_comes_back_empty(self):
-        town = self.town(8)
-        town.world.run(2)
-        town.world.kill("store", silent=True)
-        town.world.run(3)
-        town.start_store()
-        town.world.run(3)
-        self.assert_kept(town)
-        self.assertGreater(len(town.up["store"].cache.held), 0)
+        cluster = self.cluster(8)
+        cluster.world.run(2)
+        cluster.world.kill("store", silent=True)
+        cluster.world.run(3)
+        cluster.start_store()
+        cluster.world.run(3)
+        self.assert_kept(cluster)
+        self.assertGreater(len(cluster.up["store"].cache.held), 0)
 
     def test_reports_are_late_and_lost(self):
-        town = self.town(9)
+        cluster = self.cluster(9)
         for name in ("lm1", "lm2", "lm3", "lm4", "store"):
-            cache = town.up[name].cache
+            cache = cluster.up[name].cache
             cache.lost_share, cache.late_s, cache.room = 0.4, 1.5, 40000
-        town.world.run(8)
-        self.assert_kept(town)
+        cluster.world.run(8)
+        self.assert_kept(cluster)
--- a/tests/gateway/core_town.py
+++ b/tests/gateway/core_cluster.py
@@ -4,12 +4,12 @@
 import math
 
 from swiftdeck.chain.agreement import ids
-from tests.gateway.town import BOUNDS, PlatformTown, document, route
+from tests.gateway.platform_cluster import BOUNDS, PlatformCluster, document, route
 
 SEEDS, RESTART_S, CATCH_UP_S, GRACE_S = 3, 1.0, {3: 4.0, 5: 6.0}, BOUNDS["grace_s"]
 
 
-class CoreTown(PlatformTown):
+class CoreCluster(PlatformCluster):
     """A small site, with three or five cores, where only the life of the cores matters."""
 
     def __init__(self, seed=1, cores=3):
--- a/tests/gateway/loss_town.py
+++ b/tests/gateway/loss_cluster.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from tests.gateway.core_town import SEEDS
-from tests.gateway.orders import FINAL, OrderTown
+from tests.gateway.core_cluster import SEEDS
+from tests.gateway.orders import FINAL, OrderCluster
 
 READ_EVERY_S, RECOVERY_S = 0.25, 12.0
 
 
-class LossTown(OrderTown):
+class LossCluster(OrderCluster):
     """Cores lose power, disks and links; every core is read all the while, also the cut-off ones."""
 
     def __init__(self, seed=1, cores=3, routers=1):
--- a/tests/gateway/loss_storm.py
+++ b/tests/gateway/loss_storm.py
@@ -8,9 +8,9 @@
 import sys
 
 from swiftdeck.bench.outer.checker import check
-from tests.gateway.loss_town import LossTown
+from tests.gateway.loss_cluster import LossCluster
 from tests.gateway.orders import TAKEN
-from tests.gateway.town import BOUNDS, MODEL
+from tests.gateway.platform_cluster import BOUNDS, MODEL
 
 CATCH_UP_S = {3: 4.0, 5: 6.0}
 TORN_BYTES = (0, 3, 40, 600)
@@ -37,52 +37,52 @@
     """One storm of a seed; what it broke is found after all has come back."""
 
     def __init__(self, seed, cores=3, seconds=25.0, mean_s=2.0, late_share=0.0):
-        town = self.town = LossTown(seed, cores, routers=2).start()
-        town.late.share = late_share
-        self.rng, self.mean_s, self.end_s = town.rng(), mean_s, town.world.now + seconds
+        cluster = self.cluster = LossCluster(seed, cores, routers=2).start()
+        cluster.late.share = late_share
+        self.rng, self.mean_s, self.end_s = cluster.rng(), mean_s, cluster.world.now + seconds
         self.healing, self.calm_since_s, self.empty = 0, 0.0, set()
         self.number, self.acknowledged, self.named, self.log = 3, 0, 1, []
-        self.tasks = [town.beside(self._operates) for _ in range(OPERATORS)]
-        self.tasks.append(town.beside(self._names))
+        self.tasks = [cluster.beside(self._operates) for _ in range(OPERATORS)]
+        self.tasks.append(cluster.beside(self._names))
         self._strike_later()
-        town.world.run(seconds)
-        town.late.share = 0.0
-        town.world.run(until=lambda: not self.healing, limit_s=30)
-        town.world.run(until=lambda: all(each.done() for each in self.tasks), limit_s=60)
+        cluster.world.run(seconds)
+        cluster.late.share = 0.0
+        cluster.world.run(until=lambda: not self.healing, limit_s=30)
+        cluster.world.run(until=lambda: all(each.done() for each in self.tasks), limit_s=60)
 
     def _has_end(self):
-        return self.town.world.now >= self.end_s
+        return self.cluster.world.now >= self.end_s
 
     async def _operates(self):
         """An operator that reads, changes what it read, and waits for a clear answer."""
-        town, known = self.town, 3
+        cluster, known = self.cluster, 3
         while not self._has_end():
-            shown = await town.reading(self.rng.choice(self._cores()))
+            shown = await cluster.reading(self.rng.choice(self._cores()))
             known = known if shown is None else shown
             self.number = max(self.number, known) + self.rng.randint(1, 3)
-            order = town.patch(self.number, known)
-            if await town.insisting(order, ORDER_S) == TAKEN:
+            order = cluster.patch(self.number, known)
+            if await cluster.insisting(order, ORDER_S) == TAKEN:
                 known, self.acknowledged = order.number, self.acknowledged + 1
                 if self.rng.random() < 0.1 and not self._has_end():
-                    town.world.at(self.rng.uniform(0, 0.003), self._strike)
+                    cluster.world.at(self.rng.uniform(0, 0.003), self._strike)
             await asyncio.sleep(self.rng.uniform(0, 0.5))
 
     async def _names(self):
         """New weights are named now and then."""
         while not self._has_end():
-            if 200 <= await self.town.operator.name(MODEL, self.named + 1) < 300:
+            if 200 <= await self.cluster.operator.name(MODEL, self.named + 1) < 300:
                 self.named += 1
             await asyncio.sleep(NAME_EVERY_S)
 
     def _cores(self):
-        return [name for name in self.town.machines if name.startswith("core")]
+        return [name for name in self.cluster.machines if name.startswith("core")]
 
     def _running(self):
-        loops = self.town.world.loops
+        loops = self.cluster.world.loops
         return [name for name in self._cores() if name in loops and not loops[name].frozen]
 
     def _strike_later(self):
-        self.town.world.at(self.rng.expovariate(1 / self.mean_s), self._strike_in_turn)
+        self.cluster.world.at(self.rng.expovariate(1 / self.mean_s), self._strike_in_turn)
 
     def _strike_in_turn(self):
         if not self._has_end():
@@ -93,7 +93,7 @@
         kind, running = self.rng.choice(STRIKES), self._running()
         if running and not self._has_end():
             name, for_s = self.rng.choice(running), self.rng.uniform(0.3, 5)
-            self.log.append((round(self.town.world.now, 3), kind, name, round(for_s, 2)))
+            self.log.append((round(self.cluster.world.now, 3), kind, name, round(for_s, 2)))
             getattr(self, f"on_{kind}")(name, for_s)
 
     def _later(self, for_s, work):
@@ -101,29 +101,29 @@
 
         def act():
             self.healing -= 1
-            self.calm_since_s = self.town.world.now
+            self.calm_since_s = self.cluster.world.now
             work()
 
-        self.town.world.at(for_s, act)
+        self.cluster.world.at(for_s, act)
 
     def _may_wipe(self, names):
         """Whether no more disks are lost at once: one is lost until all was calm for as long as a core takes to catch up."""
-        now_s = self.town.world.now
+        now_s = self.cluster.world.now
         if not self.healing and now_s > self.calm_since_s + CATCH_UP_S[len(self._cores())]:
             self.empty.clear()
-        if len(self.empty | set(names)) > self.town.tolerate:
+        if len(self.empty | set(names)) > self.cluster.tolerate:
             return False
         self.empty |= set(names)
         return True
 
     def _lose(self, name, for_s, wiped=False):
-        if name in self.town.world.loops:
-            self.town.lose(name, wiped, self.rng.choice(TORN_BYTES))
-            self._later(for_s, lambda: self.town.back(name))
+        if name in self.cluster.world.loops:
+            self.cluster.lose(name, wiped, self.rng.choice(TORN_BYTES))
+            self._later(for_s, lambda: self.cluster.back(name))
 
     def on_kill(self, name, for_s):
-        self.town.kill(name)
-        self._later(for_s, lambda: self.town.back(name))
+        self.cluster.kill(name)
+        self._later(for_s, lambda: self.cluster.back(name))
 
     def on_power(self, name, for_s):
         self._lose(name, for_s)
@@ -135,24 +135,24 @@
     def on_split(self, name, for_s):
         cores = self._cores()
         at = cores.index(name)
-        pairs = self.town.split((cores[at:] + cores[:at])[: len(cores) // 2])
-        self._later(for_s, lambda: self.town.world.net.heal(pairs))
+        pairs = self.cluster.split((cores[at:] + cores[:at])[: len(cores) // 2])
+        self._later(for_s, lambda: self.cluster.world.net.heal(pairs))
 
     def on_cut(self, name, for_s):
-        pairs = self.town.cut(name, "core", self.rng.choice(("both", "in", "out")))
-        self._later(for_s, lambda: self.town.world.net.heal(pairs))
+        pairs = self.cluster.cut(name, "core", self.rng.choice(("both", "in", "out")))
+        self._later(for_s, lambda: self.cluster.world.net.heal(pairs))
 
     def on_mute(self, name, for_s):
-        pairs = self.town.cut(name, "all", "out")
-        self._later(for_s, lambda: self.town.world.net.heal(pairs))
+        pairs = self.cluster.cut(name, "all", "out")
+        self._later(for_s, lambda: self.cluster.world.net.heal(pairs))
 
     def on_freeze(self, name, for_s):
-        loop = self.town.world.loops[name]
-        self.town.trouble(name, lambda: self.town.world.freeze(name), for_s)
-        self._later(for_s, lambda: loop.dead or self.town.world.thaw(name))
+        loop = self.cluster.world.loops[name]
+        self.cluster.trouble(name, lambda: self.cluster.world.freeze(name), for_s)
+        self._later(for_s, lambda: loop.dead or self.cluster.world.thaw(name))
 
     def _disk(self, name, for_s, field, value):
-        folder = self.town.folders[name]
+        folder = self.cluster.folders[name]
         before = type(folder)()
         setattr(folder, field, value)
         self._later(for_s, lambda: setattr(folder, field, getattr(before, field)))
@@ -167,17 +167,17 @@
         self._disk(name, for_s, "full", True)
 
     def on_leave(self, name, for_s):
-        if self.town.up[name].mesh.server is None:
+        if self.cluster.up[name].mesh.server is None:
             return
-        task = self.town.beside(self.town.up[name].stop, name)
-        loop = self.town.world.loops[name]
-        task.add_done_callback(lambda _: self.town.world.at(0, lambda: self._left(loop)))
+        task = self.cluster.beside(self.cluster.up[name].stop, name)
+        loop = self.cluster.world.loops[name]
+        task.add_done_callback(lambda _: self.cluster.world.at(0, lambda: self._left(loop)))
         self._later(BOUNDS["grace_s"], lambda: self._left(loop))
-        self._later(BOUNDS["grace_s"] + for_s, lambda: self.town.back(name))
+        self._later(BOUNDS["grace_s"] + for_s, lambda: self.cluster.back(name))
 
     def _left(self, loop):
         if not loop.dead:
-            self.town.kill(loop.name)
+            self.cluster.kill(loop.name)
 
     def on_outage(self, name, for_s):
         for each in self._cores():
@@ -185,26 +185,26 @@
 
     def on_closing(self, name, for_s):
         """As many disks as may be lost, and the power of all others, routers too."""
-        wiped = self.rng.sample(self._cores(), self.town.tolerate)
+        wiped = self.rng.sample(self._cores(), self.cluster.tolerate)
         if not self._may_wipe(wiped):
             return
         for each in self._cores():
             self._lose(each, for_s, each in wiped)
-        for each in self.town.routers():
-            self.town.lose(each)
-            self._later(for_s, lambda each=each: self.town.back(each))
+        for each in self.cluster.routers():
+            self.cluster.lose(each)
+            self._later(for_s, lambda each=each: self.cluster.back(each))
 
     def found(self):
         """What is wrong when all is back."""
-        town = self.town
+        cluster = self.cluster
         found = [f"an operator has no end: {each}" for each in self.tasks if not each.done()]
-        found += town.found()
-        tail = town.up[town.member(-1)].chain
+        found += cluster.found()
+        tail = cluster.up[cluster.member(-1)].chain
         model = tail.state.config.document.models.get(MODEL)
         weights = int(model.weights) if model else 0
         if weights < self.named:
             found.append(f"weights {self.named} acknowledged, {weights} in force")
-        one = check(town.records, town.bounds()).get("ONE", [])
+        one = check(cluster.records, cluster.bounds()).get("ONE", [])
         return found + [f"ONE: {each}" for each in one]
 
 
@@ -217,7 +217,7 @@
         storm = LossStorm(seed, cores, late_share=late_share)
         found = storm.found()
         failed += bool(found)
-        reads = len(storm.town.reads)
+        reads = len(storm.cluster.reads)
         print(seed, storm.acknowledged, reads, storm.named, len(storm.log), *found, flush=True)
         if found:
             print("   ", storm.log, flush=True)
--- a/tests/gateway/orders.py
+++ b/tests/gateway/orders.py
@@ -8,7 +8,7 @@
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform import configs
 from swiftdeck.platform.operator_door import CONFIG_PATH
-from tests.gateway.town import PlatformTown, document, route
+from tests.gateway.platform_cluster import PlatformCluster, document, route
 
 TAKEN, LOST_RACE, INVALID, TRY_AGAIN = 200, 412, 400, 503
 FINAL = (200, 400, 409, 412, 413, 422)
@@ -48,7 +48,7 @@
         return {answer.status for answer in self.answers}
 
 
-class OrderTown(PlatformTown):
+class OrderCluster(PlatformCluster):
     """A small site, and what operators sent to it and were told."""
 
     def __init__(self, seed=1, cores=3, routers=1):
--- a/tests/gateway/town.py
+++ b/tests/gateway/platform_cluster.py
@@ -133,7 +133,7 @@
     }
 
 
-class PlatformTown:
+class PlatformCluster:
     """Starts, breaks and mends the machines of a site in virtual time, and collects the records."""
 
     def __init__(self, seed=1, routers=3, cores=3, models=4, apps=2, tolerate=1, policy=None):
--- a/tests/gateway/raw.py
+++ b/tests/gateway/raw.py
@@ -6,7 +6,7 @@
 
 from swiftdeck.bench.outer.client import SAFE, empty_result
 from swiftdeck.bench.outer.worker import digest
-from tests.gateway.town import HOST, KEYS, ROUTES
+from tests.gateway.platform_cluster import HOST, KEYS, ROUTES
 
 OWN_KEY = KEYS["nowu640"][0]
 
@@ -34,8 +34,8 @@
 class RawClient(asyncio.Protocol):
     """One connection of such a client."""
 
-    def __init__(self, town, router):
-        self.town, self.router, self.record = town, router, town.record("clients")
+    def __init__(self, cluster, router):
+        self.cluster, self.router, self.record = cluster, router, cluster.record("clients")
         self.asked, self.got, self.is_over = [], bytearray(), False
 
     def connection_made(self, transport):
@@ -52,7 +52,7 @@
 
     async def open(self):
         """Connect to the router."""
-        ip = self.town.machines[self.router]
+        ip = self.cluster.machines[self.router]
         await asyncio.get_running_loop().create_connection(lambda: self, ip, 8080)
         return self
 
--- a/tests/gateway/storm.py
+++ b/tests/gateway/storm.py
@@ -8,7 +8,7 @@
 import sys
 
 from swiftdeck.bench.outer.worker import QUIRKS
-from tests.gateway.town import BOUNDS, MODEL, PlatformTown, document, route
+from tests.gateway.platform_cluster import BOUNDS, MODEL, PlatformCluster, document, route
 
 PLANNED_SHARE, LONG_STREAMS_PER_S, LONG_EVENTS = 0.6, 3.0, (200, 1100)
 
@@ -20,7 +20,7 @@
 
     def __init__(self, seed, seconds=30.0, mean_s=1.6):
         self.rng = random.Random(seed)
-        self.town = PlatformTown(
+        self.cluster = PlatformCluster(
             seed, routers=self.rng.choice((3, 4, 5)), models=self.rng.choice((3, 4, 6))
         ).start()
         self.mean_s, self.version, self.weights, self.tasks, self.log, self.has_end = (
@@ -32,42 +32,46 @@
             False,
         )
         self.begin_load()
-        self.town.world.run(2)
-        self.town.late.share = self.late_share
+        self.cluster.world.run(2)
+        self.cluster.late.share = self.late_share
         self._later()
-        self.town.world.run(seconds)
-        self.town.late.share = 0.0
+        self.cluster.world.run(seconds)
+        self.cluster.late.share = 0.0
         self.has_end = True
 
     def begin_load(self):
         """Let clients ask."""
-        self.town.drive(self.rng.choice((6, 10)))
+        self.cluster.drive(self.rng.choice((6, 10)))
 
     def calm_down(self):
         """Let all come back, and give what is wrong after it."""
-        town = self.town
-        town.world.run(until=lambda: all(task.done() for task in self.tasks), limit_s=45)
-        town.world.run(self.calm_s)
-        found = [f"{rule}: {breaches}" for rule, breaches in town.breaches().items()]
-        town.world.run(1)
+        cluster = self.cluster
+        cluster.world.run(until=lambda: all(task.done() for task in self.tasks), limit_s=45)
+        cluster.world.run(self.calm_s)
+        found = [f"{rule}: {breaches}" for rule, breaches in cluster.breaches().items()]
+        cluster.world.run(1)
         found += [
             f"operator got {task.result() if task.done() else 'nothing'}"
             for task in self.tasks
             if not task.done() or task.result() != 200
         ]
         found += [
-            f"{name}: {what}" for name in town.routers() for what in self._wrong(town.up[name])
+            f"{name}: {what}"
+            for name in cluster.routers()
+            for what in self._wrong(cluster.up[name])
         ]
-        found += [f"{name} is not back" for name in town.machines if name not in town.world.loops]
-        newest = max([1, *town.operator.named.values()])
         found += [
-            f"{name} has version {town.up[name].versions}"
-            for name in town.workers
+            f"{name} is not back" for name in cluster.machines if name not in cluster.world.loops
+        ]
+        newest = max([1, *cluster.operator.named.values()])
+        found += [
+            f"{name} has version {cluster.up[name].versions}"
+            for name in cluster.workers
             if name.startswith("lm")
-            and name in town.world.loops
-            and town.up[name].versions[MODEL] != newest
+            and name in cluster.world.loops
+            and cluster.up[name].versions[MODEL] != newest
         ]
-        return found + [f"process failed: {fault}" for fault in town.world.faults]
+        return found + [f"process failed: {fault}" for fault in cluster.world.faults]
 
     @staticmethod
     def _wrong(gateway):
@@ -89,19 +93,19 @@
         return [f"{name} ({state})" for name, state in states.items() if state]
 
     def _later(self):
-        self.town.world.at(self.rng.expovariate(1 / self.mean_s), self._act)
+        self.cluster.world.at(self.rng.expovariate(1 / self.mean_s), self._act)
 
     def _act(self):
         if not self.has_end:
             name = self.rng.choice([each for each in dir(self) if each.startswith("on_")])
-            self.log.append((round(self.town.world.now, 2), name, getattr(self, name)()))
+            self.log.append((round(self.cluster.world.now, 2), name, getattr(self, name)()))
             self._later()
 
     def _running(self, role):
-        loops = self.town.world.loops
+        loops = self.cluster.world.loops
         return [
             name
-            for name in self.town.machines
+            for name in self.cluster.machines
             if name.startswith(role) and name in loops and not loops[name].frozen
         ]
 
@@ -111,99 +115,99 @@
         return self.rng.choice(running) if len(running) >= (3 if role == "core" else 2) else None
 
     def _worker(self):
-        running = [name for name in self.town.workers if name in self.town.world.loops]
+        running = [name for name in self.cluster.workers if name in self.cluster.world.loops]
         return self.rng.choice(running) if len(running) > 3 else None
 
     def on_kill(self):
         name = self._one(self.rng.choice(("core", "router")))
         return (
             name
-            and self.town.kill(name, self.rng.random() < 0.3, back_s=self.rng.uniform(0.3, 5))
+            and self.cluster.kill(name, self.rng.random() < 0.3, back_s=self.rng.uniform(0.3, 5))
             or name
         )
 
     def on_freeze(self):
         name = self._one(self.rng.choice(("core", "router")))
-        return name and self.town.freeze(name, self.rng.uniform(0.3, 6)) or name
+        return name and self.cluster.freeze(name, self.rng.uniform(0.3, 6)) or name
 
     def on_cut(self):
-        name, town, for_s = (
+        name, cluster, for_s = (
             self._one(self.rng.choice(("core", "router"))),
-            self.town,
+            self.cluster,
             self.rng.uniform(0.5, 6),
         )
         if name:
-            others = [ip for each, ip in town.machines.items() if each != name]
-            pairs = town.trouble(
-                name, lambda: town.world.net.cut([town.machines[name]], others), for_s
+            others = [ip for each, ip in cluster.machines.items() if each != name]
+            pairs = cluster.trouble(
+                name, lambda: cluster.world.net.cut([cluster.machines[name]], others), for_s
             )
-            town.world.at(for_s, lambda: town.world.net.heal(pairs))
+            cluster.world.at(for_s, lambda: cluster.world.net.heal(pairs))
         return name
 
     def on_all_cores(self):
         running = self._running("core")
         for name in running if len(running) == 3 else ():
-            self.town.kill(name, back_s=self.rng.uniform(0.3, 1))
-            self.town.folders[name].lose_power()
+            self.cluster.kill(name, back_s=self.rng.uniform(0.3, 1))
+            self.cluster.folders[name].lose_power()
 
     def on_crash(self):
-        name, town = self._worker(), self.town
+        name, cluster = self._worker(), self.cluster
         if name:
-            town.world.kill(name, self.rng.random() < 0.3)
-            town.world.at(3, lambda: name in town.world.loops or town.forget(name))
-            town.world.at(
+            cluster.world.kill(name, self.rng.random() < 0.3)
+            cluster.world.at(3, lambda: name in cluster.world.loops or cluster.forget(name))
+            cluster.world.at(
                 self.rng.uniform(3.5, 6),
-                lambda: name in town.world.loops or town.start_worker(name),
+                lambda: name in cluster.world.loops or cluster.start_worker(name),
             )
         return name
 
     def on_leave(self):
-        name, town = self._worker(), self.town
+        name, cluster = self._worker(), self.cluster
         if name:
-            life = town.up[name]
+            life = cluster.up[name]
             life.is_leaving = True
 
             def end():
-                if town.up[name] is life and name in town.world.loops:
-                    town.world.kill(name)
-                    town.forget(name)
-                    town.world.at(2.5, lambda: town.start_worker(name))
+                if cluster.up[name] is life and name in cluster.world.loops:
+                    cluster.world.kill(name)
+                    cluster.forget(name)
+                    cluster.world.at(2.5, lambda: cluster.start_worker(name))
 
-            town.world.at(4.6, end)
+            cluster.world.at(4.6, end)
         return name
 
     def on_quirk(self):
         name = self._worker()
         if name:
-            life = self.town.up[name]
+            life = self.cluster.up[name]
             life.quirk, life.quirk_share = self.rng.choice(QUIRKS[1:]), self.rng.choice((0.2, 0.6))
-            self.town.world.at(4, lambda: setattr(life, "quirk", ""))
+            self.cluster.world.at(4, lambda: setattr(life, "quirk", ""))
         return name and (name, life.quirk)
 
     def on_gaps(self):
-        for name in [each for each in self.town.workers if each in self.town.world.loops]:
-            cache = self.town.up[name].cache
+        for name in [each for each in self.cluster.workers if each in self.cluster.world.loops]:
+            cache = self.cluster.up[name].cache
             cache.lost_share, cache.late_s = self.rng.choice((0, 0.5)), self.rng.choice((0, 1.0))
 
     def on_store(self):
-        if "store" in self.town.world.loops:
-            self.town.world.kill("store")
-            self.town.world.at(2, self.town.start_store)
+        if "store" in self.cluster.world.loops:
+            self.cluster.world.kill("store")
+            self.cluster.world.at(2, self.cluster.start_store)
 
     def _operate(self, make):
         if all(task.done() for task in self.tasks):
-            self.tasks.append(self.town.beside(make))
+            self.tasks.append(self.cluster.beside(make))
 
     def on_change(self):
         version, self.version = self.version, self.version + self.rng.randint(2, 4)
         put = {"routes": [route(f"r-v{version}", f"/v{version}/", "app")]}
         old = [
             each["name"]
-            for each in self.town.operator.document["routes"]
+            for each in self.cluster.operator.document["routes"]
             if each["name"].startswith("r-v")
         ]
         self._operate(
-            lambda: self.town.operator.patch(
+            lambda: self.cluster.operator.patch(
                 version,
                 put=put,
                 remove={"routes": old[:1]} if self.rng.random() < 0.5 and old else None,
@@ -212,7 +216,7 @@
 
     def on_weights(self):
         version, self.weights = self.weights, self.weights + 1
-        self._operate(lambda: self.town.operator.name(MODEL, version))
+        self._operate(lambda: self.cluster.operator.name(MODEL, version))
 
 
 class RollingStorm(Storm):
@@ -224,48 +228,48 @@
 
     def begin_load(self):
         super().begin_load()
-        self.town.load.append(self.town.beside(self._ask_for_long_streams, "clients"))
+        self.cluster.load.append(self.cluster.beside(self._ask_for_long_streams, "clients"))
 
     async def _ask_for_long_streams(self):
         """Streams of one to five seconds on connections that are kept."""
         while True:
             await asyncio.sleep(self.long_calls.expovariate(LONG_STREAMS_PER_S))
             name = self.long_calls.choice(("r-stream", "r-resume"))
-            asking = self.town._asking(
+            asking = self.cluster._asking(
                 name, parts=[("hello", 90)], out=self.long_calls.randrange(*LONG_EVENTS)
             )
-            self.town.running.append(asyncio.ensure_future(asking))
+            self.cluster.running.append(asyncio.ensure_future(asking))
 
     def _act(self):
         if not self.has_end and self.rng.random() < PLANNED_SHARE:
             planned = self.rng.choice((self.stop_router, self.change_idle))
-            self.log.append((round(self.town.world.now, 2), planned.__name__, planned()))
+            self.log.append((round(self.cluster.world.now, 2), planned.__name__, planned()))
         super()._act()
 
     def stop_router(self):
         """SIGTERM to a router, SIGKILL after its grace or its end, and a new start."""
-        name, town = self._one("router"), self.town
+        name, cluster = self._one("router"), self.cluster
         if name is None or len(self._running("router")) < 3:
             return None
-        loop, stopping = town.world.loops[name], town.terminate(name)
+        loop, stopping = cluster.world.loops[name], cluster.terminate(name)
 
         def end():
-            if town.world.loops.get(name) is loop:
-                town.world.kill(name)
-                town.world.at(0.5, lambda: town.start_router(name))
+            if cluster.world.loops.get(name) is loop:
+                cluster.world.kill(name)
+                cluster.world.at(0.5, lambda: cluster.start_router(name))
 
         def look():
-            end() if stopping.done() else town.world.at(0.1, look)
+            end() if stopping.done() else cluster.world.at(0.1, look)
 
         look()
-        town.world.at(BOUNDS["grace_s"], end)
+        cluster.world.at(BOUNDS["grace_s"], end)
         return name
 
     def change_idle(self):
         """Another time that connections may rest."""
         version, self.version = self.version, self.version + 2
         limits = document()["limits"] | {"idle-ms": self.rng.choice((300, 2000, 15000))}
-        operator = self.town.operator
+        operator = self.cluster.operator
         self._operate(lambda: operator.put(operator.document | {"limits": limits}, version))
         return limits["idle-ms"]
 
@@ -292,7 +296,7 @@
         count += bool(found)
         print(
             seed,
-            storm.town.served(),
+            storm.cluster.served(),
             len(storm.tasks),
             *(found and [*found, storm.log]),
             sep="\n   " if found else " ",
