--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -14,34 +14,37 @@
 from swiftdeck.platform.speech import Callers, Workers
 from tests.gateway.case import SiteCase
 from tests.gateway.parts import SimCase, listed
+from tests.gateway.platform_cluster import MODEL, STORE, PlatformCluster
 from tests.gateway.test_ledger import LOST, ledger
 from tests.gateway.test_pool import ANSWER, PoolTest
-from tests.gateway.town import MODEL, STORE, PlatformTown
 from tests.platform.test_speech import ERRAND, SENT, exchange
 
 
 class SwapsTest(SiteCase):
     def loaded(self, do):
-        town = self.town(3)
-        do(town)
-        begun_s = town.world.now
-        town.operate(lambda: town.operator.name(MODEL, 2))
-        town.world.run(12)
+        cluster = self.cluster(3)
+        do(cluster)
+        begun_s = cluster.world.now
+        cluster.operate(lambda: cluster.operator.name(MODEL, 2))
+        cluster.world.run(12)
         return {
             item["worker"]: round(item["atMs"] / 1000 - begun_s, 2)
-            for item in town.records
+            for item in cluster.records
             if item["kind"] == "loaded"
         }
 
     def test_a_dead_worker_on_the_list_does_not_hold_up_new_weights(self):
         loaded = self.loaded(
-            lambda town: (town.world.kill("lm1"), town.world.at(4, lambda: town.forget("lm1")))
+            lambda cluster: (
+                cluster.world.kill("lm1"),
+                cluster.world.at(4, lambda: cluster.forget("lm1")),
+            )
         )
         self.assertEqual(len(loaded), 3, loaded)
         self.assertLess(max(loaded.values()), 5.5)
 
     def test_a_busy_worker_does_not_block_new_weights(self):
-        loaded = self.loaded(lambda town: setattr(town.up["lm1"], "busy", "other"))
+        loaded = self.loaded(lambda cluster: setattr(cluster.up["lm1"], "busy", "other"))
         self.assertEqual(len(loaded), 3, loaded)
 
 
@@ -128,17 +131,17 @@
 
     def test_a_status_that_would_promise_is_not_passed_on_from_a_worker_that_ran(self):
         with self.answering(503):
-            town = PlatformTown(3).start()
-            town.ask("r-once")
-            self.assertEqual(town.breaches(), {})
+            cluster = PlatformCluster(3).start()
+            cluster.ask("r-once")
+            self.assertEqual(cluster.breaches(), {})
 
     def test_a_failed_resumption_is_not_spliced_into_the_stream(self):
         with self.answering(404, "resumed"):
-            town = self.town(3)
+            cluster = self.cluster(3)
             for name in ("lm1", "lm2", "lm3", "lm4"):
-                town.up[name].quirk = "cut"
-            town.world.run(6)
-            self.assertNotIn("ORDER", town.breaches())
+                cluster.up[name].quirk = "cut"
+            cluster.world.run(6)
+            self.assertNotIn("ORDER", cluster.breaches())
 
 
 class SharesTest(SimCase):
@@ -154,18 +157,18 @@
 
 class FollowingTest(SiteCase):
     def test_a_store_is_up_again_for_others_though_its_follower_started_anew(self):
-        town = self.town(8, rate=6.0)
+        cluster = self.cluster(8, rate=6.0)
         owner = next(
             name
-            for name in town.routers()
-            if town.up[name].me.addr == town.up["router1"].admission.owner(STORE)
+            for name in cluster.routers()
+            if cluster.up[name].me.addr == cluster.up["router1"].admission.owner(STORE)
         )
-        town.world.kill("store")
-        town.world.run(3)
-        town.kill(owner, back_s=0.4)
-        town.start_store()
-        town.world.run(15)
-        nodes = [town.up[name] for name in town.routers()]
+        cluster.world.kill("store")
+        cluster.world.run(3)
+        cluster.kill(owner, back_s=0.4)
+        cluster.start_store()
+        cluster.world.run(15)
+        nodes = [cluster.up[name] for name in cluster.routers()]
         self.assertEqual(
             [node.kept.is_down(STORE, node.loop.time()) for node in nodes], [False] * len(nodes)
         )
@@ -173,13 +176,13 @@
 
 class WallsTest(SiteCase):
     def test_parts_of_a_tenant_from_before_it_was_set_apart_are_used_by_nobody(self):
-        town = PlatformTown(6).start()
-        town.ask("r-stream", tenant="pair7")
+        cluster = PlatformCluster(6).start()
+        cluster.ask("r-stream", tenant="pair7")
         customers = [{"name": "pair7", "api-keys": ["key-p1"], "urgency": 1, "isolated": True}]
-        town.operate(lambda: town.operator.patch(5, put={"customers": customers}))
-        town.world.run(2.5)
-        town.ask("r-stream", path="2", tenant="nowu640")
-        self.assertEqual(town.breaches(), {})
+        cluster.operate(lambda: cluster.operator.patch(5, put={"customers": customers}))
+        cluster.world.run(2.5)
+        cluster.ask("r-stream", path="2", tenant="nowu640")
+        self.assertEqual(cluster.breaches(), {})
 
 
 del SiteCase, SimCase
--- a/tests/gateway/test_ops.py
+++ b/tests/gateway/test_ops.py
@@ -3,18 +3,19 @@
 from swiftdeck.control.client import OperatorClient
 from swiftdeck.control.doctor import diagnose
 from tests.gateway.case import SiteCase
-from tests.gateway.town import PlatformTown
+from tests.gateway.platform_cluster import PlatformCluster
 
 
 class OpsTest(SiteCase):
     def test_a_core_leads_to_the_status_of_every_process(self):
-        town = PlatformTown(7).start()
-        town.ask("r-stream")
-        core = town.up[town.cores()[0]]
-        status, told = town.operate(lambda: OperatorClient(core.settings.http).statuses())
+        cluster = PlatformCluster(7).start()
+        cluster.ask("r-stream")
+        core = cluster.up[cluster.cores()[0]]
+        status, told = cluster.operate(lambda: OperatorClient(core.settings.http).statuses())
         self.assertEqual(status, 200)
         self.assertEqual(
-            set(told), {node.me.name for node in map(town.up.get, [*town.cores(), *town.routers()])}
+            set(told),
+            {node.me.name for node in map(cluster.up.get, [*cluster.cores(), *cluster.routers()])},
         )
         self.assertNotIn(None, told.values())
         self.assertEqual([each["code"] for each in diagnose(told) if each["code"] != 703], [])
--- a/tests/gateway/test_patience.py
+++ b/tests/gateway/test_patience.py
@@ -12,7 +12,7 @@
     silence_limit_s,
 )
 from tests.gateway.case import SiteCase
-from tests.gateway.town import PlatformTown
+from tests.gateway.platform_cluster import PlatformCluster
 
 
 class PatienceTest(unittest.TestCase):
@@ -35,26 +35,28 @@
 
     def cold(self):
         """A prompt that takes 0.65 s to read, while another worker answers short calls."""
-        town = PlatformTown(3, routers=1).start()
+        cluster = PlatformCluster(3, routers=1).start()
         parts = [("rules", 37_000), ("own", 3_000)]
-        town.beside(lambda: town._asking("r-resume", "1", parts=parts), "clients")
+        cluster.beside(lambda: cluster._asking("r-resume", "1", parts=parts), "clients")
         for at in range(8):
-            town.ask("r-resume", f"s{at}", parts=[("hello", 90), (f"s{at}", 300)], out=2)
-            town.world.run(0.05)
-        town.world.run(3)
-        return town
+            cluster.ask("r-resume", f"s{at}", parts=[("hello", 90), (f"s{at}", 300)], out=2)
+            cluster.world.run(0.05)
+        cluster.world.run(3)
+        return cluster
 
-    def readings(self, town):
+    def readings(self, cluster):
         """How often a worker read the long prompt, whole or in part."""
-        return len([item for item in town.records if item["kind"] == "read" and item["new"] > 5000])
+        return len(
+            [item for item in cluster.records if item["kind"] == "read" and item["new"] > 5000]
+        )
 
     def test_a_cold_prompt_is_read_by_one_worker(self):
-        town = self.cold()
-        self.assert_kept(town)
-        self.assertEqual(self.readings(town), 1)
+        cluster = self.cold()
+        self.assert_kept(cluster)
+        self.assertEqual(self.readings(cluster), 1)
 
     def test_without_time_for_its_reading_it_is_read_twice(self):
         removed = {"READING_SLACK": 0.0, "HUNG_LEAST_S": 0.0, "HUNG_SLACK": 0.0}
         with mock.patch.multiple(patience, **removed):
-            town = self.cold()
-        self.assertEqual(self.readings(town), 2)
+            cluster = self.cold()
+        self.assertEqual(self.readings(cluster), 2)
--- a/tests/platform/test_operator_door.py
+++ b/tests/platform/test_operator_door.py
@@ -12,11 +12,11 @@
     OperatorDoor,
 )
 from swiftdeck.sim.folder import SimFolder
-from swiftdeck.sim.town import Town
+from swiftdeck.sim.sim_cluster import SimCluster
 from tests.platform.test_configs import ROUTES, WHOLE, changed
 
 
-class DoorTown(Town):
+class OperatorCluster(SimCluster):
     """A site whose cores have the platform's door."""
 
     def start_core(self, name):
@@ -92,52 +92,57 @@
 
 
 class OperatorDoorCase(unittest.TestCase):
-    def town(self, seed=1, **more):
-        return DoorTown(seed, **({"routers": 2, "workers": 1, "ackWaitMs": 300} | more)).start()
+    def cluster(self, seed=1, **more):
+        return OperatorCluster(
+            seed, **({"routers": 2, "workers": 1, "ackWaitMs": 300} | more)
+        ).start()
 
     def test_the_first_configuration_its_repeat_and_what_is_read_back(self):
-        town = self.town()
-        self.assertEqual(town.shown(), {"version": 0, "routes": [], "backends": []})
-        for name in town.core_names():
-            self.assertEqual(town.send("PUT", WHOLE, 0, name), 200)
-            self.assertEqual(town.shown(name), WHOLE)
-        self.assertEqual(town.send("PUT", changed(["version"], 9), 7), 200)
-        self.assertEqual(town.send("PUT", WHOLE, 0), 200)
-        self.assertEqual(town.send("PUT", changed(["version"], 10), 7), 412)
-        self.assertEqual(town.send("PUT", changed(["version"], 9), 9), 400)
-        self.assertEqual(town.shown()["version"], 9)
+        cluster = self.cluster()
+        self.assertEqual(cluster.shown(), {"version": 0, "routes": [], "backends": []})
+        for name in cluster.core_names():
+            self.assertEqual(cluster.send("PUT", WHOLE, 0, name), 200)
+            self.assertEqual(cluster.shown(name), WHOLE)
+        self.assertEqual(cluster.send("PUT", changed(["version"], 9), 7), 200)
+        self.assertEqual(cluster.send("PUT", WHOLE, 0), 200)
+        self.assertEqual(cluster.send("PUT", changed(["version"], 10), 7), 412)
+        self.assertEqual(cluster.send("PUT", changed(["version"], 9), 9), 400)
+        self.assertEqual(cluster.shown()["version"], 9)
         self.assertEqual(
-            town.ask("GET", "/v1/config")[1]["document"]["edition"]["operator"]["number"], 9
+            cluster.ask("GET", "/v1/config")[1]["document"]["edition"]["operator"]["number"], 9
         )
 
     def test_items_are_put_and_removed(self):
-        town = self.town()
-        town.send("PUT", WHOLE, 0)
+        cluster = self.cluster()
+        cluster.send("PUT", WHOLE, 0)
         change = {
             "version": 12,
             "put-items": {"routes": [ROUTES[1] | {"timeout-ms": 9}]},
             "remove-names": {"routes": ["r-a9rgy35"]},
         }
-        self.assertEqual(town.send("PATCH", change, 6), 412)
-        for name in town.core_names():
-            self.assertEqual(town.send("PATCH", change, 7, name), 200)
+        self.assertEqual(cluster.send("PATCH", change, 6), 412)
+        for name in cluster.core_names():
+            self.assertEqual(cluster.send("PATCH", change, 7, name), 200)
         self.assertEqual(
-            town.shown(),
+            cluster.shown(),
             WHOLE | {"version": 12, "routes": [ROUTES[1] | {"timeout-ms": 9}, ROUTES[2]]},
         )
         self.assertTrue(
-            all(len(town.up[name].lease.held.document.paths) == 2 for name in town.router_names())
+            all(
+                len(cluster.up[name].lease.held.document.paths) == 2
+                for name in cluster.router_names()
+            )
         )
 
     def test_what_is_refused_changes_nothing(self):
-        town = self.town()
-        town.send("PUT", WHOLE, 0)
+        cluster = self.cluster()
+        cluster.send("PUT", WHOLE, 0)
         fresh = changed(["version"], 9)
         for base in (None, "", "x", "-1", "7.0", "9" * 5000):
-            self.assertEqual(town.send("PUT", fresh, base), 400, base)
+            self.assertEqual(cluster.send("PUT", fresh, base), 400, base)
         self.assertEqual(
             [
-                town.send("PUT", body, 7)
+                cluster.send("PUT", body, 7)
                 for body in (
                     changed(["routes", 0, "backend"], "gone", fresh),
                     changed(["routes", 0, "timeout-ms"], 0, fresh),
@@ -149,124 +154,135 @@
         )
         self.assertEqual(
             [
-                town.send("PATCH", body, 7)
+                cluster.send("PATCH", body, 7)
                 for body in ({}, {"version": 7}, {"version": 9, "put-items": 3})
             ],
             [400] * 3,
         )
         self.assertEqual(
-            (town.send("POST", fresh, 7), town.send("GET", None, path=WEIGHTS_PATH)), (405, 405)
+            (cluster.send("POST", fresh, 7), cluster.send("GET", None, path=WEIGHTS_PATH)),
+            (405, 405),
         )
-        self.assertEqual(town.ask("GET", "/v1/other")[0], 404)
-        self.assertEqual(town.shown(), WHOLE)
+        self.assertEqual(cluster.ask("GET", "/v1/other")[0], 404)
+        self.assertEqual(cluster.shown(), WHOLE)
 
     def test_of_two_operators_on_one_version_one_wins(self):
         for seed in range(1, 5):
-            town = self.town(seed)
-            town.send("PUT", WHOLE, 0)
-            names = town.core_names()
-            statuses = town.together(
+            cluster = self.cluster(seed)
+            cluster.send("PUT", WHOLE, 0)
+            names = cluster.core_names()
+            statuses = cluster.together(
                 ("PUT", changed(["version"], 9), 7, names[0]),
                 ("PUT", changed(["version"], 11), 7, names[2]),
                 ("PATCH", {"version": 10}, 7, names[1]),
             )
             self.assertEqual(sorted(statuses), [200, 412, 412])
-            self.assertEqual(town.shown()["version"], (9, 11, 10)[statuses.index(200)])
+            self.assertEqual(cluster.shown()["version"], (9, 11, 10)[statuses.index(200)])
 
     def test_weights_are_raised_and_never_lowered(self):
-        town = self.town()
-        town.send("PUT", WHOLE, 0)
+        cluster = self.cluster()
+        cluster.send("PUT", WHOLE, 0)
         for number, status in ((2, 200), (2, 200), (1, 200), (5, 200), (0, 400)):
             self.assertEqual(
-                town.insist("POST", {"model": "daka510000", "version": number}, path=WEIGHTS_PATH),
+                cluster.insist(
+                    "POST", {"model": "daka510000", "version": number}, path=WEIGHTS_PATH
+                ),
                 status,
             )
         self.assertEqual(
-            town.insist("POST", {"model": "nobody", "version": 3}, path=WEIGHTS_PATH), 400
+            cluster.insist("POST", {"model": "nobody", "version": 3}, path=WEIGHTS_PATH), 400
+        )
+        self.assertEqual(
+            cluster.up["core1"].chain.state.config.document.models["daka510000"].weights, "5"
         )
         self.assertEqual(
-            town.up["core1"].chain.state.config.document.models["daka510000"].weights, "5"
+            (cluster.shown(), cluster.send("PUT", changed(["version"], 9), 7)), (WHOLE, 200)
         )
-        self.assertEqual((town.shown(), town.send("PUT", changed(["version"], 9), 7)), (WHOLE, 200))
 
     def test_a_router_out_of_touch_holds_an_acknowledgement_up_no_longer_than_set(self):
-        town = self.town()
-        town.world.freeze("router1")
-        start_s = town.world.now
-        self.assertEqual(town.send("PUT", WHOLE, 0), 200)
-        self.assertLess(town.world.now - start_s, 0.45)
+        cluster = self.cluster()
+        cluster.world.freeze("router1")
+        start_s = cluster.world.now
+        self.assertEqual(cluster.send("PUT", WHOLE, 0), 200)
+        self.assertLess(cluster.world.now - start_s, 0.45)
 
     def test_a_new_tail_holds_an_acknowledgement_up_no_longer_than_set(self):
-        town = self.town()
-        town.world.freeze("router1")
-        town.world.kill(town.member(2))
-        town.world.run(until=lambda: not town.cores_serve(), limit_s=20)
-        town.world.run(until=town.cores_serve, limit_s=20)
-        start_s = town.world.now
-        self.assertEqual(town.send("PUT", WHOLE, 0), 200)
-        self.assertLess(town.world.now - start_s, 0.45)
+        cluster = self.cluster()
+        cluster.world.freeze("router1")
+        cluster.world.kill(cluster.member(2))
+        cluster.world.run(until=lambda: not cluster.cores_serve(), limit_s=20)
+        cluster.world.run(until=cluster.cores_serve, limit_s=20)
+        start_s = cluster.world.now
+        self.assertEqual(cluster.send("PUT", WHOLE, 0), 200)
+        self.assertLess(cluster.world.now - start_s, 0.45)
 
     def test_an_answer_comes_in_time_and_the_repeat_picks_the_outcome_up(self):
-        town = self.town(ackWaitMs=0)
-        town.world.freeze("router1")
-        start_s = town.world.now
-        got = town.ask("PUT", CONFIG_PATH, WHOLE, "core1", [("If-Match", "0")])
+        cluster = self.cluster(ackWaitMs=0)
+        cluster.world.freeze("router1")
+        start_s = cluster.world.now
+        got = cluster.ask("PUT", CONFIG_PATH, WHOLE, "core1", [("If-Match", "0")])
         self.assertEqual(got[0], 503)
-        self.assertAlmostEqual(town.world.now - start_s, ANSWER_WITHIN_MS / 1000, delta=0.05)
+        self.assertAlmostEqual(cluster.world.now - start_s, ANSWER_WITHIN_MS / 1000, delta=0.05)
         self.assertEqual(
-            (town.send("PUT", WHOLE, 0, "core1"), town.send("PUT", WHOLE, 0, "core2")), (503, 503)
+            (cluster.send("PUT", WHOLE, 0, "core1"), cluster.send("PUT", WHOLE, 0, "core2")),
+            (503, 503),
         )
-        self.assertEqual(town.insist("PUT", WHOLE, 0), 200)
-        self.assertEqual(town.shown(), WHOLE)
+        self.assertEqual(cluster.insist("PUT", WHOLE, 0), 200)
+        self.assertEqual(cluster.shown(), WHOLE)
 
     def test_any_core_may_be_killed_while_a_change_is_under_way(self):
         for seed, position in ((1, 0), (2, 1), (3, 2), (4, 0)):
-            town = self.town(seed)
-            town.send("PUT", WHOLE, 0)
-            killed = town.member(position)
-            door = next(name for name in town.core_names() if name != killed)
-            box = town.beside("PUT", changed(["version"], 9), 7, door)
-            town.world.run(0.004 * seed)
-            town.world.kill(killed)
-            town.folders[killed].lose_power()
-            town.world.run(until=lambda: bool(box), limit_s=3)
+            cluster = self.cluster(seed)
+            cluster.send("PUT", WHOLE, 0)
+            killed = cluster.member(position)
+            door = next(name for name in cluster.core_names() if name != killed)
+            box = cluster.beside("PUT", changed(["version"], 9), 7, door)
+            cluster.world.run(0.004 * seed)
+            cluster.world.kill(killed)
+            cluster.folders[killed].lose_power()
+            cluster.world.run(until=lambda: bool(box), limit_s=3)
             self.assertIn(box[0][0] if box[0] else 0, (0, 200, 503))
-            self.assertEqual(town.insist("PUT", changed(["version"], 9), 7), 200)
-            town.start_core(killed)
+            self.assertEqual(cluster.insist("PUT", changed(["version"], 9), 7), 200)
+            cluster.start_core(killed)
             self.assertEqual(
-                town.insist("POST", {"model": "daka510000", "version": 2}, path=WEIGHTS_PATH), 200
+                cluster.insist("POST", {"model": "daka510000", "version": 2}, path=WEIGHTS_PATH),
+                200,
             )
-            self.assertEqual(town.shown(), changed(["version"], 9))
+            self.assertEqual(cluster.shown(), changed(["version"], 9))
 
     def test_all_that_was_acknowledged_is_there_after_all_cores_lost_power(self):
-        town = self.town()
-        town.send("PUT", WHOLE, 0)
-        town.send("PATCH", {"version": 8, "remove-names": {"routes": ["r-a9rgy35"]}}, 7)
+        cluster = self.cluster()
+        cluster.send("PUT", WHOLE, 0)
+        cluster.send("PATCH", {"version": 8, "remove-names": {"routes": ["r-a9rgy35"]}}, 7)
         self.assertEqual(
-            town.insist("POST", {"model": "daka510000", "version": 4}, path=WEIGHTS_PATH), 200
+            cluster.insist("POST", {"model": "daka510000", "version": 4}, path=WEIGHTS_PATH), 200
         )
-        names = town.core_names()
+        names = cluster.core_names()
         for name in names:
-            town.world.kill(name)
+            cluster.world.kill(name)
         for name in names:
-            town.folders[name].lose_power(torn=5)
-            town.start_core(name)
-        town.world.run(until=town.cores_serve, limit_s=20)
+            cluster.folders[name].lose_power(torn=5)
+            cluster.start_core(name)
+        cluster.world.run(until=cluster.cores_serve, limit_s=20)
         self.assertEqual(
-            town.insist("PATCH", {"version": 8, "remove-names": {"routes": ["r-a9rgy35"]}}, 7), 200
+            cluster.insist("PATCH", {"version": 8, "remove-names": {"routes": ["r-a9rgy35"]}}, 7),
+            200,
         )
         for name in names:
-            self.assertEqual(town.shown(name), WHOLE | {"version": 8, "routes": ROUTES[1:]})
+            self.assertEqual(cluster.shown(name), WHOLE | {"version": 8, "routes": ROUTES[1:]})
         self.assertEqual(
-            town.up["core2"].chain.state.config.document.models["daka510000"].weights, "4"
+            cluster.up["core2"].chain.state.config.document.models["daka510000"].weights, "4"
         )
 
     def test_a_core_that_is_cut_off_says_that_it_is_not_able_now(self):
-        town = self.town()
-        for name in town.core_names()[1:]:
-            town.world.kill(name)
-        town.world.run(6)
+        cluster = self.cluster()
+        for name in cluster.core_names()[1:]:
+            cluster.world.kill(name)
+        cluster.world.run(6)
         self.assertEqual(
-            (town.send("PUT", WHOLE, 0, "core1"), town.ask("GET", CONFIG_PATH, None, "core1")[0]),
+            (
+                cluster.send("PUT", WHOLE, 0, "core1"),
+                cluster.ask("GET", CONFIG_PATH, None, "core1")[0],
+            ),
             (503, 503),
         )
--- a/tests/sim/test_storm.py
+++ b/tests/sim/test_storm.py
@@ -26,11 +26,11 @@
         class Rest(Storm):
             def closing(self):
                 super().closing()
-                self.town.caller.stopping = True
+                self.cluster.caller.stopping = True
 
         storm = Rest("mix", 5, 2.0, routers=3)
         self.assertEqual(storm.run()["breaches"], {})
-        records = storm.town.records
+        records = storm.cluster.records
         for end_ms in [item["atMs"] for item in records if item["kind"] == "closing"]:
             tries = [
                 (item["route"], item["atMs"] - end_ms) for item in records if item["kind"] == "try"
