--- a/swiftdeck/board/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The blackboard: tables, each with one owner that works through a queue of commands."""
--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -49,15 +49,15 @@
     """One core's part in agreeing on views; what it promised is on disk before it says so."""
 
     def __init__(
-        self, folder, mesh, addr, random, lease_ms=2000, board=None, founders=(), may_found=True
+        self, folder, mesh, addr, random, lease_ms=2000, telemetry=None, founders=(), may_found=True
     ):
         self.journal = Journal(folder, "agreement.log")
-        self.mesh, self.addr, self.random, self.lease_ms, self.board = (
+        self.mesh, self.addr, self.random, self.lease_ms, self.telemetry = (
             mesh,
             addr,
             random,
             lease_ms,
-            board,
+            telemetry,
         )
         self.core_id, self.decided, self.slot = "", View(), Slot()
         self.founders, self.may_found = list(founders), may_found
@@ -262,15 +262,15 @@
             try:
                 await self._keep({"k": "decided", "view": bytes(view)})
             except OSError:
-                self.board and self.board.put("disk", self.fault.name)
+                self.telemetry and self.telemetry.set_fact("disk", self.fault.name)
             is_next = view.number == self.decided.number + 1
             if not is_next or set(ids(self.decided.members)) - set(ids(view.members)):
                 self._wait_out(wait_ms if is_next else None)
             self.decided, self.slot = view, Slot()
             self.lease_until_s, self.learned_s = -1.0, self.loop.time()
-        if self.board:
-            self.board.count["views"] += 1
-            self.board.put(
+        if self.telemetry:
+            self.telemetry.count["views"] += 1
+            self.telemetry.set_fact(
                 "view", {"number": view.number, "members": [ref.addr for ref in view.members]}
             )
         for watch in self.watchers:
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -6,7 +6,6 @@
 import attrs
 import msgspec
 
-from swiftdeck.board.owner import Owner
 from swiftdeck.chain import log_records
 from swiftdeck.chain.config_updates import ConfigUpdates
 from swiftdeck.chain.router_leases import RouterLeases
@@ -29,6 +28,7 @@
     UNKNOWN_CHANGE,
     is_fault,
 )
+from swiftdeck.runtime.command_queue import CommandQueue
 from swiftdeck.wire.messages import (
     ChainEntry,
     CommitAsk,
@@ -71,7 +71,7 @@
         folder,
         mesh,
         agreement,
-        board,
+        telemetry,
         lease_ms=4000,
         rewrite_bytes=1 << 20,
         ack_wait_ms=0,
@@ -79,7 +79,7 @@
         **bounds,
     ):
         self.journal = Journal(folder, "chain.log")
-        self.mesh, self.agreement, self.board = mesh, agreement, board
+        self.mesh, self.agreement, self.telemetry = mesh, agreement, telemetry
         self.rewrite_bytes = rewrite_bytes
         self.leases = RouterLeases(lease_ms, ack_wait_ms)
         self.losses_borne = losses_borne
@@ -90,7 +90,7 @@
         self.fault, self.needs_copy, self.must_compare, self.is_partial = None, False, False, False
         self.complete_in = 0
         self.whole_in, self.last_in = 0, 0
-        self.transfer, self.updates = StateTransfer(self), ConfigUpdates(board)
+        self.transfer, self.updates = StateTransfer(self), ConfigUpdates(telemetry)
         self.incoming, self.committers = [], []
         self.unwritten = []
         self.weight_ages, self.core_calm_ms = WeightAges(), lambda: 0
@@ -112,7 +112,7 @@
         """Read what was kept, and go on passing entries down."""
         self.loop = asyncio.get_running_loop()
         self.leases.start()
-        self.owner, self.kick = Owner(), asyncio.Event()
+        self.owner, self.kick = CommandQueue(), asyncio.Event()
         self._load()
         if self.fault is None and not await self._sync():
             self.needs_copy = True
@@ -335,7 +335,7 @@
         is_same = self.agreement.decided.number == refusal.view
         if is_same and await self.is_committed(refusal.serial):
             return refusal.fault
-        self.board.count["refusalsWithheld"] += 1
+        self.telemetry.count["refusalsWithheld"] += 1
         return NOT_HEAD.because("what speaks against the change is not committed")
 
     async def is_committed(self, serial):
@@ -404,7 +404,7 @@
 
     def _fail(self, error):
         self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).because(error)
-        self.board.put("disk", self.fault.name)
+        self.telemetry.set_fact("disk", self.fault.name)
 
     async def _sync(self):
         try:
@@ -445,7 +445,7 @@
         await self.journal.rewrite(records)
         self._mark_synced(serial)
         self.rewrite_bytes = max(1 << 20, 4 * len(data))
-        self.board.count["rewrites"] += 1
+        self.telemetry.count["rewrites"] += 1
 
     async def heal(self):
         """After a fault of the disk: try to write the whole state anew."""
@@ -453,7 +453,7 @@
             try:
                 await self.owner.send(self._rewrite)
                 self.fault = None
-                self.board.put("disk", "good")
+                self.telemetry.set_fact("disk", "good")
             except OSError as error:
                 self._fail(error)
 
@@ -461,8 +461,8 @@
         try:
             is_sound = self.fault is not None or self.journal.is_sound()
             if not is_sound:
-                self.board.count["sweepsMended"] += 1
-                self.board.note(
+                self.telemetry.count["sweepsMended"] += 1
+                self.telemetry.log_event(
                     "sweep found damage on disk, writes the file anew", file=self.journal.name
                 )
                 await self._rewrite()
@@ -600,8 +600,8 @@
         self._mark_synced(serial)
         self.fault, self.needs_copy = None, False
         self.transfer.snapshots.clear()
-        self.board.count["copies"] += 1
-        self.board.put("disk", "good")
+        self.telemetry.count["copies"] += 1
+        self.telemetry.set_fact("disk", "good")
         return None
 
     async def copy_from(self, addr, view):
--- a/swiftdeck/chain/config_updates.py
+++ b/swiftdeck/chain/config_updates.py
@@ -15,8 +15,8 @@
 class ConfigUpdates:
     """Changes since a version, or the whole text; a large one is compressed, and kept for the next router."""
 
-    def __init__(self, board):
-        self.board = board
+    def __init__(self, telemetry):
+        self.telemetry = telemetry
         self.packed: dict[tuple, bytes] = {}
 
     def add(self, told: LeaseReturn, ask, state, durable):
@@ -26,7 +26,7 @@
             return
         deltas = state.since(ask.held, ask.digest, durable.version) if ask.digest else None
         told.digest = digest
-        self.board.count["wholesSent"] += not deltas
+        self.telemetry.count["wholesSent"] += not deltas
         parts = deltas or [durable.config.bytes()]
         if ask.takes_packed and sum(map(len, parts)) >= PACK_FROM_BYTES:
             key = (ask.digest if deltas else b"", bool(deltas), digest)
--- a/swiftdeck/chain/departure.py
+++ b/swiftdeck/chain/departure.py
@@ -12,9 +12,9 @@
 class Departure:
     """Moves a leaving core's place and vote to the others; a core that nobody can replace keeps both and just stops."""
 
-    def __init__(self, mesh, agreement, chain, view_manager, board, losses_borne=1):
+    def __init__(self, mesh, agreement, chain, view_manager, telemetry, losses_borne=1):
         self.mesh, self.agreement, self.chain = mesh, agreement, chain
-        self.view_manager, self.board, self.losses_borne = view_manager, board, losses_borne
+        self.view_manager, self.telemetry, self.losses_borne = view_manager, telemetry, losses_borne
         mesh.on(LeaveAsk, self.on_leave)
 
     async def leave(self, limit_s) -> bool:
@@ -33,7 +33,7 @@
                 break
             await asyncio.sleep(LOOK_S)
         if self._is_out():
-            self.board.note("has left the chain", view=self.agreement.decided.number)
+            self.telemetry.log_event("has left the chain", view=self.agreement.decided.number)
             await asyncio.sleep(LINGER_S)
         return self._is_out()
 
--- a/swiftdeck/chain/state_transfer.py
+++ b/swiftdeck/chain/state_transfer.py
@@ -61,7 +61,7 @@
         offset = ask.offset if found.digest == ask.digest else 0
         most = min(max(ask.most, LEAST_BATCH_BYTES), BATCH_BYTES)
         batch = found.data[offset : offset + most]
-        self.chain.board.count["copyBytesSent"] += len(batch)
+        self.chain.telemetry.count["copyBytesSent"] += len(batch)
         return CopyReturn(
             serial=found.serial,
             view=found.view,
@@ -167,7 +167,7 @@
             and (got.view != chain.agreement.decided.number or chain.serial != above)
         ):
             return OLD_VIEW.because(f"{got.serial} entries there, {chain.serial} here")
-        chain.board.count["copiesFromBehind"] += above >= 0
+        chain.telemetry.count["copiesFromBehind"] += above >= 0
         return await self._install(got)
 
     async def _receive(self, addr):
--- a/swiftdeck/chain/tail_queries.py
+++ b/swiftdeck/chain/tail_queries.py
@@ -50,7 +50,7 @@
         change = state.outcomes.find(change_id)
         if change and self.leases.is_in_force(change.version):
             return OutcomeReturn(version=change.version)
-        self.chain.board.count["acksHeld"] += bool(change)
+        self.chain.telemetry.count["acksHeld"] += bool(change)
         return None
 
     def _confirmed_by_s(self, change_id: str) -> float:
--- a/swiftdeck/chain/view_manager.py
+++ b/swiftdeck/chain/view_manager.py
@@ -23,7 +23,7 @@
         membership,
         agreement,
         chain,
-        board,
+        telemetry,
         random,
         cores=3,
         round_ms=300,
@@ -36,7 +36,7 @@
             agreement,
             chain,
         )
-        self.board, self.random, self.cores, self.round_ms = board, random, cores, round_ms
+        self.telemetry, self.random, self.cores, self.round_ms = telemetry, random, cores, round_ms
         self.losses_borne = losses_borne
         self.said, self.bad_since_s, self.silent_since_s, self.accepted_since_s = {}, {}, {}, None
         self.founders_since_s, self.is_leaving = None, False
@@ -169,7 +169,7 @@
         kept = [ref for ref in view.members if ref.core_id not in lost]
         if lost and len(kept) < len(view.members):
             if self._may_drop(lost, kept, view, now_s):
-                self.board.note("drops members", lost=sorted(lost))
+                self.telemetry.log_event("drops members", lost=sorted(lost))
                 await self.agreement.propose(
                     View(number=view.number + 1, members=kept, voters=view.voters)
                 )
--- a/swiftdeck/control/archive.py
+++ b/swiftdeck/control/archive.py
@@ -24,12 +24,12 @@
     A failure is counted and the version left out; nothing depends on the archive.
     """
 
-    def __init__(self, path, chain, change_writer, board, wall=time.time):
-        self.path, self.chain, self.change_writer, self.board, self.wall = (
+    def __init__(self, path, chain, change_writer, telemetry, wall=time.time):
+        self.path, self.chain, self.change_writer, self.telemetry, self.wall = (
             path,
             chain,
             change_writer,
-            board,
+            telemetry,
             wall,
         )
         self.waiting, self.pool = deque(maxlen=1000), ThreadPoolExecutor(1)
@@ -60,8 +60,8 @@
         try:
             return await asyncio.get_running_loop().run_in_executor(self.pool, work, *args)
         except Exception as error:
-            self.board.count["archiveFailures"] += 1
-            self.board.put("archive", repr(error)[:200])
+            self.telemetry.count["archiveFailures"] += 1
+            self.telemetry.set_fact("archive", repr(error)[:200])
             return None
 
     def _repo(self):
@@ -90,7 +90,7 @@
             for each in (blob, tree, commit):
                 repo.object_store.add_object(each)
             repo.refs[REF] = commit.id
-        self.board.count["archived"] += 1
+        self.telemetry.count["archived"] += 1
 
     def log(self, most=200):
         """The newest versions with author, change id and time."""
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -33,7 +33,7 @@
             settings.inner,
             random,
             settings.viewLicenceMs,
-            self.board,
+            self.telemetry,
             settings.founders,
             settings.mayFound,
         )
@@ -41,7 +41,7 @@
             folder,
             self.mesh,
             self.agreement,
-            self.board,
+            self.telemetry,
             settings.configLicenceMs,
             ack_wait_ms=settings.ackWaitMs,
             losses_borne=settings.lossesBorne,
@@ -59,7 +59,7 @@
             self.membership,
             self.agreement,
             self.chain,
-            self.board,
+            self.telemetry,
             random,
             settings.cores,
             losses_borne=settings.lossesBorne,
@@ -69,12 +69,12 @@
             self.agreement,
             self.chain,
             self.view_manager,
-            self.board,
+            self.telemetry,
             settings.lossesBorne,
         )
         path = getattr(folder, "path", None)
         self.archive = (
-            Archive(str(path / "history"), self.chain, self.change_writer, self.board)
+            Archive(str(path / "history"), self.chain, self.change_writer, self.telemetry)
             if path and settings.archive
             else None
         )
@@ -82,7 +82,7 @@
         self.http = HttpServer(
             self.operators.handle,
             settings.bodyBytes * 4,
-            note=self.board.note,
+            note=self.telemetry.log_event,
             streams=(b"/v1/changes",),
         )
         self.agreement.watchers.append(self.on_view)
@@ -91,7 +91,7 @@
         """Come up with what the disk has, and join the fleet."""
         fault = await self.agreement.start()
         if is_fault(fault) and fault.code == DAMAGED.code:
-            self.board.note("agreement damaged, begins as a new core", reason=fault.reason)
+            self.telemetry.log_event("agreement damaged, begins as a new core", reason=fault.reason)
             await self.agreement.journal.rewrite([])
             self.agreement.may_found = False
             fault = await self.agreement.start()
@@ -111,7 +111,9 @@
             self.archive.start()
         ip, _, port = self.settings.http.rpartition(":")
         await self.http.start(ip, int(port))
-        self.board.note("core started", core_id=self.agreement.core_id, addr=self.settings.inner)
+        self.telemetry.log_event(
+            "core started", core_id=self.agreement.core_id, addr=self.settings.inner
+        )
         return None
 
     def on_view(self, view):
--- a/swiftdeck/control/node.py
+++ b/swiftdeck/control/node.py
@@ -1,10 +1,10 @@
-"""What every process of the fleet has: mesh, neighbours, news, board."""
+"""What every process of the fleet has: mesh, neighbours, news, telemetry."""
 
 import asyncio
 
-from swiftdeck.board.board import Board
 from swiftdeck.member.membership import STATES, Membership
 from swiftdeck.member.news import NewsTable
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import Member
 
@@ -14,8 +14,8 @@
 
     def __init__(self, settings, role, random, log=None):
         self.settings, self.random = settings, random
-        self.board = Board(log)
-        self.mesh = Mesh(settings.inner, self.board.note)
+        self.telemetry = Telemetry(log)
+        self.mesh = Mesh(settings.inner, self.telemetry.log_event)
         self.me = Member(
             addr=settings.inner,
             name=settings.name,
@@ -31,7 +31,7 @@
             random,
             settings.probeMs,
             settings.suspectMs,
-            self.board,
+            self.telemetry,
         )
         self.news = NewsTable(self.mesh, self.membership)
 
@@ -43,7 +43,7 @@
 
     def counters(self):
         """All counters of the process by name."""
-        return dict(self.board.count + self.mesh.count)
+        return dict(self.telemetry.count + self.mesh.count)
 
     def task_count(self):
         """How many tasks the loop has."""
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -17,7 +17,7 @@
         key = self.core.settings.operatorKey
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
             return BAD_OPERATOR
-        self.core.board.count["operatorExchanges"] += 1
+        self.core.telemetry.count["operatorExchanges"] += 1
         path, method = exchange.path.rstrip("/"), exchange.method
         if path == "/v1/config":
             return await self._config(exchange, method)
@@ -78,10 +78,10 @@
             }
             got = await self.core.change_writer.write(asked["id"], entry)
             if not is_fault(got):
-                self.core.board.count["changesTaken"] += 1
+                self.core.telemetry.count["changesTaken"] += 1
                 return 200, {"code": 0, "changeId": asked["id"], "version": got.version}, []
             fault = got
-        self.core.board.count[f"faults.{fault.code}"] += 1
+        self.core.telemetry.count[f"faults.{fault.code}"] += 1
         told = fault.as_body()
         if isinstance(asked, dict) and isinstance(asked.get("id"), str):
             told["changeId"] = asked["id"]
--- a/swiftdeck/duty/duty.py
+++ b/swiftdeck/duty/duty.py
@@ -14,7 +14,7 @@
     one stood for twice: a release of the first time that comes late would free the second's votes.
     """
 
-    def __init__(self, name, me, mesh, news, cluster_map, random, lease_ms=3000, board=None):
+    def __init__(self, name, me, mesh, news, cluster_map, random, lease_ms=3000, telemetry=None):
         self.name, self.me, self.mesh, self.news, self.cluster_map = (
             name,
             me,
@@ -22,7 +22,7 @@
             news,
             cluster_map,
         )
-        self.random, self.lease_ms, self.board = random, lease_ms, board
+        self.random, self.lease_ms, self.telemetry = random, lease_ms, telemetry
         self.holder = f"{me.name}/{me.incarnation:x}"
         self.term, self.until_s, self.seen_term = 0, -1.0, 0
         self.wants = True
@@ -56,8 +56,8 @@
                 term,
                 json.dumps({"addr": self.me.addr, "name": self.me.name}).encode(),
             )
-            if self.board:
-                self.board.put(f"duty.{self.name}", term)
+            if self.telemetry:
+                self.telemetry.set_fact(f"duty.{self.name}", term)
             return
         left_ms = max((vote.left_ms for vote in votes), default=0)
         await self._ask(term, release=True)
--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -3,9 +3,9 @@
 import asyncio
 import math
 
-from swiftdeck.board.beat import next_beat
 from swiftdeck.config.policy import ALL_ON
 from swiftdeck.gateway.places import FILL, Owners, PlaceBooks, Wish
+from swiftdeck.runtime.ticks import next_tick
 from swiftdeck.wire.messages import LoadNews, PlaceAsk, PlaceEnd, PlaceReturn
 
 PATIENCE_MS = 120
@@ -22,18 +22,18 @@
         mesh,
         membership,
         worker_registry,
-        board,
+        telemetry,
         memory_of,
         broadcast,
         policy=ALL_ON,
         on_read=lambda worker, salt, parts, sizes, is_cold: None,
     ):
-        self.me, self.mesh, self.membership, self.worker_registry, self.board = (
+        self.me, self.mesh, self.membership, self.worker_registry, self.telemetry = (
             me,
             mesh,
             membership,
             worker_registry,
-            board,
+            telemetry,
         )
         self.memory_of, self.broadcast, self.on_read = memory_of, broadcast, on_read
         self.owners, self.asked, self.policy = Owners(), {}, policy
@@ -45,7 +45,7 @@
         """Keep books."""
         self.loop = asyncio.get_running_loop()
         self.books = PlaceBooks(
-            self.board, None, self.memory_of, pace_of=self.pace_of, policy=self.policy
+            self.telemetry, None, self.memory_of, pace_of=self.pace_of, policy=self.policy
         )
         self.books.on_load = self.tell_load
         self.books.on_reading = self.on_reading
@@ -105,7 +105,7 @@
 
     def _unasked(self, wish):
         """The owner is silent: this router's share of K stands until another one owns the book."""
-        self.board.count["placesUnasked"] += 1
+        self.telemetry.count["placesUnasked"] += 1
         worker = self.worker_registry.workers.get(wish.worker)
         share = max(
             1,
@@ -155,7 +155,7 @@
         unread = min(int(self.books.unread_at(wish.worker)), UNREAD_MOST)
         is_start = not self.books.is_open(wish)
         if self.policy.declines and is_start and unread > unread_most:
-            self.board.count["placesDeclined"] += 1
+            self.telemetry.count["placesDeclined"] += 1
             return PlaceReturn(is_busy=True, unread=unread)
         granted = await self.books.ask(wish, wait_ms)
         if granted and salt:
@@ -193,7 +193,7 @@
 
     async def _ticking(self):
         while True:
-            await next_beat(0.25)
+            await next_tick(0.25)
             routers = self.routers()
             self.books.tick(
                 {
--- a/swiftdeck/gateway/broadcast.py
+++ b/swiftdeck/gateway/broadcast.py
@@ -59,8 +59,8 @@
     where the first one doesn't answer.
     """
 
-    def __init__(self, me, mesh, membership, board):
-        self.me, self.mesh, self.membership, self.board = me, mesh, membership, board
+    def __init__(self, me, mesh, membership, telemetry):
+        self.me, self.mesh, self.membership, self.telemetry = me, mesh, membership, telemetry
         self.handlers, self.own, self.tasks = {}, None, set()
         self.for_zone, self.for_relays = {}, {}
         mesh.on(Bulletin, self.on_bulletin)
@@ -117,7 +117,7 @@
             bulletin = Bulletin(sections=sections, reach=reach)
             if not is_fault(await self.mesh.ask(relay, bulletin, ASK_MS)):
                 return
-            self.board.count["bulletinsUnheard"] += 1
+            self.telemetry.count["bulletinsUnheard"] += 1
             await asyncio.sleep(PAUSE_S)
 
     def _pass_on(self, sections, reach):
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from swiftdeck.board.beat import next_beat
 from swiftdeck.fault import is_fault
+from swiftdeck.runtime.ticks import next_tick
 from swiftdeck.wire.messages import KeptNews
 
 WAIT_MS, EXPECTED_S, DOWN_S, REST_S, LEAST_TOKENS, KNOWN_MOST = 1000, 2.0, 4.0, 0.2, 1024, 20000
@@ -15,10 +15,10 @@
 class Following:
     """One follower for each cache in the whole fleet; after a gap what was known is forgotten."""
 
-    def __init__(self, admission, broadcast, kept, source, board):
+    def __init__(self, admission, broadcast, kept, source, telemetry):
         self.owned_s = {}
         self.admission, self.broadcast = admission, broadcast
-        self.kept, self.source, self.board = kept, source, board
+        self.kept, self.source, self.telemetry = kept, source, telemetry
         self.tasks, self.shared, self.stores = {}, {}, []
         broadcast.on(KeptNews, self.on_news)
 
@@ -69,7 +69,7 @@
             ]:
                 self.kept.forget(holder)
             self.kept.lapse(asyncio.get_running_loop().time())
-            await next_beat(0.5)
+            await next_tick(0.5)
 
     async def _follow(self, name, addr):
         follower = self.source.follower(addr)
@@ -83,7 +83,7 @@
         while True:
             got = await follower.reports(since, WAIT_MS)
             if is_fault(got):
-                self.board.count["reportsFailed"] += 1
+                self.telemetry.count["reportsFailed"] += 1
                 self._tell(name, [], True, True)
                 await asyncio.sleep(0.5)
                 continue
@@ -93,7 +93,7 @@
                 continue
             is_reset = epoch not in (None, got.epoch) or got.next_number < since
             if got.lost or is_reset:
-                self.board.count["reportGaps"] += 1
+                self.telemetry.count["reportGaps"] += 1
             if is_reset and since:
                 since, epoch = 0, got.epoch
                 self._tell(name, [], True)
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -4,7 +4,6 @@
 import math
 from collections import Counter
 
-from swiftdeck.board.beat import next_beat
 from swiftdeck.chain.cluster_map import ClusterMap
 from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
@@ -33,6 +32,7 @@
 from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.http.drain import Drain, DrainTimes, OpenRequests
 from swiftdeck.http.server import HttpServer
+from swiftdeck.runtime.ticks import next_tick
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.wire.messages import SwapNews, WorkerNews
 
@@ -55,14 +55,14 @@
         self.callers_speak, self.workers_speak, lists, caches = dialects
         self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
         self.lease = ConfigLease(
-            self.me, self.mesh, self.membership, self.cluster_map, self.board, settings.renewMs
+            self.me, self.mesh, self.membership, self.cluster_map, self.telemetry, settings.renewMs
         )
         self.lease.peeks = True
         self.old_weights = OldWeights(
             self.lease.weight_ages, settings.oldWeightsMs / 1000, settings.weightsBoundMs / 1000
         )
         self.worker_registry, self.kept = WorkerRegistry(), KeptTable()
-        self.judge = Judge(self.worker_registry, self.board)
+        self.judge = Judge(self.worker_registry, self.telemetry)
         self.policy = settings.policy
         self.judge.is_on = self.policy.judge
         if self.policy.sharing:
@@ -70,20 +70,22 @@
         self.placing = Placing(
             settings.zone, self.judge, self.kept, random, settings.episodeTokens, self.policy
         )
-        self.broadcast = Broadcast(self.me, self.mesh, self.membership, self.board)
+        self.broadcast = Broadcast(self.me, self.mesh, self.membership, self.telemetry)
         self.admission = Admission(
             self.me,
             self.mesh,
             self.membership,
             self.worker_registry,
-            self.board,
+            self.telemetry,
             self.memory_of,
             self.broadcast,
             self.policy,
         )
-        self.following = Following(self.admission, self.broadcast, self.kept, caches, self.board)
+        self.following = Following(
+            self.admission, self.broadcast, self.kept, caches, self.telemetry
+        )
         self.admission.on_read = self.following.will_keep
-        self.pool = Pool(self.board, settings.connectMs)
+        self.pool = Pool(self.telemetry, settings.connectMs)
         self.pool.most = self.connections_most
         if self.policy.connections:
             self.placing.has_connection = self.pool.has_idle
@@ -93,7 +95,7 @@
             self.membership,
             lists,
             self.worker_registry,
-            self.board,
+            self.telemetry,
             settings.listMs,
         )
         self.budget = BudgetShare(
@@ -105,9 +107,11 @@
         )
         self.drain = Drain(DrainTimes(settings.leaveMs / 1000, settings.stopMs / 1000))
         self.http = HttpServer(
-            self.handle, settings.bodyBytes, note=self.board.note, drain=self.drain
+            self.handle, settings.bodyBytes, note=self.telemetry.log_event, drain=self.drain
+        )
+        self.ops = (
+            HttpServer(self.operate, note=self.telemetry.log_event) if settings.opsHttp else None
         )
-        self.ops = HttpServer(self.operate, note=self.board.note) if settings.opsHttp else None
         self.routes, self.tenants = None, {}
         self.requests, self.lost_cores_s = OpenRequests(self.drain), -math.inf
         self.worker_registry.watchers.append(lambda: self.pool.follow(self.worker_registry.workers))
@@ -127,15 +131,17 @@
         if self.ops:
             ip, _, port = self.settings.opsHttp.rpartition(":")
             await self.ops.start(ip, int(port))
-        self.board.note("gateway started", addr=self.settings.inner, http=self.settings.http)
+        self.telemetry.log_event(
+            "gateway started", addr=self.settings.inner, http=self.settings.http
+        )
 
     async def stop(self):
         """Turn unready, take requests a little longer, finish what was taken, answer the rest, hand back, leave."""
         self.requests.begin_drain(self.loop.time())
-        self.board.note("gateway stops", open=self.open)
+        self.telemetry.log_event("gateway stops", open=self.open)
         await asyncio.sleep(self.drain.admission_end_s - self.loop.time())
         self.http.close_resting()
-        self.board.note("admission ended", open=self.open)
+        self.telemetry.log_event("admission ended", open=self.open)
         answers_s = self.drain.times.after_work_s * ANSWERS_SHARE
         while self.open and self.loop.time() < self.drain.work_end_s + answers_s:
             await asyncio.sleep(LOOK_S)
@@ -144,7 +150,7 @@
         await self.lease.hand_back(self._hand_back_ms())
         self.membership.leave()
         await asyncio.sleep(LOOK_S)
-        self.board.note("gateway stopped", open=self.open, **self.counters())
+        self.telemetry.log_event("gateway stopped", open=self.open, **self.counters())
         self.mesh.close()
 
     def _hand_back_ms(self):
@@ -175,7 +181,7 @@
             self.http.slow_ms, self.http.idleMs = limits.head_wait_ms, limits.idle_ms
         self.placing.follow(document.services)
         self.following.stores = list(self.placing.stores)
-        self.board.put(
+        self.telemetry.set_fact(
             "edition", document.edition[OPERATOR].number if OPERATOR in document.edition else 0
         )
 
@@ -249,7 +255,7 @@
                 self.lost_cores_s = now_s
             changed_s = max(self.lease.core_changed_s, self.lost_cores_s)
             self.old_weights.follow_core(changed_s, self.lease.core_seen_s)
-            await next_beat(0.25)
+            await next_tick(0.25)
 
     def version(self, model: str, worker) -> int:
         """The version of the weights on which a request should run there, 0 where none is known."""
@@ -259,7 +265,7 @@
         """Count a request that is sent on older weights, and the highest age of a newer naming at which one was."""
         outdated_s = self.old_weights.ages.outdated_s(model, version) if version else None
         if outdated_s is not None:
-            count, age_ms = self.board.count, int((self.loop.time() - outdated_s) * 1000)
+            count, age_ms = self.telemetry.count, int((self.loop.time() - outdated_s) * 1000)
             count["oldWeightsSent"] += 1
             count["oldWeightsAgeMostMs"] = max(count["oldWeightsAgeMostMs"], age_ms)
 
@@ -272,8 +278,8 @@
         """
         late_s = sent_s - self.old_weights.bound_until_s(model, version) if version else 0.0
         if late_s > 0 and not self._has_lost_cores():
-            self.board.count[OLD_WEIGHTS] += 1
-            self.board.note(
+            self.telemetry.count[OLD_WEIGHTS] += 1
+            self.telemetry.log_event(
                 "old weights", what=what, model=model, version=version, lateMs=int(late_s * 1000)
             )
 
@@ -295,7 +301,7 @@
     def logs_call(self, is_long: bool) -> bool:
         """Whether a call gets a line in the log: a drawn share of the long ones."""
         share = self.settings.longCallsLogged
-        return is_long and self.board.log is not None and self.random.random() < share
+        return is_long and self.telemetry.log is not None and self.random.random() < share
 
     def seen(self, request, worker, salt, is_kept):
         """A request was answered whole."""
@@ -325,7 +331,7 @@
 
     async def handle(self, exchange):
         """One request of a client."""
-        start_s, count = self.loop.time(), self.board.count
+        start_s, count = self.loop.time(), self.telemetry.count
         count["calls"] += 1
         request = self.callers_speak.read(exchange)
         if is_fault(request):
@@ -358,7 +364,7 @@
 
     async def refuse(self, exchange, fault, request):
         """The final answer of a request that is given up."""
-        self.board.count[f"refused.{fault.code}"] += 1
+        self.telemetry.count[f"refused.{fault.code}"] += 1
         status, headers, body = self.callers_speak.refusal(fault, request)
         await exchange.whole(status, headers, body)
 
--- a/swiftdeck/gateway/health.py
+++ b/swiftdeck/gateway/health.py
@@ -11,11 +11,11 @@
     Never more than half of a service's workers are shunned, so that the rest isn't drowned.
     """
 
-    def __init__(self, worker_registry, board):
+    def __init__(self, worker_registry, telemetry):
         self.is_on = True
-        self.worker_registry, self.board, self.on_trouble = (
+        self.worker_registry, self.telemetry, self.on_trouble = (
             worker_registry,
-            board,
+            telemetry,
             lambda worker, for_ms: None,
         )
 
@@ -43,7 +43,7 @@
         """Leave a worker alone for a while."""
         if not self.is_on:
             return
-        self.board.count["workersShunned"] += 1
+        self.telemetry.count["workersShunned"] += 1
         worker.shunned_until_s = max(worker.shunned_until_s, self._now() + for_s)
 
     def good(self, workers):
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -33,18 +33,18 @@
         membership,
         source,
         worker_registry,
-        board,
+        telemetry,
         every_ms=600,
         rank_ms=350,
         reads=True,
     ):
-        self.me, self.mesh, self.membership, self.source, self.worker_registry, self.board = (
+        self.me, self.mesh, self.membership, self.source, self.worker_registry, self.telemetry = (
             me,
             mesh,
             membership,
             source,
             worker_registry,
-            board,
+            telemetry,
         )
         self.every_ms, self.rank_ms, self.reads = every_ms, rank_ms, reads
         self.read_s, self.digest, self.entries = -1e9, b"", {}
@@ -82,12 +82,12 @@
             asked_s, number = self.loop.time(), self.number + 1
             got = await self.source.read()
             if is_fault(got):
-                self.board.count["listsFailed"] += 1
+                self.telemetry.count["listsFailed"] += 1
                 await asyncio.sleep(0.3)
                 continue
-            self.board.count["listsRead"] += 1
+            self.telemetry.count["listsRead"] += 1
             if number < self.number:
-                self.board.count["listsOutdated"] += 1
+                self.telemetry.count["listsOutdated"] += 1
                 continue
             known = self.entries
             fresh = {each.name: each for each in sorted(got, key=lambda each: each.name)}
@@ -119,7 +119,7 @@
     def on_news(self, news, sender):
         """Take a reading of the list from the router that reads it; one that is outdated is told so."""
         if news.number < self.number:
-            self.board.count["listsOutdated"] += 1
+            self.telemetry.count["listsOutdated"] += 1
             self._wish(sender)
             return
         asked_s = self.loop.time() - news.age_ms / 1000
--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        board,
+        telemetry,
         decisions,
         memory_of,
         pause_ms=400,
@@ -48,7 +48,7 @@
         policy=ALL_ON,
     ):
         self.policy = policy
-        self.board, self.decisions, self.memory_of = board, decisions, memory_of
+        self.telemetry, self.decisions, self.memory_of = telemetry, decisions, memory_of
         self.pause_ms, self.line_most = pause_ms, line_most
         self.books, self.tokens, self.calls, self.waiting, self.left = {}, {}, {}, {}, {}
         self.sizes, self.unread, self.alone, self.pace_of = {}, {}, {}, pace_of
@@ -93,7 +93,7 @@
             self._begin(book, wish)
             return True
         if len(book.line) >= self.line_most or wait_ms <= 0 or not self.policy.lines:
-            self.board.count["linesFull"] += 1
+            self.telemetry.count["linesFull"] += 1
             return False
         return await self._wait(book, wish, wait_ms)
 
@@ -106,7 +106,7 @@
         )
         book.line.add(waiting)
         self.waiting[wish.call] = waiting
-        self.board.count["waits"] += 1
+        self.telemetry.count["waits"] += 1
         try:
             await asyncio.wait([waiting.done], timeout=wait_ms / 1000)
         finally:
@@ -114,13 +114,13 @@
             if not waiting.done.done() or waiting.done.cancelled():
                 book.line.remove(waiting)
                 waiting.done.cancel()
-        self.board.count["waitedOut"] += waiting.done.cancelled()
+        self.telemetry.count["waitedOut"] += waiting.done.cancelled()
         return not waiting.done.cancelled()
 
     def _begin(self, book, wish):
         episode = Conversation(wish.episode, wish.tenant, "", book.worker, "")
         book.entry(episode)
-        self.board.count["starts"] += 1
+        self.telemetry.count["starts"] += 1
         self._run(book, episode, wish)
 
     def _run(self, book, episode, wish):
@@ -204,14 +204,14 @@
                 del episode.running[call]
                 self.calls.pop(call, None)
                 self.alone.pop(call, None)
-                self.board.count["placesReclaimed"] += 1
+                self.telemetry.count["placesReclaimed"] += 1
                 episode.idle_since_s = now_s
         self._end_idle(book, 0 if len(book.line) else self.pause_ms)
 
     def _end_idle(self, book, pause_ms):
         for episode in book.ended(self._now(), pause_ms):
             self._leave(book, episode)
-            self.board.count["episodesEnded"] += 1
+            self.telemetry.count["episodesEnded"] += 1
 
     def _leave(self, book, episode):
         book.leave(episode)
--- a/swiftdeck/gateway/pool.py
+++ b/swiftdeck/gateway/pool.py
@@ -30,7 +30,7 @@
     def data_received(self, data):
         """Take bytes of the answer that is due; others spoil the connection."""
         if not self.is_busy:
-            self.pool.board.count["surplusBytes"] += 1
+            self.pool.telemetry.count["surplusBytes"] += 1
             return self.close()
         super().data_received(data)
 
@@ -105,8 +105,8 @@
 class Pool:
     """Connections by the worker's address; a doubtful one is closed."""
 
-    def __init__(self, board, connect_ms=300):
-        self.board, self.connect_ms = board, connect_ms
+    def __init__(self, telemetry, connect_ms=300):
+        self.telemetry, self.connect_ms = telemetry, connect_ms
         self.idle, self.count, self.most = {}, {}, lambda worker: 64
 
     def has_idle(self, worker) -> bool:
@@ -134,7 +134,7 @@
                 return link
             link.close()
         if self.count.get(addr, 0) >= self.most(worker):
-            self.board.count["connectionsCapped"] += 1
+            self.telemetry.count["connectionsCapped"] += 1
             return NO_CONNECTION
         return await self._open(worker.name, addr, min(self.connect_ms / 1000, within_s))
 
@@ -146,7 +146,7 @@
         try:
             async with asyncio.timeout(max(0.0, within_s)):
                 await asyncio.get_running_loop().create_connection(lambda: link, ip, int(port))
-            self.board.count["connectionsOpened"] += 1
+            self.telemetry.count["connectionsOpened"] += 1
             return link
         except (OSError, TimeoutError) as error:
             return UNREACHED.because(f"{addr}: {error or 'no connection in time'}")
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -106,7 +106,7 @@
             self._leave()
             if self.trace is not None:
                 self.trace.ended_ms = self._elapsed_ms()
-                self.gateway.board.note(
+                self.gateway.telemetry.log_event(
                     "long call", request=self.request.name, **self.trace.fields()
                 )
 
@@ -149,11 +149,11 @@
             counter, fault, reason = "endedWithClient", CLIENT_ENDED, CutReason.CLIENT_LEFT
         else:
             counter, fault, reason = "endedWithWork", STOPPING, CutReason.END_OF_WORK
-        self.gateway.board.count[counter] += 1
+        self.gateway.telemetry.count[counter] += 1
         if self.exchange.begun:
             return self.exchange.abort(reason)
         fault = self.ledger.verdict(fault)
-        self.gateway.board.count[f"faults.{fault.code}"] += 1
+        self.gateway.telemetry.count[f"faults.{fault.code}"] += 1
         return await self.gateway.refuse(self.exchange, fault, self.request)
 
     def _leave(self):
@@ -177,7 +177,7 @@
         ledger.attempts.append(attempt)
         worker = await self._admitted(attempt)
         if worker is not None and sent and not gateway.budget.draw(self.service):
-            gateway.board.count["budgetRefusals"] += 1
+            gateway.telemetry.count["budgetRefusals"] += 1
             attempt.fault, worker = BUDGET_SPENT, None
         attempt.worker = worker
 
@@ -206,7 +206,7 @@
             return None
         found = await search.find(costs)
         if found is None:
-            self.gateway.board.count["refusedForRoom"] += 1
+            self.gateway.telemetry.count["refusedForRoom"] += 1
             attempt.fault = NO_ROOM
             return None
         self.place, self.reading_ms = found.wish, found.reading_ms
@@ -263,7 +263,7 @@
         if fault is not None:
             return fault
         attempt.was_sent, sent_s = True, self.loop.time()
-        gateway.board.count["attemptsSent"] += 1
+        gateway.telemetry.count["attemptsSent"] += 1
         gateway.note_sending(self.request.model, self.version)
         gateway.check_weights(self.request.model, self.version, sent_s, "sent")
         head = await self._head_in_time(worker, sent_s)
@@ -280,8 +280,8 @@
         drain = self.gateway.drain
         if self.start_s < drain.admission_end_s and self.loop.time() < drain.work_end_s:
             return
-        self.gateway.board.count["invariant.passedOnAfterAdmissionEnd"] += 1
-        self.gateway.board.note(
+        self.gateway.telemetry.count["invariant.passedOnAfterAdmissionEnd"] += 1
+        self.gateway.telemetry.log_event(
             "request passed on after the end of admission",
             request=self.request.name,
             phase=drain.phase(self.loop.time()).value,
@@ -305,7 +305,7 @@
                 if self.loop.time() >= self.ledger.deadline_s:
                     return DEADLINE_PASSED
                 if self.loop.time() >= begin_s:
-                    self.gateway.board.count["oldWeightsTakenBack"] += 1
+                    self.gateway.telemetry.count["oldWeightsTakenBack"] += 1
                     return None
                 if worker.answered_s < sent_s and self._may_move(worker):
                     self.gateway.judge.failed(worker, False)
@@ -340,7 +340,7 @@
         self.version, self.salt = version, gateway.salt(request.model, worker, self.tenant)
         source = gateway.placing.source(request, worker, self.salt)
         target = gateway.placing.target(request, self.salt)
-        gateway.board.count["fetches"] += bool(source)
+        gateway.telemetry.count["fetches"] += bool(source)
         if self.trace is not None:
             self._trace_sending(worker, source, target)
         return UpstreamRequest(
@@ -384,7 +384,7 @@
             )
             if self.verdict is not Verdict.FOREIGN:
                 return event.status_code, headers
-            self.gateway.board.count["surplusAnswers"] += 1
+            self.gateway.telemetry.count["surplusAnswers"] += 1
             self.link.must_close = True
             fault = await self.link.skip()
             if fault is not None:
@@ -401,7 +401,7 @@
                 gateway.check_weights(self.request.model, version, sent_s, "answered")
         if self.verdict in (Verdict.NOT_RUN, Verdict.ELSEWHERE):
             attempt.has_not_run = True
-            gateway.board.count[f"turnedAway.{status}"] += 1
+            gateway.telemetry.count[f"turnedAway.{status}"] += 1
             if self.verdict is Verdict.ELSEWHERE and worker.knows(self.request.model):
                 self._note_turned_away(worker, headers)
             if self.verdict is Verdict.ELSEWHERE and not is_its_own:
@@ -411,7 +411,7 @@
             await self._drain()
             return WORKER_FULL.because(f"status {status}")
         if self.verdict is Verdict.BAD:
-            gateway.board.count[f"badAnswers.{status}"] += 1
+            gateway.telemetry.count[f"badAnswers.{status}"] += 1
             gateway.judge.failed(worker)
             return WORKER_BAD.because(f"status {status} without a seal")
         if self.verdict is Verdict.FAILURE:
@@ -430,7 +430,7 @@
     def _note_turned_away(self, worker, headers):
         """Note what a worker says of itself where it is not what was believed."""
         speak = self.gateway.workers_speak
-        self.gateway.board.note(
+        self.gateway.telemetry.log_event(
             "turned away",
             worker=worker.name,
             believed=self.version,
@@ -529,7 +529,7 @@
         return await self._give(whole)
 
     async def _end(self, move, fault):
-        count = self.gateway.board.count
+        count = self.gateway.telemetry.count
         if move is Move.FINISH:
             count["callsServed"] += 1
             return self.exchange.finish()
--- a/swiftdeck/gateway/swap.py
+++ b/swiftdeck/gateway/swap.py
@@ -38,7 +38,7 @@
         super().__init__(settings, folder, random, log)
         self.worker_registry = WorkerRegistry()
         self.listing = Listing(
-            self.me, self.mesh, self.membership, lists, self.worker_registry, self.board, 2000
+            self.me, self.mesh, self.membership, lists, self.worker_registry, self.telemetry, 2000
         )
         self.swaps = Swaps(self, orders)
 
@@ -124,7 +124,7 @@
         try:
             await self.core.folder.replace(WAITED, self._waited(number))
         except OSError:
-            self.core.board.count["waitsUnnoted"] += 1
+            self.core.telemetry.count["waitsUnnoted"] += 1
 
     async def _minding(self):
         while True:
@@ -205,7 +205,7 @@
         """Go on with the next workers, at the pace that this one took."""
         swap, now_s = self.busy[move.worker.name], self.loop.time()
         self.pace.note(now_s - swap.begun_s)
-        self.core.board.note(
+        self.core.telemetry.log_event(
             "worker moved",
             worker=move.worker.name,
             model=move.model,
--- a/swiftdeck/gateway/worker_moves.py
+++ b/swiftdeck/gateway/worker_moves.py
@@ -97,7 +97,7 @@
 
     async def _order(self, move, order_count):
         """Order a worker to take weights; whether it does, as far as is known."""
-        fence, count, worker = self.fence(), self.core.board.count, move.worker
+        fence, count, worker = self.fence(), self.core.telemetry.count, move.worker
         if not fence:
             return False
         self.order_counts.pop(worker.name, None)
@@ -121,8 +121,10 @@
         return got in (TAKEN, HOLDS)
 
     def _note_unanswered(self, event, worker, fault):
-        self.core.board.count["ordersUnanswered"] += 1
-        self.core.board.note(event, worker=worker.name, code=fault.code, reason=fault.reason)
+        self.core.telemetry.count["ordersUnanswered"] += 1
+        self.core.telemetry.log_event(
+            event, worker=worker.name, code=fault.code, reason=fault.reason
+        )
 
     async def _await_version(self, move):
         """Ask a worker that was ordered until it has the weights, or does nothing about them, or takes too long."""
@@ -148,6 +150,6 @@
             self.order_counts[worker.name] = report.order_count
         self.moved_s[worker.name] = asyncio.get_running_loop().time()
         self.core.worker_registry.learn(worker, {move.model: move.version})
-        self.core.board.count["swapsDone"] += 1
+        self.core.telemetry.count["swapsDone"] += 1
         self.on_moved(move)
         self.tell_routers(worker, move.model, move.version, 0)
--- a/swiftdeck/member/core_watch.py
+++ b/swiftdeck/member/core_watch.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from swiftdeck.board.beat import next_beat
 from swiftdeck.member.membership import ALIVE
+from swiftdeck.runtime.ticks import next_tick
 
 LOOK_S = 0.25
 
@@ -57,5 +57,5 @@
 
     async def _looking(self):
         while True:
-            await next_beat(LOOK_S)
+            await next_tick(LOOK_S)
             self.look()
--- a/swiftdeck/member/membership.py
+++ b/swiftdeck/member/membership.py
@@ -32,9 +32,11 @@
 class Membership:
     """The table of neighbours by incarnation; an opinion here is advice, leases decide."""
 
-    def __init__(self, me: Member, mesh, seeds, random, probeMs=500, suspectMs=2000, board=None):
+    def __init__(
+        self, me: Member, mesh, seeds, random, probeMs=500, suspectMs=2000, telemetry=None
+    ):
         self.me, self.mesh, self.seeds, self.random = me, mesh, list(seeds), random
-        self.probeMs, self.suspectMs, self.board = probeMs, suspectMs, board
+        self.probeMs, self.suspectMs, self.telemetry = probeMs, suspectMs, telemetry
         self.known, self.turn, self.waiting = {}, [], {}
         self.serial = me.incarnation & ((1 << SERIAL_BITS) - 1)
         self.verified: dict[str, asyncio.Task] = {}
@@ -195,8 +197,8 @@
             self.learn(changed)
 
     def _changed(self, member):
-        if self.board:
-            self.board.put(f"neighbour.{member.name}", STATES[member.state])
+        if self.telemetry:
+            self.telemetry.set_fact(f"neighbour.{member.name}", STATES[member.state])
         for watch in self.watchers:
             watch(member)
 
--- a/swiftdeck/platform/nodes.py
+++ b/swiftdeck/platform/nodes.py
@@ -5,10 +5,10 @@
 import random
 import sys
 
-from swiftdeck.board.beat import next_beat
 from swiftdeck.fault import is_fault
 from swiftdeck.platform.settings import SettingsWatch, read_place
 from swiftdeck.programs.loop import make_log, run_until_signal
+from swiftdeck.runtime.ticks import next_tick
 
 READY = "/swiftdeck/ready"
 LOOK_S, COUNTERS_S = 1.0, 10.0
@@ -30,7 +30,7 @@
     watch = SettingsWatch()
     _seeds_again(role, node, log)
     while True:
-        await next_beat(LOOK_S)
+        await next_tick(LOOK_S)
         if watch.has_changed():
             _seeds_again(role, node, log)
 
@@ -38,7 +38,7 @@
 def _seeds_again(role, node, log):
     place = read_place(role)
     if is_fault(place):
-        node.board.put("settings", place.reason)
+        node.telemetry.set_fact("settings", place.reason)
     elif place.settings.seeds != node.membership.seeds:
         node.membership.set_seeds(place.settings.seeds)
         log.info("seeds exchanged", seeds=place.settings.seeds)
--- a/swiftdeck/platform/operator_door.py
+++ b/swiftdeck/platform/operator_door.py
@@ -37,7 +37,7 @@
         path, method = exchange.path.rstrip("/"), exchange.method
         if path not in (CONFIG_PATH, WEIGHTS_PATH):
             return await self.core.operators.handle(exchange)
-        self.core.board.count["operatorExchanges"] += 1
+        self.core.telemetry.count["operatorExchanges"] += 1
         if path == CONFIG_PATH and method == "GET":
             return await self._show(exchange)
         if method not in (("PUT", "PATCH") if path == CONFIG_PATH else ("POST",)):
@@ -46,7 +46,7 @@
         got = asked if is_fault(asked) else await self._outcome(*asked)
         if is_fault(got):
             return await self._refuse(exchange, got)
-        self.core.board.count["changesTaken"] += 1
+        self.core.telemetry.count["changesTaken"] += 1
         return await exchange.give(200, {"code": 0, "changeId": asked[0]})
 
     def _asked(self, exchange):
@@ -85,7 +85,7 @@
         return await exchange.give(200, configs.shown(msgspec.json.decode(got.document or b"{}")))
 
     async def _refuse(self, exchange, fault):
-        self.core.board.count[f"faults.{fault.code}"] += 1
+        self.core.telemetry.count[f"faults.{fault.code}"] += 1
         status = STATUSES.get(fault.code, NO_VIEW.status)
         await exchange.give(
             status, fault.as_body(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)]
--- a/swiftdeck/board/owner.py
+++ b/swiftdeck/runtime/command_queue.py
@@ -1,10 +1,10 @@
-"""The owner of a table: works through a queue of commands, one at a time."""
+"""A queue of commands that are run one at a time."""
 
 import asyncio
 import inspect
 
 
-class Owner:
+class CommandQueue:
     """Runs commands in the order in which they were sent; nothing else changes its table."""
 
     def __init__(self):
--- a/swiftdeck/board/board.py
+++ b/swiftdeck/runtime/telemetry.py
@@ -1,26 +1,26 @@
-"""The blackboard of a process: counters, facts and watchers of their change."""
+"""The telemetry of a process: counters, facts and the log of their changes."""
 
 from collections import Counter
 
 
-class Board:
+class Telemetry:
     """What controllers read; each fact has one writer, and a change of it is logged once."""
 
     def __init__(self, log=None):
         self.log, self.facts, self.count = log, {}, Counter()
 
-    def put(self, name: str, value):
+    def set_fact(self, name: str, value):
         """Write a fact; a line is logged only when it changed."""
         old = self.facts.get(name)
         if old != value:
             self.facts[name] = value
-            self.note(name, old=old, now=value)
+            self.log_event(name, old=old, now=value)
 
-    def get(self, name: str, otherwise=None):
+    def get_fact(self, name: str, otherwise=None):
         """Read a fact."""
         return self.facts.get(name, otherwise)
 
-    def note(self, event: str, **fields):
+    def log_event(self, event: str, **fields):
         """Log a change of state."""
         if self.log:
             self.log.info(event, **fields)
--- a/swiftdeck/traffic/books.py
+++ b/swiftdeck/traffic/books.py
@@ -44,8 +44,8 @@
     `routers` has the time until which the slots of each router are held for it, by its address.
     """
 
-    def __init__(self, coordinator: Coordinator, board, decisions, hold_lease_ms=3000):
-        self.coordinator, self.board, self.decisions = coordinator, board, decisions
+    def __init__(self, coordinator: Coordinator, telemetry, decisions, hold_lease_ms=3000):
+        self.coordinator, self.telemetry, self.decisions = coordinator, telemetry, decisions
         self.hold_lease_ms = hold_lease_ms
         self.loop = asyncio.get_running_loop()
         self.clear()
@@ -139,7 +139,7 @@
         book = self.of(conversation.worker)
         running = conversation.running.get(end.call)
         if running is not None and running.number > end.attempt:
-            self.board.count["attemptEndsLate"] += 1
+            self.telemetry.count["attemptEndsLate"] += 1
             return book
         conversation.is_over = conversation.is_over or end.is_over
         if end.parts and conversation.turns > 1:
@@ -169,7 +169,7 @@
         self.conversations.pop(conversation.name, None)
         for last in conversation.lasts:
             self._forget(conversation, last)
-        self.board.count["conversationsEnded"] += 1
+        self.telemetry.count["conversationsEnded"] += 1
         self.decisions.add(
             "end",
             conversation=conversation.name,
@@ -221,7 +221,7 @@
             del self.routers[router]
             for found in self._running_at(router):
                 self._stop_running(found.conversation, found.call)
-                self.board.count["legsReclaimed"] += 1
+                self.telemetry.count["legsReclaimed"] += 1
 
     def reconcile(self, router: str, calls: set[str], settled_s: float) -> set[str]:
         """End what a router no longer runs; returns those of its calls that are not known here.
@@ -232,7 +232,7 @@
         for found in self._running_at(router):
             if found.call not in calls and found.attempt.granted_s < settled_s:
                 self._stop_running(found.conversation, found.call)
-                self.board.count["legEndsMended"] += 1
+                self.telemetry.count["legEndsMended"] += 1
         return calls - {found.call for found in self._running_at(router)}
 
     def _running_at(self, router: str) -> list[RunningCall]:
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -134,7 +134,7 @@
             attempt.fault = NO_CLAIM
             self._close_attempt()
             attempt.grant = None
-            self.router.board.count["slotsHandedBack"] += 1
+            self.router.telemetry.count["slotsHandedBack"] += 1
 
     def _left_ms(self):
         """What is left of the call's wait."""
@@ -244,14 +244,14 @@
         else:
             attempt.fault = self._may_be_sent(attempt)
             if attempt.fault is not None:
-                self.router.board.count[f"looks.{attempt.fault.code}"] += 1
+                self.router.telemetry.count[f"looks.{attempt.fault.code}"] += 1
             else:
-                self.router.board.count["legsSent"] += 1
+                self.router.telemetry.count["legsSent"] += 1
                 attempt.was_sent = True
                 self.router.attempt_sent(attempt)
                 attempt.fault = await self._run_at_worker(attempt)
                 if attempt.fault is not None and attempt.was_sent:
-                    self.router.board.count["legsFailed"] += 1
+                    self.router.telemetry.count["legsFailed"] += 1
                     self.avoid.append(attempt.grant.worker)
                     self.ledger.waitUntilMs = self.now_ms() + min(self.route.waitMs, AGAIN_MS)
             if self.link:
@@ -283,9 +283,9 @@
             attempt.grant.fetch_from if is_fault(got) or took_ms > 0.8 * bound_ms else ""
         )
         parts = got[1].get("parts", 0) if not is_fault(got) and isinstance(got[1], dict) else 0
-        self.router.board.count["fetches"] += 1
-        self.router.board.count["fetchesBounded"] += bool(self.slow_from)
-        self.router.board.count["fetchedParts"] += parts if isinstance(parts, int) else 0
+        self.router.telemetry.count["fetches"] += 1
+        self.router.telemetry.count["fetchesBounded"] += bool(self.slow_from)
+        self.router.telemetry.count["fetchedParts"] += parts if isinstance(parts, int) else 0
         self.router.decisions.add(
             "fetch",
             call=self.name,
@@ -431,7 +431,7 @@
         attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
         self._close_attempt()
         if move is Move.FINISH:
-            self.router.board.count["callsServed"] += 1
+            self.router.telemetry.count["callsServed"] += 1
             body = {
                 "call": self.name,
                 "run": self.run(),
@@ -449,7 +449,7 @@
             return self.exchange.finish()
         if fault.notRun:
             fault = await self._promised(fault)
-        self.router.board.count[f"faults.{fault.code}"] += 1
+        self.router.telemetry.count[f"faults.{fault.code}"] += 1
         self.router.decisions.add(
             "final", call=self.name, tenant=self.tenant, code=fault.code, why=fault.name
         )
--- a/swiftdeck/traffic/claims.py
+++ b/swiftdeck/traffic/claims.py
@@ -46,9 +46,9 @@
     name that it had, so that it counts once.
     """
 
-    def __init__(self, router: str, change_writer, random, board):
+    def __init__(self, router: str, change_writer, random, telemetry):
         self.router, self.change_writer = router, change_writer
-        self.random, self.board = random, board
+        self.random, self.telemetry = random, telemetry
         self.waiting: list[Pending] = []
 
     def start(self):
@@ -108,9 +108,9 @@
         change = {"t": "claims", "ops": [operation.to_list() for operation in operations]}
         while True:
             written = await self.change_writer.write(name, change, WRITE_MS)
-            self.board.count["claimBatches"] += 1
+            self.telemetry.count["claimBatches"] += 1
             if is_fault(written):
-                self.board.count["claimBatchesAgain"] += 1
+                self.telemetry.count["claimBatchesAgain"] += 1
                 await asyncio.sleep(AGAIN_S)
             elif len(written.results) == len(operations):
                 return written.results
--- a/swiftdeck/traffic/index.py
+++ b/swiftdeck/traffic/index.py
@@ -80,8 +80,8 @@
     `on_change` is called when a worker's reports begin or cease, or its weights change.
     """
 
-    def __init__(self, board, on_change=lambda: None):
-        self.board, self.on_change = board, on_change
+    def __init__(self, telemetry, on_change=lambda: None):
+        self.telemetry, self.on_change = telemetry, on_change
         self.kept: dict[str, Kept] = {}
         self.followers: dict[str, Follower] = {}
 
@@ -126,7 +126,7 @@
             try:
                 await self._follow_once(worker.addr, kept)
             except (TimeoutError, msgspec.DecodeError):
-                self.board.count["reportsBroken"] += 1
+                self.telemetry.count["reportsBroken"] += 1
             if kept.is_up:
                 kept.is_up = False
                 self.on_change()
@@ -140,7 +140,7 @@
         snapshot = await fetch_json(addr, "GET", "/v1/kept", timeoutMs=SNAPSHOT_MS)
         if is_fault(snapshot) or snapshot[0] != 200 or not kept.snapshot(snapshot[1]):
             return
-        self.board.count["snapshots"] += 1
+        self.telemetry.count["snapshots"] += 1
         ip, _, port = addr.rpartition(":")
         link = await connect(ip, int(port), CONNECT_MS)
         if is_fault(link):
@@ -166,7 +166,7 @@
                 return
             weights = kept.weights
             if line.strip() and not kept.event(msgspec.json.decode(line)):
-                self.board.count["reportGaps"] += 1
+                self.telemetry.count["reportGaps"] += 1
                 return
             if kept.weights != weights:
                 self.on_change()
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/keeper.py
@@ -40,7 +40,7 @@
 
     def __init__(self, model: str, router):
         self.model, self.router = model, router
-        self.board, self.settings = router.board, router.settings
+        self.telemetry, self.settings = router.telemetry, router.settings
         self.duty = Duty(
             f"keeper/{model}",
             router.me,
@@ -49,7 +49,7 @@
             router.cluster_map,
             router.random,
             router.settings.dutyLicenceMs,
-            router.board,
+            router.telemetry,
         )
         self.term = self.ready_term = 0
         self.loading: set[tuple[str, str]] = set()
@@ -58,8 +58,8 @@
     def start(self):
         """Stand for the duty, and keep the books while it is held."""
         self.loop, router, settings = asyncio.get_running_loop(), self.router, self.settings
-        self.index = PrefixIndex(self.board, self.on_workers)
-        self.books = Books(self, self.board, router.decisions, settings.holdLicenceMs)
+        self.index = PrefixIndex(self.telemetry, self.on_workers)
+        self.books = Books(self, self.telemetry, router.decisions, settings.holdLicenceMs)
         self.placement = Placement(
             self, self.books, self.index, settings.virtualPlaces, settings.placesWeighed
         )
@@ -122,7 +122,7 @@
         self.index.follow(self.listed_workers())
         if await self.takeover.run(term):
             self.ready_term = term
-            self.board.count["takeovers"] += 1
+            self.telemetry.count["takeovers"] += 1
             self.takeover.release()
             self.router.decisions.add(
                 "keeper", model=self.model, term=term, open=len(self.books.conversations)
@@ -157,7 +157,7 @@
         answer = await fetch_json(
             worker.addr, "POST", "/v1/weights", {"weights": weights}, timeoutMs=LOAD_WEIGHTS_MS
         )
-        self.board.count["weightsAsked"] += 1
+        self.telemetry.count["weightsAsked"] += 1
         self.router.decisions.add(
             "weights", worker=worker.name, weights=weights, taken=not is_fault(answer)
         )
@@ -207,12 +207,12 @@
         if worker is None or not self.is_ready():
             return NO_WORKER if worker is None else NOT_KEEPER
         if ask.attempt > 1 and not self.budget.draw(self.loop.time(), self._allowance()):
-            self.board.count["budgetRefusals"] += 1
+            self.telemetry.count["budgetRefusals"] += 1
             return BUDGET_SPENT
         earlier_parts = conversation.parts if conversation.weights == ask.weights else 0
         if self.books.attempt_granted(conversation, ask, sender):
             self.budget.call(self.loop.time())
-        self.board.count["grants"] += 1
+        self.telemetry.count["grants"] += 1
         source = self.fetches.source(conversation.worker, ask)
         return GrantReturn(
             term=self.term,
--- a/swiftdeck/traffic/lease.py
+++ b/swiftdeck/traffic/lease.py
@@ -41,13 +41,13 @@
 class ConfigLease:
     """Renews from the tail, directly or through a neighbour; without it nothing is sent to a worker."""
 
-    def __init__(self, me, mesh, membership, cluster_map, board, renewMs=500):
-        self.me, self.mesh, self.membership, self.cluster_map, self.board = (
+    def __init__(self, me, mesh, membership, cluster_map, telemetry, renewMs=500):
+        self.me, self.mesh, self.membership, self.cluster_map, self.telemetry = (
             me,
             mesh,
             membership,
             cluster_map,
-            board,
+            telemetry,
         )
         self.renewMs = renewMs
         self.router = f"{me.name}/{me.incarnation:x}"
@@ -77,7 +77,7 @@
     async def _renewing(self):
         while not self.stopping:
             was_new = await self._renew()
-            self.board.put("configLicence", "held" if self.is_held() else "lapsed")
+            self.telemetry.set_fact("configLicence", "held" if self.is_held() else "lapsed")
             if not was_new:
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(
@@ -136,7 +136,7 @@
         """Take what a tail has on its disk, to serve by without a lease: it was committed once, if perhaps not last."""
         best = max(await self._peeked(), key=lambda each: each.view, default=None)
         if best is not None and self.held is None:
-            self.board.count["configsPeeked"] += 1
+            self.telemetry.count["configsPeeked"] += 1
             told = unpack(
                 LeaseReturn(
                     version=best.version,
@@ -180,7 +180,7 @@
         for each in asked:
             got = await each
             if not is_fault(got):
-                self.board.count["licencesRelayed"] += 1
+                self.telemetry.count["licencesRelayed"] += 1
                 return got
         return NO_LEASE
 
@@ -200,8 +200,10 @@
     def _install(self, got):
         config = self._next(got)
         if is_fault(config) or config.digest() != got.digest:
-            self.board.count["configsMismatched"] += 1
-            self.board.note("configuration in force is not what was told", version=got.version)
+            self.telemetry.count["configsMismatched"] += 1
+            self.telemetry.log_event(
+                "configuration in force is not what was told", version=got.version
+            )
             self.must_have_whole = True
             return False
         self.must_have_whole = False
@@ -210,7 +212,7 @@
         }
         self.held = Held(got.version, config, by_key)
         self.weight_ages.note(config.document.models, self.loop.time())
-        self.board.put("config", got.version)
+        self.telemetry.set_fact("config", got.version)
         for watch in self.watchers:
             watch(self.held)
         return True
@@ -231,7 +233,7 @@
             AttributeError,
         ) as error:
             return INVALID.because(repr(error))
-        self.board.count["configsChanged"] += 1
+        self.telemetry.count["configsChanged"] += 1
         return config
 
     async def on_relay(self, relay, sender):
--- a/swiftdeck/traffic/lines.py
+++ b/swiftdeck/traffic/lines.py
@@ -20,7 +20,7 @@
     def __init__(self, coordinator, books, placement, router, grant):
         self.coordinator, self.books, self.placement = coordinator, books, placement
         self.router, self.grant = router, grant
-        self.board, self.loop = router.board, asyncio.get_running_loop()
+        self.telemetry, self.loop = router.telemetry, asyncio.get_running_loop()
         self.waits: dict[str, Waiting] = {}
 
     def clear(self, fault):
@@ -92,7 +92,7 @@
 
     def _refuse(self, book: Book, waiting: Waiting):
         """Answer that the line is full."""
-        self.board.count["lineFull"] += 1
+        self.telemetry.count["lineFull"] += 1
         self.router.decisions.add(
             "refuse",
             call=waiting.ask.call,
@@ -105,7 +105,7 @@
     def _stand(self, book: Book, waiting: Waiting):
         """Put a call into a line."""
         book.line.add(waiting)
-        self.board.count["waits"] += 1
+        self.telemetry.count["waits"] += 1
         self.router.decisions.add(
             "wait",
             call=waiting.ask.call,
@@ -144,7 +144,7 @@
         paused = book.longest_paused(self.loop.time(), self.coordinator.config().pauseMs)
         if paused is None or len(book.open) > book.cap:
             return False
-        self.board.count["slotsReclaimed"] += 1
+        self.telemetry.count["slotsReclaimed"] += 1
         self.books.close(paused, "paused while others wait")
         return True
 
@@ -184,7 +184,7 @@
         name = f"{self.router.random.getrandbits(64):016x}"
         conversation = Conversation(name, ask.tenant, ask.group, book.worker, ask.weights)
         self.books.open(conversation)
-        self.board.count["starts"] += 1
+        self.telemetry.count["starts"] += 1
         waited_ms = int((self.loop.time() - waiting.since_s) * 1000)
         self.router.decisions.add(
             "start",
--- a/swiftdeck/traffic/moves.py
+++ b/swiftdeck/traffic/moves.py
@@ -39,8 +39,8 @@
         self.books.move(conversation, target)
         book = self.books.of(target)
         is_over_cap = len(book.open) > book.cap
-        self.router.board.count["moves"] += 1
-        self.router.board.count["movesOverCap"] += is_over_cap
+        self.router.telemetry.count["moves"] += 1
+        self.router.telemetry.count["movesOverCap"] += is_over_cap
         self.router.decisions.add(
             "move", conversation=conversation.name, old=old, new=target, overCap=is_over_cap
         )
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -89,20 +89,22 @@
         super().__init__(settings, "router", random, log)
         self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
         self.change_writer = ChangeWriter(self.mesh, self.cluster_map)
-        self.lease = ConfigLease(self.me, self.mesh, self.membership, self.cluster_map, self.board)
+        self.lease = ConfigLease(
+            self.me, self.mesh, self.membership, self.cluster_map, self.telemetry
+        )
         self.workers = WorkerList(
             settings.platform,
             self.mesh,
             self.membership,
-            self.board,
+            self.telemetry,
             settings.listMs,
             settings.listOldMs,
         )
-        self.claims = Claims(self.me.name, self.change_writer, random, self.board)
+        self.claims = Claims(self.me.name, self.change_writer, random, self.telemetry)
         self.drain = Drain(DrainTimes(0.0, settings.stopMs / 1000))
         self.calls = OpenRequests(self.drain)
         self.http = HttpServer(
-            self.handle, settings.bodyBytes, note=self.board.note, drain=self.drain
+            self.handle, settings.bodyBytes, note=self.telemetry.log_event, drain=self.drain
         )
         self.keepers, self.known, self.running, self.served = {}, {}, {}, {}
         self.heard: dict[str, HeardKeeper] = {}
@@ -127,7 +129,9 @@
         self.tasks = [asyncio.ensure_future(self._holding())]
         ip, _, port = self.settings.http.rpartition(":")
         await self.http.start(ip, int(port))
-        self.board.note("router started", addr=self.settings.inner, http=self.settings.http)
+        self.telemetry.log_event(
+            "router started", addr=self.settings.inner, http=self.settings.http
+        )
 
     async def stop(self):
         """Take no more calls, finish open ones within the bound, hand leases and duties back."""
@@ -141,7 +145,7 @@
         await asyncio.gather(
             self.lease.hand_back(), *(keeper.duty.hand_back() for keeper in self.keepers.values())
         )
-        self.board.note("router stopped", open=self.open)
+        self.telemetry.log_event("router stopped", open=self.open)
         self.mesh.close()
 
     @property
@@ -350,7 +354,7 @@
             lost = set(got.lost) if isinstance(got, CallRenewalReturn) else set()
             if isinstance(got, CallRenewalReturn):
                 self.heard[model] = HeardKeeper(keeper[0], got.stamp_ms)
-            self.board.count["grantsLapsed"] += len(lost)
+            self.telemetry.count["grantsLapsed"] += len(lost)
             for running in [
                 self.running[name] for name in calls if name in self.running and name not in lost
             ]:
@@ -381,7 +385,7 @@
         return NOT_FOUND
 
     async def _call(self, exchange):
-        self.board.count["calls"] += 1
+        self.telemetry.count["calls"] += 1
         if self.stopping:
             return self._refuse(STOPPING)
         if self.open >= self.settings.callsOpen:
@@ -415,7 +419,7 @@
             await asyncio.sleep(PROBE_S)
 
     def _refuse(self, fault):
-        self.board.count[f"faults.{fault.code}"] += 1
+        self.telemetry.count[f"faults.{fault.code}"] += 1
         return fault
 
     async def _call_of(self, exchange):
--- a/swiftdeck/traffic/workers.py
+++ b/swiftdeck/traffic/workers.py
@@ -31,8 +31,13 @@
 class WorkerList:
     """Reads the list from the platform, or through neighbours when that is out of reach."""
 
-    def __init__(self, platform, mesh, membership, board, list_ms=500, old_ms=2500):
-        self.platform, self.mesh, self.membership, self.board = platform, mesh, membership, board
+    def __init__(self, platform, mesh, membership, telemetry, list_ms=500, old_ms=2500):
+        self.platform, self.mesh, self.membership, self.telemetry = (
+            platform,
+            mesh,
+            membership,
+            telemetry,
+        )
         self.list_ms, self.old_ms = list_ms, old_ms
         self.workers, self.read_s, self.body = {}, -1e9, b""
         self.watchers = []
@@ -76,7 +81,7 @@
                 self._take(msgspec.json.encode(got[1]), start_s)
             if self.age_ms() > self.old_ms / 2:
                 await self._through_others()
-            self.board.put("list", "fresh" if self.is_fresh() else "old")
+            self.telemetry.set_fact("list", "fresh" if self.is_fresh() else "old")
             await asyncio.sleep(max(0.05, self.list_ms / 1000 - (self.loop.time() - start_s)))
 
     async def _through_others(self):
@@ -86,15 +91,15 @@
         heard = [each for each in got if not is_fault(each)]
         for each in sorted(heard, key=lambda each: each.age_ms)[:1]:
             if each.body and sent_s - each.age_ms / 1000 > self.read_s:
-                self.board.count["listsFromNeighbours"] += 1
+                self.telemetry.count["listsFromNeighbours"] += 1
                 self._take(each.body, sent_s - each.age_ms / 1000)
 
     def _take(self, body, read_s):
         try:
             listing = msgspec.json.decode(body, type=Listing)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.board.count["listsMalformed"] += 1
-            self.board.put("listFault", str(error)[:200])
+            self.telemetry.count["listsMalformed"] += 1
+            self.telemetry.set_fact("listFault", str(error)[:200])
             return
         fresh = {worker.name: worker for worker in listing.workers}
         self.read_s, self.body = max(read_s, self.read_s), body
--- a/tests/cases/chain_faults.py
+++ b/tests/cases/chain_faults.py
@@ -266,7 +266,7 @@
         cluster.start_core(name)
         cluster.world.run(5)
         self.settle(cluster)
-        self.assertEqual(cluster.up[name].board.count["copies"], 1)
+        self.assertEqual(cluster.up[name].telemetry.count["copies"], 1)
         self.assertEqual(cluster.up[name].chain.state.stored.version, cluster.version)
 
     def test_a_sweep_mends_damage_before_any_restart_meets_it(self):
@@ -285,6 +285,6 @@
         cluster.world.run(3)
         self.settle(cluster)
         self.assertEqual(
-            (cluster.up[name].agreement.core_id, cluster.up[name].board.count["copies"]),
+            (cluster.up[name].agreement.core_id, cluster.up[name].telemetry.count["copies"]),
             (core_id, 0),
         )
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -85,7 +85,7 @@
         cluster.world.do(router.me.name, lambda: router.mesh.ask(keeper.router.me.addr, late))
         still = {call for each in keeper.books.conversations.values() for call in each.running}
         self.assertEqual((still, set(router.running)), (running, running))
-        self.assertEqual(keeper.board.count["legEndsMended"], 0)
+        self.assertEqual(keeper.telemetry.count["legEndsMended"], 0)
 
     def test_a_conversation_whose_grant_is_handed_back_after_a_change_of_keeper_stays_open(self):
         cluster, claim = self.cluster(routers=4, workers=1), Claims.claim
--- a/tests/chain/test_complete_in.py
+++ b/tests/chain/test_complete_in.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from swiftdeck.board.board import Board
 from swiftdeck.chain import log_records
 from swiftdeck.chain.agreement import Agreement
 from swiftdeck.chain.chain import Chain
 from swiftdeck.fault import NOT_TAIL
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.world import World
 from swiftdeck.wire.mesh import Mesh
@@ -33,11 +33,11 @@
         """Begin a life on what the disk has."""
 
         async def main():
-            mesh, board = Mesh(ADDR), Board()
+            mesh, telemetry = Mesh(ADDR), Telemetry()
             self.agreement = Agreement(self.folder, mesh, ADDR, self.world.random)
             await self.agreement.start()
             self.chain = Chain(
-                self.folder, mesh, self.agreement, board, losses_borne=self.losses_borne
+                self.folder, mesh, self.agreement, telemetry, losses_borne=self.losses_borne
             )
             await self.chain.start()
 
--- a/tests/chain/test_config_updates.py
+++ b/tests/chain/test_config_updates.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from swiftdeck.board.board import Board
 from swiftdeck.chain.config_updates import PACKED_KEPT, ConfigUpdates, unpack
 from swiftdeck.fault import is_fault
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.wire.messages import LeaseAsk, LeaseReturn
 
 ROUTES = b'{"name": "r-%d", "hostname": "a.example", "path-start": "/%d/", "backend": "pool"}'
@@ -43,7 +43,7 @@
     def update(self, deltas, text=LARGE, updates=None, **ask):
         told = LeaseReturn(version=2)
         asked = LeaseAsk(**({"held": 1, "digest": b"old", "takes_packed": True} | ask))
-        updates = updates or ConfigUpdates(Board())
+        updates = updates or ConfigUpdates(Telemetry())
         updates.add(told, asked, State(deltas), Durable(2, Config(text)))
         return LeaseReturn().parse(bytes(told))
 
@@ -55,7 +55,7 @@
         self.assertEqual(unpack(whole).document, LARGE)
 
     def test_a_whole_configuration_for_a_router_without_a_lease_is_packed_once(self):
-        updates = ConfigUpdates(Board())
+        updates = ConfigUpdates(Telemetry())
         packed = updates.pack_whole(Config(LARGE))
         self.assertLess(len(packed), len(LARGE) // 5)
         self.assertIs(updates.pack_whole(Config(LARGE)), packed)
@@ -73,7 +73,7 @@
         self.assertEqual((told.packed, told.deltas, told.document), (b"", [], b""))
 
     def test_an_update_is_packed_once_and_few_are_kept(self):
-        updates = ConfigUpdates(Board())
+        updates = ConfigUpdates(Telemetry())
         for _ in range(3):
             self.update([LARGE], updates=updates)
         self.assertEqual(len(updates.packed), 1)
--- a/tests/control/test_archive.py
+++ b/tests/control/test_archive.py
@@ -13,9 +13,9 @@
 
 class ArchiveTest(unittest.TestCase):
     def test_versions_are_commits_and_a_damaged_store_harms_nobody(self):
-        from swiftdeck.board.board import Board
         from swiftdeck.chain.state import ChainState
         from swiftdeck.config.configuration import Configuration
+        from swiftdeck.runtime.telemetry import Telemetry
 
         held = Configuration.read(b'{"models":{}}')
 
@@ -23,7 +23,7 @@
             state = ChainState()
 
         with tempfile.TemporaryDirectory() as path:
-            archive = Archive(f"{path}/history", Alone(), None, Board(), wall=lambda: 7)
+            archive = Archive(f"{path}/history", Alone(), None, Telemetry(), wall=lambda: 7)
             for version in (1, 2, 1):
                 archive.keep(
                     {
@@ -49,5 +49,5 @@
                 )
 
             self.assertIsNone(asyncio.run(main()))
-            self.assertEqual(archive.board.count["archiveFailures"], 1)
+            self.assertEqual(archive.telemetry.count["archiveFailures"], 1)
             archive.pool.shutdown()
--- a/tests/gateway/cases/overlapping_losses.py
+++ b/tests/gateway/cases/overlapping_losses.py
@@ -249,7 +249,7 @@
         refused.core_ids.clear()
         cluster.world.run(until=lambda: late.agreement.position() >= 0, limit_s=10)
         self.has_joined, self.was_whole = late.agreement.position() >= 0, late.chain.is_whole()
-        self.copies = late.chain.board.count["copies"]
+        self.copies = late.chain.telemetry.count["copies"]
         for name in (first, last, second):
             cluster.lose(name)
         cluster.back(first)
--- a/tests/gateway/parts.py
+++ b/tests/gateway/parts.py
@@ -4,9 +4,9 @@
 import random
 import unittest
 
-from swiftdeck.board.board import Board
 from swiftdeck.gateway.interfaces import Listed, Part, Request
 from swiftdeck.gateway.worker_registry import WorkerRegistry
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.sim.world import World
 
 
@@ -14,7 +14,7 @@
     """A test whose coroutines run in simulated processes."""
 
     def setUp(self):
-        self.world, self.board = World(1), Board()
+        self.world, self.telemetry = World(1), Telemetry()
         self.random = random.Random(1)
         for at, name in enumerate(("here", "there"), 1):
             self.world.start(name, f"10.0.0.{at}", lambda: asyncio.sleep(0))
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -4,11 +4,11 @@
 import random
 from types import SimpleNamespace
 
-from swiftdeck.board.board import Board
 from swiftdeck.gateway.admission import PATIENCE_MS, Admission
 from swiftdeck.gateway.broadcast import Broadcast
 from swiftdeck.gateway.places import Wish
 from swiftdeck.member.membership import Membership
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import Member, PlaceReturn
 from tests.gateway.parts import SimCase, worker_registry
@@ -28,12 +28,18 @@
         self.asker = next(addr for addr in ADDRS if addr != self.far)
 
     async def serve(self, addr, at):
-        board, mesh = Board(), Mesh(addr)
+        telemetry, mesh = Telemetry(), Mesh(addr)
         me = Member(addr=addr, name=f"r{at}", role="router", zone="z1", incarnation=at + 1)
-        membership = Membership(me, mesh, ADDRS, random.Random(at), 500, 2000, board)
-        broadcast = Broadcast(me, mesh, membership, board)
+        membership = Membership(me, mesh, ADDRS, random.Random(at), 500, 2000, telemetry)
+        broadcast = Broadcast(me, mesh, membership, telemetry)
         self.parts[addr] = Admission(
-            me, mesh, membership, worker_registry(*NAMES), board, lambda worker: 100000, broadcast
+            me,
+            mesh,
+            membership,
+            worker_registry(*NAMES),
+            telemetry,
+            lambda worker: 100000,
+            broadcast,
         )
         await mesh.start()
         membership.start()
@@ -112,7 +118,7 @@
         part = self.parts[self.asker]
         self.assertTrue(self.ask("c0")[0])
         self.assertLess(self.world.now - begun_s, (50 + PATIENCE_MS) / 1000 + 0.05)
-        self.assertEqual(part.board.count["placesUnasked"], 1)
+        self.assertEqual(part.telemetry.count["placesUnasked"], 1)
         part.worker_registry.workers["i-0"].running_long = 2
         self.assertFalse(self.ask("c1")[0])
         self.assertFalse(self.ask("c2", worker="i-0")[0])
--- a/tests/gateway/test_broadcast.py
+++ b/tests/gateway/test_broadcast.py
@@ -2,9 +2,9 @@
 
 import random
 
-from swiftdeck.board.board import Board
 from swiftdeck.gateway.broadcast import PASSED_ON_PER_S, Broadcast
 from swiftdeck.member.membership import Membership
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import KeptNews, LoadNews, Member, WorkerNews
 from tests.gateway.parts import SimCase
@@ -28,12 +28,12 @@
         self.world.run(6)
 
     async def serve(self, addr, at):
-        board, mesh = Board(), Mesh(addr)
+        telemetry, mesh = Telemetry(), Mesh(addr)
         me = Member(
             addr=addr, name=f"r{at}", role="router", zone=ZONES[at // EACH], incarnation=at + 1
         )
-        membership = Membership(me, mesh, ADDRS[:3], random.Random(at), 500, 2000, board)
-        self.parts[addr], self.meshes[addr] = Broadcast(me, mesh, membership, board), mesh
+        membership = Membership(me, mesh, ADDRS[:3], random.Random(at), 500, 2000, telemetry)
+        self.parts[addr], self.meshes[addr] = Broadcast(me, mesh, membership, telemetry), mesh
         for kind in (LoadNews, KeptNews, WorkerNews):
             self.parts[addr].on(kind, lambda news, origin: self.heard[addr].append((origin, news)))
         await mesh.start()
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -49,7 +49,7 @@
             owner=lambda name: "me" if name in self.mine else "other",
         )
         broadcast = SimpleNamespace(on=lambda *_: None, tell=self.sent.append)
-        self.following = Following(admission, broadcast, self.kept, self.source, self.board)
+        self.following = Following(admission, broadcast, self.kept, self.source, self.telemetry)
         self.following.stores = [STORE]
         self.within(self.following.start)
         self.within(lambda: self.following.will_keep("w1", "1", ["book"], [13000], False))
@@ -97,12 +97,12 @@
     def test_after_a_gap_only_what_is_told_is_known(self):
         self.told(("book", 13000, True))
         self.told(number=500, lost=True)
-        self.assertEqual((self.tokens(), self.board.count["reportGaps"]), (0, 1))
+        self.assertEqual((self.tokens(), self.telemetry.count["reportGaps"]), (0, 1))
 
     def test_a_new_epoch_is_read_from_its_beginning(self):
         self.told(("book", 13000, True), number=50)
         self.told(number=3, epoch=2)
-        self.assertEqual((self.tokens(), self.board.count["reportGaps"]), (0, 1))
+        self.assertEqual((self.tokens(), self.telemetry.count["reportGaps"]), (0, 1))
         asked = [since for addr, since in self.source.asked if addr == self.addr]
         self.assertIn(0, asked[asked.index(50) :])
         self.told(("book", 13000, True), number=4, epoch=2)
@@ -112,7 +112,7 @@
         self.told(("book", 13000, True))
         self.source.answers[self.addr] = [TIMED_OUT]
         self.world.run(3)
-        self.assertEqual(self.board.count["reportsFailed"], 1)
+        self.assertEqual(self.telemetry.count["reportsFailed"], 1)
         self.told(("book", 13000, True), number=12)
         self.assertEqual(self.tokens(), 13000)
 
@@ -125,4 +125,4 @@
     def test_a_number_that_goes_back_is_another_life(self):
         self.told(("book", 13000, True), number=50)
         self.told(number=7)
-        self.assertEqual((self.tokens(), self.board.count["reportGaps"]), (0, 1))
+        self.assertEqual((self.tokens(), self.telemetry.count["reportGaps"]), (0, 1))
--- a/tests/gateway/test_health.py
+++ b/tests/gateway/test_health.py
@@ -10,7 +10,7 @@
         self.worker_registry = worker_registry("w1", "w2", "w3", "w4", "w5")
         self.workers = list(self.worker_registry.workers.values())
         self.told = []
-        self.judge = Judge(self.worker_registry, self.board)
+        self.judge = Judge(self.worker_registry, self.telemetry)
         self.judge.on_trouble = lambda worker, for_ms: self.told.append((worker.name, for_ms))
 
     def good(self, workers=None):
--- a/tests/gateway/test_listing.py
+++ b/tests/gateway/test_listing.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from swiftdeck.board.board import Board
 from swiftdeck.fault import BAD_RETURN
 from swiftdeck.gateway.listing import Listing
 from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.member.membership import Membership
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import ListNews, Member
 from tests.gateway.parts import SimCase, listed
@@ -39,11 +39,13 @@
         self.world.run(3)
 
     async def serve(self, addr, addrs, at):
-        board, mesh = Board(), Mesh(addr)
+        telemetry, mesh = Telemetry(), Mesh(addr)
         me = Member(addr=addr, name=f"r{at}", role="router", zone="z1", incarnation=at + 1)
-        membership = Membership(me, mesh, addrs, random.Random(at), 500, 2000, board)
+        membership = Membership(me, mesh, addrs, random.Random(at), 500, 2000, telemetry)
         worker_registry, self.sources[addr] = WorkerRegistry(), Source(self.world)
-        self.parts[addr] = Listing(me, mesh, membership, self.sources[addr], worker_registry, board)
+        self.parts[addr] = Listing(
+            me, mesh, membership, self.sources[addr], worker_registry, telemetry
+        )
         await mesh.start()
         membership.start()
         self.parts[addr].start()
--- a/tests/gateway/test_moves.py
+++ b/tests/gateway/test_moves.py
@@ -20,7 +20,7 @@
         self.registry.take(
             [listed(name, zone=zone, at=at) for at, (name, zone) in enumerate(zones.items(), 1)]
         )
-        self.placing = Placing("z1", Judge(self.registry, self.board), self.kept, self.random)
+        self.placing = Placing("z1", Judge(self.registry, self.telemetry), self.kept, self.random)
         self.follow(FAST, SLOW)
 
     def follow(self, worker_mbps, store_mbps, token_bytes=18432):
--- a/tests/gateway/test_places.py
+++ b/tests/gateway/test_places.py
@@ -11,7 +11,7 @@
 class PlacesTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.books = PlaceBooks(self.board, None, lambda worker: ROOM)
+        self.books = PlaceBooks(self.telemetry, None, lambda worker: ROOM)
 
     def wish(self, call, episode=None, tenant="t", tokens=17000, worker="w", left_s=6.0):
         return Wish(
@@ -37,7 +37,7 @@
 
     def test_as_many_are_open_as_the_memory_holds_of_their_tokens(self):
         for tokens, most in ((17000, 5), (8000, 10), (42000, 2), (300000, 1)):
-            books = self.books = PlaceBooks(self.board, None, lambda worker: ROOM)
+            books = self.books = PlaceBooks(self.telemetry, None, lambda worker: ROOM)
             self.assertEqual(
                 [self.ask(f"c{at}", tokens=tokens) for at in range(most + 3)],
                 [True] * most + [False] * 3,
@@ -183,7 +183,7 @@
         self.tick()
         self.world.run(0.01)
         self.assertTrue(self.ask("late"))
-        self.assertEqual(self.board.count["placesReclaimed"], FITS)
+        self.assertEqual(self.telemetry.count["placesReclaimed"], FITS)
         self.end("c0")
         self.assertEqual(list(self.books.calls), ["late"])
 
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -17,7 +17,7 @@
         super().setUp()
         self.worker_registry, self.kept = worker_registry(*NAMES), KeptTable()
         self.workers = list(self.worker_registry.workers.values())
-        self.judge = Judge(self.worker_registry, self.board)
+        self.judge = Judge(self.worker_registry, self.telemetry)
         self.placing = self.made()
 
     def made(self, seed=1):
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -29,7 +29,7 @@
 class PoolTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.pool, self.script, self.seen = Pool(self.board), [], []
+        self.pool, self.script, self.seen = Pool(self.telemetry), [], []
         self.worker_registry = worker_registry("w1", "w2")
         self.worker = self.worker_registry.workers["w1"]
         self.world.start("worker", "10.1.0.1", self.serve)
@@ -75,7 +75,7 @@
         self.give(link)
         again = self.take()
         self.assertIs(again, link)
-        self.assertEqual((again.is_reused, self.board.count["connectionsOpened"]), (True, 1))
+        self.assertEqual((again.is_reused, self.telemetry.count["connectionsOpened"]), (True, 1))
         self.exchange("r2", again)
 
     def test_bytes_that_come_while_nothing_is_asked_spoil_it(self):
@@ -84,7 +84,7 @@
         self.seen[0].transport.write(ANSWER % b"r0")
         self.world.run(0.1)
         self.assertEqual(
-            (self.board.count["surplusBytes"], self.pool.idle, self.pool.count),
+            (self.telemetry.count["surplusBytes"], self.pool.idle, self.pool.count),
             (1, {("w1", "10.1.0.1:8080"): []}, {"10.1.0.1:8080": 0}),
         )
         self.assertIsNot(self.take(), link)
@@ -154,7 +154,7 @@
         self.within(one.close)
         self.world.run(0.01)
         self.assertFalse(is_fault(self.take()))
-        self.assertEqual(self.board.count["connectionsCapped"], 1)
+        self.assertEqual(self.telemetry.count["connectionsCapped"], 1)
         self.assertEqual(self.take().code, NO_CONNECTION.code)
         self.give(self.exchange("r1", two))
         self.assertIs(self.take(), two)
--- /dev/null
+++ b/tests/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `swiftdeck/runtime`."""
--- a/tests/board/test_owner.py
+++ b/tests/runtime/test_command_queue.py
@@ -1,13 +1,13 @@
-"""Tests of `board/owner.py`."""
+"""Tests of `runtime/command_queue.py`."""
 
 import asyncio
 import unittest
 
-from swiftdeck.board.owner import Owner
+from swiftdeck.runtime.command_queue import CommandQueue
 from swiftdeck.sim.world import World
 
 
-class OwnerTest(unittest.TestCase):
+class CommandQueueTest(unittest.TestCase):
     def test_commands_do_not_overlap(self):
         world, seen = World(), []
 
@@ -17,7 +17,7 @@
             seen.append(name)
 
         async def main():
-            owner = Owner()
+            owner = CommandQueue()
             await asyncio.gather(owner.send(slow, "a"), owner.send(slow, "b"))
 
         world.start("p", "10.0.0.1", main)
--- a/tests/board/test_board.py
+++ b/tests/runtime/test_telemetry.py
@@ -1,11 +1,11 @@
-"""Tests of `board/board.py`."""
+"""Tests of `runtime/telemetry.py`."""
 
 import unittest
 
-from swiftdeck.board.board import Board
+from swiftdeck.runtime.telemetry import Telemetry
 
 
-class BoardTest(unittest.TestCase):
+class TelemetryTest(unittest.TestCase):
     def test_only_changes_are_logged(self):
         lines = []
 
@@ -13,7 +13,7 @@
             def info(self, event, **fields):
                 lines.append((event, fields["now"]))
 
-        board = Board(Log())
+        telemetry = Telemetry(Log())
         for value in (1, 1, 2, 2, 1):
-            board.put("health", value)
+            telemetry.set_fact("health", value)
         self.assertEqual(lines, [("health", 1), ("health", 2), ("health", 1)])
--- a/tests/board/test_beat.py
+++ b/tests/runtime/test_ticks.py
@@ -1,13 +1,13 @@
-"""Tests of `board/beat.py`."""
+"""Tests of `runtime/ticks.py`."""
 
 import asyncio
 import unittest
 
-from swiftdeck.board.beat import next_beat
+from swiftdeck.runtime.ticks import next_tick
 from swiftdeck.sim.world import World
 
 
-class BeatTest(unittest.TestCase):
+class TicksTest(unittest.TestCase):
     def test_work_of_several_paces_wakes_at_the_same_times(self):
         world, times = World(), {0.25: [], 0.5: []}
         world.start("a", "10.0.0.1", lambda: asyncio.sleep(0))
@@ -17,7 +17,7 @@
             loop = asyncio.get_running_loop()
             end_s = loop.time() + 5
             while loop.time() < end_s:
-                await next_beat(period_s)
+                await next_tick(period_s)
                 times[period_s].append(round(loop.time() / 0.05))
 
         async def main():
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -38,7 +38,7 @@
 
 def counts_broken_invariant(node):
     """A process in which an invariant was seen broken."""
-    node.board.count["invariant.planted"] += 1
+    node.telemetry.count["invariant.planted"] += 1
 
 
 def blind_to_clients(node):
--- a/tests/traffic/test_books.py
+++ b/tests/traffic/test_books.py
@@ -9,7 +9,7 @@
 
 class BooksTest(unittest.TestCase):
     def test_nothing_is_remembered_of_a_conversation_that_is_over(self):
-        from swiftdeck.board.board import Board
+        from swiftdeck.runtime.telemetry import Telemetry
         from swiftdeck.sim.world import World
         from swiftdeck.traffic.decisions import Decisions
 
@@ -20,7 +20,7 @@
                 return None
 
         async def main():
-            books = Books(Alone(), Board(), Decisions(lambda: 0.0))
+            books = Books(Alone(), Telemetry(), Decisions(lambda: 0.0))
             conversation = Conversation("c", "t", "shared", "w", "w1")
             books.open(conversation)
             for turn in range(20):
@@ -34,7 +34,7 @@
         self.assertEqual(seen, [4, ({}, {}, {})])
 
     def test_a_late_end_of_an_earlier_attempt_leaves_the_present_one_running(self):
-        from swiftdeck.board.board import Board
+        from swiftdeck.runtime.telemetry import Telemetry
         from swiftdeck.sim.world import World
         from swiftdeck.traffic.decisions import Decisions
 
@@ -51,7 +51,7 @@
             return AttemptEnd(call="a", attempt=attempt, conversation="c", never_sent=True)
 
         async def main():
-            books = Books(Alone(), Board(), Decisions(lambda: 0.0))
+            books = Books(Alone(), Telemetry(), Decisions(lambda: 0.0))
             conversation = Conversation("c", "t", "shared", "w", "w1")
             books.open(conversation)
             for attempt in (1, 2):
--- a/tests/traffic/test_lease_peeks.py
+++ b/tests/traffic/test_lease_peeks.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from swiftdeck.board.board import Board
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.fault import NOT_TAIL, TIMED_OUT
+from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.sim.world import World
 from swiftdeck.traffic.lease import PEEK_AGAIN_S, ConfigLease
 from swiftdeck.wire.messages import DurableConfigAsk, DurableConfigReturn
@@ -39,7 +39,7 @@
         view = SimpleNamespace(members=[])
         cluster_map = SimpleNamespace(tail=lambda: CORES[0], view=view, refresh=lambda: None)
         me = SimpleNamespace(name="r1", incarnation=7, addr="10.0.0.9:7000")
-        lease = ConfigLease(me, mesh, membership, cluster_map, Board())
+        lease = ConfigLease(me, mesh, membership, cluster_map, Telemetry())
         lease.peeks = True
         return lease
 
