--- a/swiftdeck/bench/worker.py
+++ b/swiftdeck/bench/worker.py
@@ -5,7 +5,7 @@
 import re
 
 from swiftdeck.bench.cache import Entry, PrefixCache
-from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, OTHER_WEIGHTS, is_fault
+from swiftdeck.fault import BAD_REQUEST, NOT_FOUND, WEIGHTS_MISMATCH, is_fault
 from swiftdeck.http.client import fetch_json
 from swiftdeck.http.server import HttpServer
 from swiftdeck.traffic.prefix import chain_of
@@ -163,7 +163,7 @@
         shown = {name: body[name] for name in SHOWN} | {"marker": marker}
         if body["weights"] != self.weights:
             self.record("refused", **shown)
-            return OTHER_WEIGHTS
+            return WEIGHTS_MISMATCH
         self.record("run", **shown, loaded=self.weights)
         whole = False
         try:
--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -9,10 +9,10 @@
 from swiftdeck.fault import (
     DISK_FAILED,
     DISK_FULL,
-    DISK_SLOW,
+    DISK_STALLED,
     NO_VIEW,
     NOT_VOTER,
-    OLD_VIEW,
+    STALE_VIEW,
     is_fault,
 )
 from swiftdeck.wire.messages import (
@@ -92,7 +92,7 @@
                 self.core_id = f"{self.random.getrandbits(64):016x}"
                 await self._keep(self._me())
         except OSError as error:
-            return DISK_FAILED.because(error)
+            return DISK_FAILED.with_reason(error)
         self._wait_out()
         return None
 
@@ -146,7 +146,7 @@
             await self.journal.sync()
             self.fault = None
         except OSError as error:
-            self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).because(error)
+            self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).with_reason(error)
             raise
 
     async def heal(self):
@@ -157,7 +157,9 @@
                     await self.journal.rewrite(list(self._whole()))
                     self.fault = None
                 except OSError as error:
-                    self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).because(error)
+                    self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).with_reason(
+                        error
+                    )
 
     async def sweep(self):
         """Read the own file back, and mend it from memory where it no longer reads."""
@@ -166,7 +168,7 @@
                 if not self.journal.is_sound():
                     await self.journal.rewrite(list(self._whole()))
             except OSError as error:
-                self.fault = DISK_FAILED.because(error)
+                self.fault = DISK_FAILED.with_reason(error)
 
     def is_fresh(self):
         """Whether this core has never known a view nor accepted one."""
@@ -194,7 +196,7 @@
         if ask.slot <= self.decided.number:
             return Promise(granted=False, decided=self.decided, core_id=self.core_id)
         if ask.slot != self.decided.number + 1:
-            return OLD_VIEW.because(f"slot {ask.slot}, view {self.decided.number}")
+            return STALE_VIEW.with_reason(f"slot {ask.slot}, view {self.decided.number}")
         if not (self.is_voter() if self.decided.number else self.may_found):
             return NOT_VOTER
         if ask.ballot < least_ballot:
@@ -294,7 +296,7 @@
 
     def own_trouble(self):
         if self.journal.stall_ms() > 1000:
-            return f"{DISK_SLOW.code} {DISK_SLOW.name}"
+            return f"{DISK_STALLED.code} {DISK_STALLED.name}"
         return f"{self.fault.code} {self.fault.reason}" if self.fault is not None else ""
 
     def on_lease_ask(self, ask, sender):
@@ -377,7 +379,7 @@
     async def _bounded(self, work, timeoutMs):
         task = asyncio.ensure_future(work)
         await asyncio.wait([task], timeout=timeoutMs / 1000)
-        return task.result() if task.done() else DISK_SLOW
+        return task.result() if task.done() else DISK_STALLED
 
     async def propose(self, view: View):
         """One round for the next view; gives the decided view or a fault."""
@@ -431,5 +433,5 @@
         ]
         if len(granted) < least:
             self.slot.promised = max(self.slot.promised, highest)
-            return NO_VIEW.because(f"{len(granted)} of {len(voters)} voters granted")
+            return NO_VIEW.with_reason(f"{len(granted)} of {len(voters)} voters granted")
         return granted
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -16,15 +16,15 @@
 from swiftdeck.disk.journal import Journal
 from swiftdeck.fault import (
     BAD_FRAME,
-    DAMAGED,
+    CORRUPT_RECORD,
     DISK_FAILED,
     DISK_FULL,
-    DISK_SLOW,
-    GAP,
+    DISK_STALLED,
+    MISSING_ENTRIES,
     NO_VIEW,
     NOT_HEAD,
     NOT_TAIL,
-    OLD_VIEW,
+    STALE_VIEW,
     UNKNOWN_CHANGE,
     is_fault,
 )
@@ -125,9 +125,9 @@
             loaded = self.journal.load()
             records = loaded if is_fault(loaded) else log_records.read(loaded)
         except OSError as error:
-            records = DISK_FAILED.because(error)
+            records = DISK_FAILED.with_reason(error)
         except msgspec.ValidationError as error:
-            records = DAMAGED.because(f"{self.journal.name}: {error}")
+            records = CORRUPT_RECORD.with_reason(f"{self.journal.name}: {error}")
         if is_fault(records):
             self.fault, self.needs_copy = records, True
             return
@@ -138,7 +138,7 @@
         if not records and not is_known:
             self.unwritten.append(log_records.Begin())
         elif not records and self.agreement.position() >= 0:
-            self.fault, self.needs_copy = DAMAGED.because("chain.log is missing"), True
+            self.fault, self.needs_copy = CORRUPT_RECORD.with_reason("chain.log is missing"), True
 
     def _restore(self, record):
         match record:
@@ -156,7 +156,7 @@
     def trouble(self):
         """Why this member should leave the chain, empty when it need not."""
         if self.journal.stall_ms() > 1000:
-            return f"{DISK_SLOW.code} {DISK_SLOW.name}"
+            return f"{DISK_STALLED.code} {DISK_STALLED.name}"
         return f"{self.fault.code} {self.fault.reason}" if self.fault is not None else ""
 
     def on_view(self, view):
@@ -257,7 +257,7 @@
         self.state.apply(msgspec.msgpack.decode(body))
         if not self.state.is_true:
             self.fault, self.needs_copy = (
-                DAMAGED.because("a change gave another configuration here"),
+                CORRUPT_RECORD.with_reason("a change gave another configuration here"),
                 True,
             )
         self.serial = serial
@@ -288,7 +288,7 @@
         if not self._may_write():
             return NOT_HEAD
         if not self.has_copies():
-            return NO_VIEW.because(
+            return NO_VIEW.with_reason(
                 f"fewer than {self.losses_borne + 1} members acknowledge nothing"
             )
         if self.fault is not None:
@@ -297,7 +297,7 @@
             change = msgspec.msgpack.decode(ask.body)
             change["t"]
         except (msgspec.DecodeError, KeyError, TypeError) as error:
-            return BAD_FRAME.because(error)
+            return BAD_FRAME.with_reason(error)
         done = self.loop.create_future()
         self.incoming.append((change, done))
         self.owner.send(self._take_incoming)
@@ -325,7 +325,7 @@
                 self.wake_committers()
         else:
             for done, _ in waiting:
-                self._finish(done, OLD_VIEW.because("synced nowhere"))
+                self._finish(done, STALE_VIEW.with_reason("synced nowhere"))
 
     async def _confirmed(self, refusal):
         """A refusal, once what it rests on is committed.
@@ -336,7 +336,7 @@
         if is_same and await self.is_committed(refusal.serial):
             return refusal.fault
         self.telemetry.count["refusalsWithheld"] += 1
-        return NOT_HEAD.because("what speaks against the change is not committed")
+        return NOT_HEAD.with_reason("what speaks against the change is not committed")
 
     async def is_committed(self, serial):
         """Whether the tail of the view has this head's entries up to a serial, hence every member and each later view."""
@@ -365,7 +365,7 @@
             if self.synced >= ask.serial:
                 return Done(count=self.synced)
             if self.loop.time() >= end_s:
-                return UNKNOWN_CHANGE.because(f"entry {ask.serial} is not here yet")
+                return UNKNOWN_CHANGE.with_reason(f"entry {ask.serial} is not here yet")
             await self.await_commit(end_s)
 
     async def known_committed(self):
@@ -385,7 +385,7 @@
         try:
             entry = self.state.examine(change)
         except (KeyError, TypeError, ValueError) as error:
-            return BAD_FRAME.because(repr(error))
+            return BAD_FRAME.with_reason(repr(error))
         if is_fault(entry):
             return Refusal(entry, self.agreement.decided.number, self.serial)
         if entry is None:
@@ -403,7 +403,7 @@
         self.unwritten.append(log_records.Entry(serial, body))
 
     def _fail(self, error):
-        self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).because(error)
+        self.fault = (DISK_FULL if error.errno == 28 else DISK_FAILED).with_reason(error)
         self.telemetry.set_fact("disk", self.fault.name)
 
     async def _sync(self):
@@ -449,7 +449,11 @@
 
     async def heal(self):
         """After a fault of the disk: try to write the whole state anew."""
-        if self.fault is not None and not self.needs_copy and self.fault.code != DAMAGED.code:
+        if (
+            self.fault is not None
+            and not self.needs_copy
+            and self.fault.code != CORRUPT_RECORD.code
+        ):
             try:
                 await self.owner.send(self._rewrite)
                 self.fault = None
@@ -538,7 +542,7 @@
     async def _take_pass(self, ask, sender):
         view, at = self.agreement.decided, self.agreement.position()
         if ask.view != view.number or at < 1 or view.members[at - 1].addr != sender:
-            return OLD_VIEW.because(f"pass in view {ask.view}, here {view.number}")
+            return STALE_VIEW.with_reason(f"pass in view {ask.view}, here {view.number}")
         is_behind = ask.must_copy or (ask.entries and ask.entries[0].serial > self.serial + 1)
         has_copied = self.needs_copy or is_behind and self.serial < ask.last
         if has_copied:
@@ -552,7 +556,7 @@
         if is_level and not await self._note_complete():
             return self.fault
         if ask.view != self.agreement.decided.number:
-            return OLD_VIEW
+            return STALE_VIEW
         if self.fault is not None:
             return self.fault
         if is_level:
@@ -569,7 +573,7 @@
         fresh = [entry for entry in entries if entry.serial > self.serial]
         for entry in fresh:
             if entry.serial != self.serial + 1:
-                return GAP.because(f"{entry.serial} after {self.serial}")
+                return MISSING_ENTRIES.with_reason(f"{entry.serial} after {self.serial}")
             self._append(entry.serial, entry.body)
         return self.fault if fresh and not await self._sync() else None
 
--- a/swiftdeck/chain/change_writer.py
+++ b/swiftdeck/chain/change_writer.py
@@ -6,25 +6,25 @@
 
 from swiftdeck.fault import (
     BAD_FRAME,
-    BASE_AHEAD,
-    FORGOTTEN,
-    INVALID,
-    LOST_RACE,
+    BASE_VERSION_AHEAD,
+    CHANGE_FORGOTTEN,
+    CHANGE_ID_REUSED,
+    INVALID_CONFIG,
     NO_VIEW,
     NOT_HEAD,
     NOT_TAIL,
-    OLD_VIEW,
-    REUSED_CHANGE,
-    TIMED_OUT,
-    UNDECIDED,
+    OUTCOME_UNDECIDED,
+    PEER_TIMEOUT,
+    PEER_UNREACHABLE,
+    STALE_VIEW,
     UNKNOWN_CHANGE,
-    UNREACHABLE,
+    VERSION_CONFLICT,
     is_fault,
 )
 from swiftdeck.wire.messages import OutcomeAsk, Write
 
-REFUSALS = {LOST_RACE.code, INVALID.code, REUSED_CHANGE.code, BAD_FRAME.code}
-NEVER_TAKEN = {UNREACHABLE.code, NOT_HEAD.code, NO_VIEW.code, BASE_AHEAD.code}
+REFUSALS = {VERSION_CONFLICT.code, INVALID_CONFIG.code, CHANGE_ID_REUSED.code, BAD_FRAME.code}
+NEVER_TAKEN = {PEER_UNREACHABLE.code, NOT_HEAD.code, NO_VIEW.code, BASE_VERSION_AHEAD.code}
 
 
 class ChangeWriter:
@@ -53,24 +53,28 @@
                 may_be_taken = True
                 outcome = await self.outcome(change_id, max(1, int((end_s - loop.time()) * 1000)))
                 if not is_fault(outcome) or outcome.code != UNKNOWN_CHANGE.code:
-                    return outcome if not is_fault(outcome) else UNDECIDED.because(change_id)
+                    return (
+                        outcome
+                        if not is_fault(outcome)
+                        else OUTCOME_UNDECIDED.with_reason(change_id)
+                    )
                 continue
             if got.code in REFUSALS:
                 return (
                     got
-                    if not may_be_taken or got.code == REUSED_CHANGE.code
+                    if not may_be_taken or got.code == CHANGE_ID_REUSED.code
                     else await self._settle(change_id, got, end_s)
                 )
-            if got.code == FORGOTTEN.code:
-                return UNDECIDED.because(f"{change_id}: {got.reason}")
+            if got.code == CHANGE_FORGOTTEN.code:
+                return OUTCOME_UNDECIDED.with_reason(f"{change_id}: {got.reason}")
             may_be_taken = may_be_taken or got.code not in NEVER_TAKEN
             last = got
             self.cluster_map.refresh()
             await asyncio.sleep(0.1)
         return (
-            UNDECIDED.because(f"{change_id}: {last.reason or last.name}")
+            OUTCOME_UNDECIDED.with_reason(f"{change_id}: {last.reason or last.name}")
             if may_be_taken
-            else NO_VIEW.because(last.name)
+            else NO_VIEW.with_reason(last.name)
         )
 
     async def _settle(self, change_id, refusal, end_s):
@@ -78,7 +82,7 @@
         got = await self.outcome(change_id, max(1, min(2000, int((end_s - loop.time()) * 1000))))
         if is_fault(got) and got.code == UNKNOWN_CHANGE.code:
             return refusal
-        return got if not is_fault(got) else UNDECIDED.because(change_id)
+        return got if not is_fault(got) else OUTCOME_UNDECIDED.with_reason(change_id)
 
     async def outcome(self, change_id: str, deadline_ms=2000):
         """What the tail knows of a change: its outcome, an unknown change, or undecided."""
@@ -104,7 +108,9 @@
             if got.code != UNKNOWN_CHANGE.code:
                 self.cluster_map.refresh()
                 await asyncio.sleep(0.05)
-        return last if last.code == UNKNOWN_CHANGE.code else UNDECIDED.because(change_id)
+        return (
+            last if last.code == UNKNOWN_CHANGE.code else OUTCOME_UNDECIDED.with_reason(change_id)
+        )
 
     async def read_tail(self, ask, deadline_ms=3000):
         """Ask the tail, wherever it is now."""
@@ -115,9 +121,9 @@
             got = NOT_TAIL if tail is None else await self.mesh.ask(tail, ask, 1000)
             if not is_fault(got) or got.code not in (
                 NOT_TAIL.code,
-                UNREACHABLE.code,
-                TIMED_OUT.code,
-                OLD_VIEW.code,
+                PEER_UNREACHABLE.code,
+                PEER_TIMEOUT.code,
+                STALE_VIEW.code,
             ):
                 return got
             self.cluster_map.refresh()
--- a/swiftdeck/chain/config_updates.py
+++ b/swiftdeck/chain/config_updates.py
@@ -59,7 +59,7 @@
     try:
         parts = msgspec.msgpack.decode(zlib.decompress(told.packed), type=list[bytes])
     except (zlib.error, msgspec.DecodeError) as error:
-        return BAD_FRAME.because(f"packed configuration: {error}")
+        return BAD_FRAME.with_reason(f"packed configuration: {error}")
     if told.is_whole:
         told.document = parts[0] if parts else b""
     else:
--- a/swiftdeck/chain/departure.py
+++ b/swiftdeck/chain/departure.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from swiftdeck.chain.agreement import ids
-from swiftdeck.fault import OLD_VIEW, is_fault
+from swiftdeck.fault import STALE_VIEW, is_fault
 from swiftdeck.wire.messages import LeaveAsk, View
 
 LOOK_S, PASS_ON_S, LINGER_S = 0.05, 0.5, 0.1
@@ -74,7 +74,7 @@
             await asyncio.sleep(LOOK_S / 10)
 
     async def _ask_others(self, view):
-        got = OLD_VIEW
+        got = STALE_VIEW
         for ref in view.voters:
             got = await self.mesh.ask(
                 ref.addr, LeaveAsk(core_id=self.agreement.core_id, view=view.number), 3000
@@ -88,7 +88,7 @@
         """A member without a vote wants to leave; gives the view without it."""
         view = self.agreement.decided
         if ask.view != view.number or ask.core_id not in ids(view.members):
-            return OLD_VIEW
+            return STALE_VIEW
         return await self.agreement.propose(self._without(view, ask.core_id))
 
     def _without(self, view, core_id):
--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -8,11 +8,11 @@
 from swiftdeck.config.configuration import Configuration
 from swiftdeck.config.document import EDITION, merge
 from swiftdeck.fault import (
-    BASE_AHEAD,
-    FORGOTTEN,
-    INVALID,
-    LOST_RACE,
-    REUSED_CHANGE,
+    BASE_VERSION_AHEAD,
+    CHANGE_FORGOTTEN,
+    CHANGE_ID_REUSED,
+    INVALID_CONFIG,
+    VERSION_CONFLICT,
     is_fault,
 )
 
@@ -40,7 +40,7 @@
     """The fault of an operator's change that no configuration could take, None where it takes one to tell."""
     edition, base = change.get("edition"), change.get("onEdition")
     if edition is not None and edition <= base:
-        return INVALID.because(f"$.edition: {edition} is not above {base}")
+        return INVALID_CONFIG.with_reason(f"$.edition: {edition} is not above {base}")
     if change["op"] != "replace" or edition is None:
         return None
     told = change["document"].get("edition", {}).get(EDITION, {})
@@ -92,7 +92,7 @@
         old = self.outcomes.find(change["id"])
         if old:
             is_same = old.digest == digest[:DIGEST_CHARS]
-            return None if is_same else REUSED_CHANGE.because(change["id"])
+            return None if is_same else CHANGE_ID_REUSED.with_reason(change["id"])
         delta = self._delta(change)
         if is_fault(delta):
             return delta
@@ -129,7 +129,7 @@
         if op in ("put", "patch"):
             return self.config.put(document) if op == "put" else self.config.patch(document)
         if op not in ("replace", "items"):
-            return INVALID.because(f"op `{op}` is not known")
+            return INVALID_CONFIG.with_reason(f"op `{op}` is not known")
         tables = document | ({"edition": self._edition(change)} if "edition" in change else {})
         return (self.config.replace if op == "replace" else self.config.items)(
             tables, change.get("ensure", {})
@@ -141,8 +141,12 @@
             return self._outpaced_edition(change["edition"], change["onEdition"])
         base, newest = change["base"], self.stored.version
         if base < newest and base < self.outcomes.horizon().version:
-            return FORGOTTEN.because(f"base {base}, newest {newest}")
-        return None if base == newest else LOST_RACE.because(f"base {base}, newest {newest}")
+            return CHANGE_FORGOTTEN.with_reason(f"base {base}, newest {newest}")
+        return (
+            None
+            if base == newest
+            else VERSION_CONFLICT.with_reason(f"base {base}, newest {newest}")
+        )
 
     def _outpaced_edition(self, edition, base):
         """A fault where a change of the operator's own numbers is not the next one.
@@ -153,12 +157,16 @@
         held = self.config.document.edition.get(EDITION)
         number = held.number if held else 0
         if edition <= base:
-            return INVALID.because(f"$.edition: {edition} is not above {base}")
+            return INVALID_CONFIG.with_reason(f"$.edition: {edition} is not above {base}")
         if base > number:
-            return BASE_AHEAD.because(f"on edition {base}, newest {number}")
+            return BASE_VERSION_AHEAD.with_reason(f"on edition {base}, newest {number}")
         if base < number and edition <= self.outcomes.horizon().edition:
-            return FORGOTTEN.because(f"on edition {base}, newest {number}")
-        return None if base == number else LOST_RACE.because(f"on edition {base}, newest {number}")
+            return CHANGE_FORGOTTEN.with_reason(f"on edition {base}, newest {number}")
+        return (
+            None
+            if base == number
+            else VERSION_CONFLICT.with_reason(f"on edition {base}, newest {number}")
+        )
 
     def _edition(self, change):
         """The table of the edition after a change: whole where it is replaced, else what is told of it merged in."""
@@ -182,7 +190,9 @@
     def _raised(self, model, weights):
         held = self.config.raws.get("models", {}).get(model)
         if held is None or not held["weights"].isdecimal():
-            return INVALID.because(f"$.models.{model}: no such model with numbered weights")
+            return INVALID_CONFIG.with_reason(
+                f"$.models.{model}: no such model with numbered weights"
+            )
         return (
             None
             if int(held["weights"]) >= weights
--- a/swiftdeck/chain/state_transfer.py
+++ b/swiftdeck/chain/state_transfer.py
@@ -10,7 +10,14 @@
 
 from swiftdeck.chain.agreement import ids
 from swiftdeck.chain.state import ChainState
-from swiftdeck.fault import DAMAGED, GAP, NOT_TAIL, OLD_VIEW, TIMED_OUT, is_fault
+from swiftdeck.fault import (
+    CORRUPT_RECORD,
+    MISSING_ENTRIES,
+    NOT_TAIL,
+    PEER_TIMEOUT,
+    STALE_VIEW,
+    is_fault,
+)
 from swiftdeck.wire.messages import ChainEntry, CopyAsk, CopyReturn, LogAsk, LogReturn
 
 BATCH_BYTES, FIRST_BATCH_BYTES, LEAST_BATCH_BYTES, ASK_MS = 256 << 10, 16 << 10, 4 << 10, 2000
@@ -111,7 +118,7 @@
         """The log's tail after a serial, as far as it is synced at a whole member of the view that is asked for."""
         chain = self.chain
         if ask.view and ask.view != chain.agreement.decided.number:
-            return OLD_VIEW.because(
+            return STALE_VIEW.with_reason(
                 f"log of view {ask.view}, here {chain.agreement.decided.number}"
             )
         if not self._is_whole_tail() or chain.fault is not None or chain.awaits_last_sync():
@@ -123,7 +130,7 @@
             entries.append(ChainEntry(serial=serial, body=chain.entries[serial]))
             size += len(chain.entries[serial])
         is_gap = ask.serial > chain.synced or ask.serial < chain.synced and not entries
-        return GAP if is_gap else LogReturn(entries=entries, last=chain.synced)
+        return MISSING_ENTRIES if is_gap else LogReturn(entries=entries, last=chain.synced)
 
     async def join_up(self, addr, view):
         """Get level with a tail: by its log where the state here came from a tail already, else by a copy first.
@@ -132,8 +139,8 @@
         whole tail of the very view has that is to be joined: all before that tail are whole then, so that at most one member of
         the next view is partial, and none ever compares itself with another one that lacks entries too.
         """
-        fault = await self._take_log(addr, view) if self.is_copy else GAP
-        if is_fault(fault) and fault.code == GAP.code:
+        fault = await self._take_log(addr, view) if self.is_copy else MISSING_ENTRIES
+        if is_fault(fault) and fault.code == MISSING_ENTRIES.code:
             self.chain.is_partial = True
             got = await self.take(addr)
             if is_fault(got):
@@ -153,7 +160,7 @@
             fault = await chain.take_entries(got.entries)
             if is_fault(fault) or chain.serial >= got.last:
                 return fault
-        return TIMED_OUT.because(f"log of {addr}")
+        return PEER_TIMEOUT.with_reason(f"log of {addr}")
 
     async def take(self, addr, above=-1):
         """Take over the state of the core at an address; with `above`, only a longer one of this very view."""
@@ -166,7 +173,7 @@
             or above >= 0
             and (got.view != chain.agreement.decided.number or chain.serial != above)
         ):
-            return OLD_VIEW.because(f"{got.serial} entries there, {chain.serial} here")
+            return STALE_VIEW.with_reason(f"{got.serial} entries there, {chain.serial} here")
         chain.telemetry.count["copiesFromBehind"] += above >= 0
         return await self._install(got)
 
@@ -176,14 +183,18 @@
         end_s = loop.time() + TAKE_S
         while loop.time() < end_s:
             fault = await self._receive_batch(addr)
-            if fault is not None and fault.code != TIMED_OUT.code:
+            if fault is not None and fault.code != PEER_TIMEOUT.code:
                 return fault
             got = self.received
             if fault is None and len(got.data) >= got.size:
                 self.received = None
                 is_true = hashlib.sha256(got.data).digest()[:16] == got.digest
-                return got if is_true else DAMAGED.because("a copied state has another digest")
-        return TIMED_OUT.because(f"state of {addr}")
+                return (
+                    got
+                    if is_true
+                    else CORRUPT_RECORD.with_reason("a copied state has another digest")
+                )
+        return PEER_TIMEOUT.with_reason(f"state of {addr}")
 
     async def _receive_batch(self, addr):
         chain, held = self.chain, self.received
@@ -200,7 +211,7 @@
             held = Received(got.serial, got.view, got.size, got.digest, bytearray())
             self.received = held
         held.data += got.state
-        return None if got.state or not got.size else DAMAGED.because("an empty batch")
+        return None if got.state or not got.size else CORRUPT_RECORD.with_reason("an empty batch")
 
     def _adapt_batch(self, took_s):
         """Ask for more at once on a quick link, for less on a narrow one."""
@@ -217,6 +228,6 @@
             fresh.on_config = chain.state.on_config
             fresh.from_bytes(data)
         except (msgspec.DecodeError, zlib.error) as error:
-            return DAMAGED.because(error)
+            return CORRUPT_RECORD.with_reason(error)
         fault = await chain.replace_state(fresh, got.serial, data)
         return got if fault is None else fault
--- a/swiftdeck/chain/tail_queries.py
+++ b/swiftdeck/chain/tail_queries.py
@@ -1,6 +1,6 @@
 """What a tail answers: outcomes of changes, the configuration in force, leases for routers."""
 
-from swiftdeck.fault import NOT_TAIL, OLD_VIEW, UNKNOWN_CHANGE
+from swiftdeck.fault import NOT_TAIL, STALE_VIEW, UNKNOWN_CHANGE
 from swiftdeck.wire.messages import (
     ConfigAsk,
     ConfigReturn,
@@ -40,7 +40,7 @@
             if found is not None and chain.is_synced(serial):
                 return found
             if chain.loop.time() >= end_s:
-                return UNKNOWN_CHANGE.because(ask.change_id)
+                return UNKNOWN_CHANGE.with_reason(ask.change_id)
             await chain.await_commit(min(end_s, self._confirmed_by_s(ask.change_id)))
 
     def _outcome(self, change_id: str) -> OutcomeReturn | None:
@@ -93,7 +93,7 @@
             chain.wake_committers()
             return LeaseReturn(version=durable.version)
         if ask.held > durable.version:
-            return OLD_VIEW.because("router knows a newer version")
+            return STALE_VIEW.with_reason("router knows a newer version")
         chain.weight_ages.merge(ask.named, now_s)
         if self.leases.renew(ask) >= durable.version:
             chain.wake_committers()
--- a/swiftdeck/chain/view_manager.py
+++ b/swiftdeck/chain/view_manager.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from swiftdeck.chain.agreement import ids
-from swiftdeck.fault import OLD_VIEW, is_fault
+from swiftdeck.fault import STALE_VIEW, is_fault
 from swiftdeck.wire.messages import CoreRef, Done, JoinAsk, View, ViewAsk
 
 SWEEP_S = 30.0
@@ -299,7 +299,7 @@
             or self.agreement.position() < 0
             or ask.core_id in ids(view.members)
         ):
-            return OLD_VIEW
+            return STALE_VIEW
         ref = CoreRef(core_id=ask.core_id, addr=ask.addr)
         others = [each for each in view.members if each.addr != ref.addr]
         members = [*others[:-1], ref, others[-1]] if len(others) > 1 else [*others, ref]
--- a/swiftdeck/config/configuration.py
+++ b/swiftdeck/config/configuration.py
@@ -17,7 +17,7 @@
     merge,
     told,
 )
-from swiftdeck.fault import INVALID, is_fault
+from swiftdeck.fault import INVALID_CONFIG, is_fault
 
 KINDS = {
     "models": Model,
@@ -85,7 +85,7 @@
         try:
             raws = msgspec.json.decode(data or b"{}")
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            return INVALID.because(f"$: {error}")
+            return INVALID_CONFIG.with_reason(f"$: {error}")
         empty = cls.empty()
         delta = empty.put(raws)
         return delta if is_fault(delta) else empty.apply(delta)
@@ -117,7 +117,7 @@
     def put(self, whole):
         """The entries in which a whole document differs, or a fault."""
         if not isinstance(whole, dict):
-            return INVALID.because("$: expected an object")
+            return INVALID_CONFIG.with_reason("$: expected an object")
         delta = {table: None for table in self.raws if table not in whole}
         for table, part in whole.items():
             if not isinstance(part, dict):
@@ -133,7 +133,7 @@
             if fresh or gone or table not in self.raws:
                 delta[table] = gone | fresh
             if None in fresh.values():
-                return INVALID.because(f"$.{table}: an entry is null")
+                return INVALID_CONFIG.with_reason(f"$.{table}: an entry is null")
         return self._checked(delta)
 
     def replace(self, tables: dict, ensure: dict):
@@ -150,7 +150,7 @@
             None,
         )
         if wrong is not None:
-            return INVALID.because(f"$.{wrong}: expected an object of entries")
+            return INVALID_CONFIG.with_reason(f"$.{wrong}: expected an object of entries")
         wholes = {
             table: part | self._missing(ensure.get(table, {}), part)
             for table, part in tables.items()
@@ -168,7 +168,7 @@
         """The entries put or removed whole, and those to be there that aren't, or a fault."""
         wrong = next((table for table, part in tables.items() if not isinstance(part, dict)), None)
         if wrong is not None:
-            return INVALID.because(f"$.{wrong}: expected an object")
+            return INVALID_CONFIG.with_reason(f"$.{wrong}: expected an object")
         delta = self._added(ensure, {})
         for table, part in tables.items():
             held = self.raws.get(table, {})
@@ -191,22 +191,22 @@
     def _checked(self, delta):
         for table, part in delta.items():
             if table not in KINDS:
-                return INVALID.because(f"$: unknown table `{table}`")
+                return INVALID_CONFIG.with_reason(f"$: unknown table `{table}`")
             if part is not None and not isinstance(part, (dict, tuple)):
-                return INVALID.because(f"$.{table}: expected an object")
+                return INVALID_CONFIG.with_reason(f"$.{table}: expected an object")
             for name, entry in _changes({}, part).items():
                 try:
                     msgspec.convert(name, Name)
                     if entry is not None:
                         msgspec.convert(entry, KINDS[table])
                 except msgspec.ValidationError as error:
-                    return INVALID.because(told(error, f"$.{table}.{name}"))
+                    return INVALID_CONFIG.with_reason(told(error, f"$.{table}.{name}"))
         fresh = self.apply(delta)
         if fresh.size > BYTES_MOST:
-            return INVALID.because(f"$: configuration is over {BYTES_MOST} bytes")
+            return INVALID_CONFIG.with_reason(f"$: configuration is over {BYTES_MOST} bytes")
         first = next(fresh.document.dangling(), None)
         self._next = (delta, fresh)
-        return delta if first is None else INVALID.because(first)
+        return delta if first is None else INVALID_CONFIG.with_reason(first)
 
     def apply(self, delta: dict) -> "Configuration":
         """The configuration after a checked change; an entry of None is removed."""
--- a/swiftdeck/config/settings.py
+++ b/swiftdeck/config/settings.py
@@ -127,6 +127,6 @@
         }
         settings = msgspec.convert(values, Settings)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
-        return BAD_SETTING.because(f"{path}: {error}" if path else error)
+        return BAD_SETTING.with_reason(f"{path}: {error}" if path else error)
     first = next(settings.faults(), None)
-    return settings if first is None else BAD_SETTING.because(first)
+    return settings if first is None else BAD_SETTING.with_reason(first)
--- a/swiftdeck/control/archive.py
+++ b/swiftdeck/control/archive.py
@@ -122,7 +122,7 @@
                 None,
             )
             return (
-                NOT_FOUND.because(f"version {version}")
+                NOT_FOUND.with_reason(f"version {version}")
                 if found is None
                 else repo[repo[found.tree][FILE][1]].data.decode()
             )
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -13,7 +13,7 @@
 from swiftdeck.control.node import Node
 from swiftdeck.control.operators import Operators
 from swiftdeck.duty.ballots import Ballots
-from swiftdeck.fault import DAMAGED, UNDECIDED, is_fault
+from swiftdeck.fault import CORRUPT_RECORD, OUTCOME_UNDECIDED, is_fault
 from swiftdeck.http.server import HttpServer
 from swiftdeck.member.core_watch import CoreWatch
 
@@ -90,7 +90,7 @@
     async def start(self):
         """Come up with what the disk has, and join the fleet."""
         fault = await self.agreement.start()
-        if is_fault(fault) and fault.code == DAMAGED.code:
+        if is_fault(fault) and fault.code == CORRUPT_RECORD.code:
             self.telemetry.log_event("agreement damaged, begins as a new core", reason=fault.reason)
             await self.agreement.journal.rewrite([])
             self.agreement.may_found = False
@@ -125,7 +125,7 @@
         """Finish what operators asked, hand place and vote over, then leave."""
         self.http.stop()
         await asyncio.gather(
-            self.http.finish(EXCHANGES_S, UNDECIDED),
+            self.http.finish(EXCHANGES_S, OUTCOME_UNDECIDED),
             self.departure.leave(self.settings.stopMs / 1000),
         )
         self.membership.leave()
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from swiftdeck.fault import BAD_METHOD, BAD_OPERATOR, BAD_REQUEST, NOT_FOUND, is_fault
+from swiftdeck.fault import BAD_METHOD, BAD_OPERATOR_KEY, BAD_REQUEST, NOT_FOUND, is_fault
 from swiftdeck.wire.messages import ConfigAsk
 
 
@@ -16,7 +16,7 @@
         """One exchange with an operator."""
         key = self.core.settings.operatorKey
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
-            return BAD_OPERATOR
+            return BAD_OPERATOR_KEY
         self.core.telemetry.count["operatorExchanges"] += 1
         path, method = exchange.path.rstrip("/"), exchange.method
         if path == "/v1/config":
@@ -90,20 +90,20 @@
 
     def _malformed(self, asked):
         if not isinstance(asked, dict):
-            return BAD_REQUEST.because("a change is an object")
+            return BAD_REQUEST.with_reason("a change is an object")
         unknown = set(asked) - {"id", "op", "base", "author", "document"}
         if unknown:
-            return BAD_REQUEST.because(f"unknown field {min(unknown)}")
+            return BAD_REQUEST.with_reason(f"unknown field {min(unknown)}")
         if asked.get("op") not in ("put", "patch"):
-            return BAD_REQUEST.because("op is put or patch")
+            return BAD_REQUEST.with_reason("op is put or patch")
         if not isinstance(asked.get("id"), str) or not 0 < len(asked["id"]) <= 100:
-            return BAD_REQUEST.because("id is a text of 1 to 100 characters")
+            return BAD_REQUEST.with_reason("id is a text of 1 to 100 characters")
         if not isinstance(asked.get("author", ""), str) or len(asked.get("author", "")) > 200:
-            return BAD_REQUEST.because("author is a text of at most 200 characters")
+            return BAD_REQUEST.with_reason("author is a text of at most 200 characters")
         if not str(asked.get("base", "")).isdecimal() or len(str(asked["base"])) > 15:
-            return BAD_REQUEST.because("base is the version that the change builds on")
+            return BAD_REQUEST.with_reason("base is the version that the change builds on")
         if not isinstance(asked.get("document"), dict):
-            return BAD_REQUEST.because("document is an object")
+            return BAD_REQUEST.with_reason("document is an object")
         return None
 
     async def _stream(self, exchange):
@@ -118,7 +118,7 @@
                         ({"id": self._new_id()} | asked) if isinstance(asked, dict) else asked
                     )
                 except (msgspec.DecodeError, RecursionError) as error:
-                    told = BAD_REQUEST.because(f"line is not JSON: {error}").as_body()
+                    told = BAD_REQUEST.with_reason(f"line is not JSON: {error}").as_body()
                 await exchange.piece(msgspec.json.encode(told) + b"\n")
         exchange.finish()
 
@@ -136,7 +136,7 @@
             archive.run(archive.document, int(version)) if version else archive.run(archive.log)
         )
         if got is None or is_fault(got):
-            return NOT_FOUND.because("the archive of this core does not have it")
+            return NOT_FOUND.with_reason("the archive of this core does not have it")
         return await exchange.give(
             200, {"version": int(version), "text": got} if version else {"versions": got}
         )
@@ -148,6 +148,6 @@
         if not isinstance(body, list) or not all(
             isinstance(each, str) and ":" in each for each in body
         ):
-            return BAD_REQUEST.because("seeds are a list of IP:PORT")
+            return BAD_REQUEST.with_reason("seeds are a list of IP:PORT")
         self.core.membership.set_seeds(body)
         return await exchange.give(200, {"seeds": body})
--- a/swiftdeck/disk/journal.py
+++ b/swiftdeck/disk/journal.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from swiftdeck.fault import DAMAGED
+from swiftdeck.fault import CORRUPT_RECORD
 
 HEADER, CHECK = struct.Struct(">IIB"), struct.Struct(">H")
 MARK, OLD_MARK = 0xD6, 0xD5
@@ -49,7 +49,7 @@
                 if not self._is_torn(data, at) or any(
                     self._record_at(data, later) for later in self._marks(data, at + 1)
                 ):
-                    return DAMAGED.because(f"{self.name} at byte {at}")
+                    return CORRUPT_RECORD.with_reason(f"{self.name} at byte {at}")
                 self.folder.truncate(self.name, at)
                 break
             record, at = found
--- a/swiftdeck/duty/ballots.py
+++ b/swiftdeck/duty/ballots.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from swiftdeck.fault import NOT_VOTER, OLD_VIEW
+from swiftdeck.fault import NOT_VOTER, STALE_VIEW
 from swiftdeck.wire.messages import Nominate, Vote
 
 RELEASES_KEPT = 1024
@@ -48,7 +48,7 @@
         if not self.agreement.is_voter():
             return NOT_VOTER
         if ask.view != self.agreement.decided.number or self.agreement.slot.accepted is not None:
-            return OLD_VIEW.because(f"view {self.agreement.decided.number}")
+            return STALE_VIEW.with_reason(f"view {self.agreement.decided.number}")
         if ask.release:
             self._release(ask, held, now_s)
             return Vote(granted=True)
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -8,12 +8,12 @@
 from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
 from swiftdeck.fault import (
-    BAD_OPERATOR,
+    BAD_API_KEY,
+    BAD_OPERATOR_KEY,
     NO_LEASE,
     NO_ROUTE,
     NOT_FOUND,
-    STOPPING,
-    UNKNOWN_KEY,
+    ROUTER_STOPPING,
     WORKER_LOST,
     is_fault,
 )
@@ -338,7 +338,7 @@
             return await self.refuse(exchange, request, None)
         exchange.name = request.name
         if not self.drain.admits(start_s):
-            return await self.refuse(exchange, STOPPING, request)
+            return await self.refuse(exchange, ROUTER_STOPPING, request)
         if self.routes is None:
             return await self.refuse(exchange, NO_LEASE, request)
         route = self.routes.find(request.host, request.path)
@@ -347,7 +347,7 @@
         tenant = self.tenants.get(key_digest(request.key), "") if request.key else ""
         edition = self.document.edition.get(OPERATOR)
         if not tenant and not route.path.public and (edition is None or edition.keyed):
-            return await self.refuse(exchange, UNKNOWN_KEY, request)
+            return await self.refuse(exchange, BAD_API_KEY, request)
         proxied_request = ProxiedRequest(self, exchange, request, route, tenant, start_s)
         self.budget.call(proxied_request.service)
         return await proxied_request.serve()
@@ -356,7 +356,7 @@
         """One request of an operator."""
         key = self.settings.operatorKey
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
-            return BAD_OPERATOR
+            return BAD_OPERATOR_KEY
         told = {"/v1/status": self.status, "/v1/counters": self.counters}.get(
             exchange.path.rstrip("/")
         )
--- a/swiftdeck/gateway/ledger.py
+++ b/swiftdeck/gateway/ledger.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from swiftdeck.fault import DEADLINE_PASSED, STREAM_BROKEN, UNREACHED, WORKER_LOST, Fault
+from swiftdeck.fault import DEADLINE_PASSED, STREAM_BROKEN, WORKER_LOST, WORKER_UNREACHABLE, Fault
 
 
 class Move(enum.Enum):
@@ -52,12 +52,16 @@
         """The final fault: one that promises "not run" only where no attempt may have run."""
         ran = [each for each in self.attempts if each.may_have_run()]
         if not ran:
-            return fault if fault.notRun else UNREACHED.because(fault.reason or fault.name)
+            return (
+                fault
+                if fault.notRun
+                else WORKER_UNREACHABLE.with_reason(fault.reason or fault.name)
+            )
         known = ran[-1].fault
         return (
             known
             if known is not None and not known.notRun
-            else WORKER_LOST.because(fault.reason or fault.name)
+            else WORKER_LOST.with_reason(fault.reason or fault.name)
         )
 
 
--- a/swiftdeck/gateway/pool.py
+++ b/swiftdeck/gateway/pool.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from swiftdeck.fault import NO_CONNECTION, UNREACHED, WORKER_LOST, is_fault
+from swiftdeck.fault import NO_CONNECTION, WORKER_LOST, WORKER_UNREACHABLE, is_fault
 from swiftdeck.http.client import HttpLink
 
 KEEP_S, SPARE_S, FOREVER_S = 20.0, 1.0, 1e9
@@ -53,7 +53,7 @@
     def send_request(self, method, target, headers, body):
         """Write one request; a fault when nothing was written."""
         if self.gone or self.transport.is_closing():
-            return WORKER_LOST.because("connection lost")
+            return WORKER_LOST.with_reason("connection lost")
         try:
             if self.conn.our_state is h11.DONE:
                 self.conn.start_next_cycle()
@@ -62,7 +62,7 @@
             data += self.conn.send(h11.Data(data=body)) if body else b""
             data += self.conn.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
-            return WORKER_LOST.because(str(error))
+            return WORKER_LOST.with_reason(str(error))
         self.transport.write(data)
         return None
 
@@ -149,7 +149,7 @@
             self.telemetry.count["connectionsOpened"] += 1
             return link
         except (OSError, TimeoutError) as error:
-            return UNREACHED.because(f"{addr}: {error or 'no connection in time'}")
+            return WORKER_UNREACHABLE.with_reason(f"{addr}: {error or 'no connection in time'}")
         finally:
             if link.transport is None:
                 self.lost(link)
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -6,19 +6,19 @@
 import h11
 
 from swiftdeck.fault import (
-    BAD_RETURN,
-    BUDGET_SPENT,
-    CLIENT_ENDED,
+    BAD_BACKEND_RESPONSE,
+    BAD_WORKER_OUTPUT,
+    CLIENT_CLOSED,
     DEADLINE_PASSED,
-    NO_ROOM,
     NO_WORKER,
-    STOPPING,
+    NO_WORKER_CAPACITY,
+    RETRY_BUDGET_EXHAUSTED,
+    ROUTER_STOPPING,
     STREAM_BROKEN,
-    UNREACHED,
-    WORKER_BAD,
     WORKER_FULL,
-    WORKER_HANGS,
     WORKER_LOST,
+    WORKER_SILENT,
+    WORKER_UNREACHABLE,
     is_fault,
 )
 from swiftdeck.gateway.call_trace import CallTrace
@@ -146,9 +146,9 @@
         """Give the final answer that what was done allows; an answer that has begun can only be cut."""
         self._leave()
         if self._is_abandoned():
-            counter, fault, reason = "endedWithClient", CLIENT_ENDED, CutReason.CLIENT_LEFT
+            counter, fault, reason = "endedWithClient", CLIENT_CLOSED, CutReason.CLIENT_LEFT
         else:
-            counter, fault, reason = "endedWithWork", STOPPING, CutReason.END_OF_WORK
+            counter, fault, reason = "endedWithWork", ROUTER_STOPPING, CutReason.END_OF_WORK
         self.gateway.telemetry.count[counter] += 1
         if self.exchange.begun:
             return self.exchange.abort(reason)
@@ -178,7 +178,7 @@
         worker = await self._admitted(attempt)
         if worker is not None and sent and not gateway.budget.draw(self.service):
             gateway.telemetry.count["budgetRefusals"] += 1
-            attempt.fault, worker = BUDGET_SPENT, None
+            attempt.fault, worker = RETRY_BUDGET_EXHAUSTED, None
         attempt.worker = worker
 
     async def _admitted(self, attempt):
@@ -207,7 +207,7 @@
         found = await search.find(costs)
         if found is None:
             self.gateway.telemetry.count["refusedForRoom"] += 1
-            attempt.fault = NO_ROOM
+            attempt.fault = NO_WORKER_CAPACITY
             return None
         self.place, self.reading_ms = found.wish, found.reading_ms
         if self.trace is not None:
@@ -243,7 +243,7 @@
         gateway = self.gateway
         got = await gateway.pool.take(worker, self._left_s())
         if is_fault(got):
-            if got.code == UNREACHED.code:
+            if got.code == WORKER_UNREACHABLE.code:
                 gateway.judge.failed(worker)
             return got
         self.link = got
@@ -251,7 +251,7 @@
             return DEADLINE_PASSED
         if not gateway.is_usable(self.request.model, worker.knows(self.request.model)):
             self._give_back()
-            return NO_WORKER.because("the worker's weights have become too old")
+            return NO_WORKER.with_reason("the worker's weights have become too old")
         upstream_request = self._upstream_request(worker)
         self._check_admission()
         fault = self.link.send_request(
@@ -268,11 +268,15 @@
         gateway.check_weights(self.request.model, self.version, sent_s, "sent")
         head = await self._head_in_time(worker, sent_s)
         if head is None:
-            return WORKER_HANGS
+            return WORKER_SILENT
         if is_fault(head):
             if head.code != DEADLINE_PASSED.code:
                 gateway.judge.failed(worker, not self.link.is_reused)
-            return head if head.code != BAD_RETURN.code else WORKER_BAD.because(head.reason)
+            return (
+                head
+                if head.code != BAD_BACKEND_RESPONSE.code
+                else BAD_WORKER_OUTPUT.with_reason(head.reason)
+            )
         return await self._take(attempt, worker, head, sent_s)
 
     def _check_admission(self):
@@ -377,7 +381,7 @@
             if is_fault(event):
                 return event
             if not isinstance(event, h11.Response):
-                return WORKER_BAD.because("no head where one was due")
+                return BAD_WORKER_OUTPUT.with_reason("no head where one was due")
             headers = list(event.headers.raw_items())
             self.verdict = self.gateway.workers_speak.verdict(
                 self.request, event.status_code, headers
@@ -409,11 +413,11 @@
             elif self.verdict is Verdict.ELSEWHERE and not version:
                 gateway.worker_registry.forget_version(worker, self.request.model)
             await self._drain()
-            return WORKER_FULL.because(f"status {status}")
+            return WORKER_FULL.with_reason(f"status {status}")
         if self.verdict is Verdict.BAD:
             gateway.telemetry.count[f"badAnswers.{status}"] += 1
             gateway.judge.failed(worker)
-            return WORKER_BAD.because(f"status {status} without a seal")
+            return BAD_WORKER_OUTPUT.with_reason(f"status {status} without a seal")
         if self.verdict is Verdict.FAILURE:
             gateway.judge.failed(worker, False)
             if (
@@ -422,9 +426,9 @@
                 or self.ledger.has_begun
                 or status in PROMISES
             ):
-                return WORKER_LOST.because(f"status {status}")
+                return WORKER_LOST.with_reason(f"status {status}")
         if self.ledger.has_begun and not 200 <= status < 300:
-            return WORKER_LOST.because(f"status {status} where a stream was to be taken up")
+            return WORKER_LOST.with_reason(f"status {status} where a stream was to be taken up")
         return await self._relay(attempt, worker, status, headers, sent_s)
 
     def _note_turned_away(self, worker, headers):
@@ -467,7 +471,11 @@
             return DEADLINE_PASSED
         if fault is not None:
             self.gateway.judge.failed(worker, not self.link.is_reused)
-            return fault if fault.code != BAD_RETURN.code else WORKER_BAD.because(fault.reason)
+            return (
+                fault
+                if fault.code != BAD_BACKEND_RESPONSE.code
+                else BAD_WORKER_OUTPUT.with_reason(fault.reason)
+            )
         attempt.is_whole = True
         if self.trace is not None:
             self.trace.whole_ms = self._elapsed_ms()
@@ -484,7 +492,7 @@
                 return event
             if isinstance(event, h11.EndOfMessage):
                 if not is_framed:
-                    return STREAM_BROKEN.because("answer has no length")
+                    return STREAM_BROKEN.with_reason("answer has no length")
                 if self.rest:
                     await self._give(self.rest)
                 return None
@@ -521,7 +529,7 @@
             self.gateway.worker_registry.learn(worker, {self.request.model: version})
         ids = EVENT_ID.findall(whole)
         if ids and _is_behind(ids[0], self.last_event):
-            return STREAM_BROKEN.because("stream was taken up before its last event")
+            return STREAM_BROKEN.with_reason("stream was taken up before its last event")
         if ids:
             self.last_event = ids[-1].decode("latin-1")
         elif EVENT_DATA.search(whole):
--- a/swiftdeck/http/client.py
+++ b/swiftdeck/http/client.py
@@ -6,7 +6,13 @@
 import h11
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, TIMED_OUT, UNREACHED, WORKER_LOST, is_fault
+from swiftdeck.fault import (
+    BAD_BACKEND_RESPONSE,
+    PEER_TIMEOUT,
+    WORKER_LOST,
+    WORKER_UNREACHABLE,
+    is_fault,
+)
 from swiftdeck.http.reset import give_up
 
 READ_AHEAD = 262144
@@ -68,10 +74,10 @@
             try:
                 event = self.conn.next_event()
             except h11.RemoteProtocolError as error:
-                return (WORKER_LOST if self.gone else BAD_RETURN).because(str(error))
+                return (WORKER_LOST if self.gone else BAD_BACKEND_RESPONSE).with_reason(str(error))
             if event is h11.NEED_DATA:
                 if self.gone:
-                    return WORKER_LOST.because("connection lost")
+                    return WORKER_LOST.with_reason("connection lost")
                 self.ahead = 0
                 self.transport.resume_reading()
                 self.fresh = asyncio.get_running_loop().create_future()
@@ -79,7 +85,7 @@
             elif isinstance(event, h11.InformationalResponse):
                 continue
             elif isinstance(event, h11.ConnectionClosed):
-                return WORKER_LOST.because("connection closed")
+                return WORKER_LOST.with_reason("connection closed")
             else:
                 return event
 
@@ -93,9 +99,9 @@
             data += self.conn.send(h11.Data(data=body)) if body else b""
             data += self.conn.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
-            return WORKER_LOST.because(str(error))
+            return WORKER_LOST.with_reason(str(error))
         if self.gone:
-            return WORKER_LOST.because("connection lost")
+            return WORKER_LOST.with_reason("connection lost")
         self.transport.write(data)
         head = await self.event()
         return head if is_fault(head) else HttpReturn(self, head)
@@ -144,7 +150,7 @@
             for line in whole:
                 yield line
             if len(rest) > LINE_LIMIT:
-                self.fault = BAD_RETURN.because("line is too long")
+                self.fault = BAD_BACKEND_RESPONSE.with_reason("line is too long")
                 return
         if rest:
             yield rest
@@ -155,7 +161,7 @@
         async for piece in self.pieces():
             data += piece
             if len(data) > limit:
-                return BAD_RETURN.because("body is too large")
+                return BAD_BACKEND_RESPONSE.with_reason("body is too large")
         return self.fault if self.fault is not None else bytes(data)
 
 
@@ -166,7 +172,7 @@
             _, link = await asyncio.get_running_loop().create_connection(HttpLink, ip, port)
             return link
     except (OSError, TimeoutError) as error:
-        return UNREACHED.because(f"{ip}:{port}: {error or 'no connection in time'}")
+        return WORKER_UNREACHABLE.with_reason(f"{ip}:{port}: {error or 'no connection in time'}")
 
 
 async def fetch_json(addr, method, path, body=None, headers=(), timeoutMs=2000):
@@ -189,9 +195,9 @@
                 else (got.status, msgspec.json.decode(whole) if whole else None)
             )
     except TimeoutError:
-        return TIMED_OUT.because(f"{method} {path} at {addr}")
+        return PEER_TIMEOUT.with_reason(f"{method} {path} at {addr}")
     except (msgspec.DecodeError, ValueError) as error:
-        return BAD_RETURN.because(str(error))
+        return BAD_BACKEND_RESPONSE.with_reason(str(error))
     finally:
         if link:
             link.close()
--- a/swiftdeck/http/kept.py
+++ b/swiftdeck/http/kept.py
@@ -5,7 +5,7 @@
 import h11
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, TIMED_OUT, is_fault
+from swiftdeck.fault import BAD_BACKEND_RESPONSE, PEER_TIMEOUT, is_fault
 from swiftdeck.http.client import connect
 
 
@@ -21,9 +21,9 @@
             async with asyncio.timeout(timeout_ms / 1000):
                 got = await self._fetch(method, path, body, headers)
         except TimeoutError:
-            got = TIMED_OUT.because(f"{method} {path} at {self.addr}")
+            got = PEER_TIMEOUT.with_reason(f"{method} {path} at {self.addr}")
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-            got = BAD_RETURN.because(str(error))
+            got = BAD_BACKEND_RESPONSE.with_reason(str(error))
         if (
             is_fault(got)
             or self.link.conn.our_state is not h11.DONE
--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -12,8 +12,8 @@
 from swiftdeck.fault import (
     BAD_REQUEST,
     HANDLER_FAILED,
+    ROUTER_STOPPING,
     SLOW_REQUEST,
-    STOPPING,
     TOO_LARGE,
     Fault,
     is_fault,
@@ -112,7 +112,7 @@
         try:
             return msgspec.json.decode(self.body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            return BAD_REQUEST.because(f"body is not JSON: {error}")
+            return BAD_REQUEST.with_reason(f"body is not JSON: {error}")
 
     async def give(self, status, body, headers=()):
         """A whole return with a JSON body."""
@@ -236,7 +236,7 @@
             self.conn.receive_data(data)
             self.step()
         except h11.RemoteProtocolError as error:
-            self.drop(BAD_REQUEST.because(str(error)), error.error_status_hint)
+            self.drop(BAD_REQUEST.with_reason(str(error)), error.error_status_hint)
 
     def step(self):
         """Handle what h11 has."""
@@ -267,7 +267,7 @@
                 self.body_size += len(event.data)
                 if self.body_size > self.server.body_limit:
                     return self.drop(
-                        TOO_LARGE.because(f"body is over {self.server.body_limit} bytes")
+                        TOO_LARGE.with_reason(f"body is over {self.server.body_limit} bytes")
                     )
                 self.body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -306,7 +306,9 @@
             try:
                 exchange = self.exchange = HttpExchange(self, request, body)
             except ValueError as error:
-                return self.drop(BAD_REQUEST.because(f"target or headers can't be read: {error}"))
+                return self.drop(
+                    BAD_REQUEST.with_reason(f"target or headers can't be read: {error}")
+                )
             exchange.feed = feed
             await asyncio.sleep(0)  # so that an end of the stream right behind the request is seen
             fault = await self.server.handler(exchange)
@@ -377,7 +379,7 @@
             try:
                 self.step()
             except h11.RemoteProtocolError as error:
-                self.drop(BAD_REQUEST.because(str(error)), error.error_status_hint)
+                self.drop(BAD_REQUEST.with_reason(str(error)), error.error_status_hint)
             if self.server.is_stopped and not self.dropping:
                 self.stop()
         else:
@@ -389,7 +391,7 @@
         if self.is_at_rest():
             self.transport.close()
         elif self.task is None and not self.transport.is_closing():
-            self.drop(STOPPING)
+            self.drop(ROUTER_STOPPING)
         elif self.feed is not None:
             self.feed.put_nowait(None)
             self.feed = None
--- a/swiftdeck/platform/caches.py
+++ b/swiftdeck/platform/caches.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, is_fault
+from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
 from swiftdeck.gateway.interfaces import Kept, Reports
 from swiftdeck.http.kept import KeptJson
 
@@ -45,11 +45,13 @@
             "GET", f"{PATH}?since={since}", headers=[(WAIT, str(wait_ms))], timeout_ms=wait_ms + 500
         )
         if is_fault(got) or got[0] != 200:
-            return got if is_fault(got) else BAD_RETURN.because(f"reports say {got[0]}")
+            return (
+                got if is_fault(got) else BAD_BACKEND_RESPONSE.with_reason(f"reports say {got[0]}")
+            )
         try:
             told = msgspec.convert(got[1], Told)
         except msgspec.ValidationError as error:
-            return BAD_RETURN.because(f"reports: {error}")
+            return BAD_BACKEND_RESPONSE.with_reason(f"reports: {error}")
         return Reports(
             told.epoch,
             told.next,
--- a/swiftdeck/platform/configs.py
+++ b/swiftdeck/platform/configs.py
@@ -17,7 +17,7 @@
     key_digest,
     told,
 )
-from swiftdeck.fault import INVALID, is_fault
+from swiftdeck.fault import INVALID_CONFIG, is_fault
 
 TABLES = {"routes": "paths", "backends": "services", "customers": "tenants"}
 VERSION, PUT_ITEMS, REMOVE_NAMES = "version", "put-items", "remove-names"
@@ -208,9 +208,9 @@
         msgspec.msgpack.encode(raw)
         return read, raw
     except msgspec.ValidationError as error:
-        return INVALID.because(told(error, "$"))
+        return INVALID_CONFIG.with_reason(told(error, "$"))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
-        return INVALID.because(f"$: {error}")
+        return INVALID_CONFIG.with_reason(f"$: {error}")
 
 
 def _entries(path, read, raw):
@@ -218,9 +218,11 @@
     entries = {}
     for at, (item, as_sent) in enumerate(zip(read or [], raw or [], strict=True)):
         if item.name in entries:
-            return INVALID.because(f"{path}[{at}].name: `{item.name}` is there twice")
+            return INVALID_CONFIG.with_reason(f"{path}[{at}].name: `{item.name}` is there twice")
         if isinstance(item, RouteItem) and item.backend is None and item.traffic_split is None:
-            return INVALID.because(f"{path}[{at}]: neither `backend` nor `traffic-split`")
+            return INVALID_CONFIG.with_reason(
+                f"{path}[{at}]: neither `backend` nor `traffic-split`"
+            )
         entries[item.name] = msgspec.to_builtins(item.entry(as_sent))
     return entries
 
@@ -317,7 +319,9 @@
     lists = {name: _named(part) for name, part in put.items() if name not in (*TABLES, "limits")}
     wrong = next((name for name, named in lists.items() if named is None), None)
     if wrong is not None:
-        return INVALID.because(f"$.{PUT_ITEMS}.{wrong}: expected a list of items with names")
+        return INVALID_CONFIG.with_reason(
+            f"$.{PUT_ITEMS}.{wrong}: expected a list of items with names"
+        )
     removed = {table: dict.fromkeys(gone.get(name, [])) for name, table in TABLES.items()}
     document = {
         table: entries
--- a/swiftdeck/platform/lists.py
+++ b/swiftdeck/platform/lists.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN, is_fault
+from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
 from swiftdeck.gateway.interfaces import Listed
 from swiftdeck.http.client import fetch_json
 
@@ -52,11 +52,15 @@
                 self.addr, "GET", f"{PATH}?{PAGE}={token}" if token else PATH, timeoutMs=1000
             )
             if is_fault(got) or got[0] != 200:
-                return got if is_fault(got) else BAD_RETURN.because(f"list says {got[0]}")
+                return (
+                    got
+                    if is_fault(got)
+                    else BAD_BACKEND_RESPONSE.with_reason(f"list says {got[0]}")
+                )
             try:
                 page = msgspec.convert(got[1], Page)
             except msgspec.ValidationError as error:
-                return BAD_RETURN.because(f"list: {error}")
+                return BAD_BACKEND_RESPONSE.with_reason(f"list: {error}")
             found += page.workers
             token = page.next
             if token is None:
@@ -73,4 +77,4 @@
                     )
                     for each in found
                 ]
-        return BAD_RETURN.because("list goes round in circles")
+        return BAD_BACKEND_RESPONSE.with_reason("list goes round in circles")
--- a/swiftdeck/platform/operator_door.py
+++ b/swiftdeck/platform/operator_door.py
@@ -8,12 +8,12 @@
 from swiftdeck.fault import (
     BAD_METHOD,
     BAD_REQUEST,
-    INVALID,
-    LOST_RACE,
+    CHANGE_ID_REUSED,
+    INVALID_CONFIG,
     NO_VIEW,
-    REUSED_CHANGE,
-    TIMED_OUT,
-    UNDECIDED,
+    OUTCOME_UNDECIDED,
+    PEER_TIMEOUT,
+    VERSION_CONFLICT,
     is_fault,
 )
 from swiftdeck.platform import configs
@@ -21,7 +21,12 @@
 
 CONFIG_PATH, WEIGHTS_PATH = "/swiftdeck/config", "/swiftdeck/version-put"
 BASE_HEADER = "if-match"
-STATUSES = {LOST_RACE.code: 412, INVALID.code: 400, BAD_REQUEST.code: 400, BAD_METHOD.code: 405}
+STATUSES = {
+    VERSION_CONFLICT.code: 412,
+    INVALID_CONFIG.code: 400,
+    BAD_REQUEST.code: 400,
+    BAD_METHOD.code: 405,
+}
 BASE_DIGITS, ANSWER_WITHIN_MS = 15, 850
 WAIT_S = "0.3"
 
@@ -52,7 +57,7 @@
     def _asked(self, exchange):
         base = exchange.headers.get(BASE_HEADER, "").strip().strip('"')
         if not (base.isascii() and base.isdecimal()) or len(base) > BASE_DIGITS:
-            return BAD_REQUEST.because("If-Match is the number that the change builds on")
+            return BAD_REQUEST.with_reason("If-Match is the number that the change builds on")
         return (configs.whole if exchange.method == "PUT" else configs.items)(
             exchange.body, int(base)
         )
@@ -64,14 +69,14 @@
             task = self.under_way[change_id] = asyncio.ensure_future(self._write(change_id, change))
             task.add_done_callback(lambda _: self.under_way.pop(change_id))
         await asyncio.wait([task], timeout=ANSWER_WITHIN_MS / 1000)
-        got = task.result() if task.done() else UNDECIDED.because(change_id)
+        got = task.result() if task.done() else OUTCOME_UNDECIDED.with_reason(change_id)
         is_open = is_fault(got) and got.code not in STATUSES
         fault = invalid_by_itself(change) if is_open else None
         return got if fault is None else fault
 
     async def _write(self, change_id, change):
         got = await self.core.change_writer.write(change_id, change)
-        is_other = is_fault(got) and got.code == REUSED_CHANGE.code
+        is_other = is_fault(got) and got.code == CHANGE_ID_REUSED.code
         return await self.core.change_writer.outcome(change_id) if is_other else got
 
     async def _show(self, exchange):
@@ -79,7 +84,7 @@
             async with asyncio.timeout(ANSWER_WITHIN_MS / 1000):
                 got = await self.core.change_writer.read_tail(ConfigAsk())
         except TimeoutError:
-            got = TIMED_OUT
+            got = PEER_TIMEOUT
         if is_fault(got):
             return await self._refuse(exchange, got)
         return await exchange.give(200, configs.shown(msgspec.json.decode(got.document or b"{}")))
--- a/swiftdeck/platform/orders.py
+++ b/swiftdeck/platform/orders.py
@@ -1,6 +1,6 @@
 """Orders to the platform's workers to take new weights."""
 
-from swiftdeck.fault import BAD_RETURN, is_fault
+from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
 from swiftdeck.gateway.interfaces import WorkerReport
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform.speech import EXPECTED_WORKER
@@ -45,7 +45,9 @@
         """The worker's report, or a fault."""
         got = await fetch_json(addr, "GET", REPORT, timeoutMs=TIMEOUT_MS)
         if is_fault(got) or got[0] != 200 or not isinstance(got[1], dict):
-            return got if is_fault(got) else BAD_RETURN.because("report can't be read")
+            return (
+                got if is_fault(got) else BAD_BACKEND_RESPONSE.with_reason("report can't be read")
+            )
         models = [
             each
             for each in got[1].get("models") or ()
--- a/swiftdeck/platform/settings.py
+++ b/swiftdeck/platform/settings.py
@@ -114,7 +114,7 @@
         OverflowError,
         IndexError,
     ) as error:
-        return BAD_SETTING.because(f"{path or PATH_VARIABLE}: {error}")
+        return BAD_SETTING.with_reason(f"{path or PATH_VARIABLE}: {error}")
 
 
 def _place(role, file):
@@ -154,5 +154,5 @@
     )
     first = next(settings.faults(), None)
     if first is not None:
-        return BAD_SETTING.because(first)
+        return BAD_SETTING.with_reason(first)
     return Place(settings, file.platform_api.address)
--- a/swiftdeck/platform/speech.py
+++ b/swiftdeck/platform/speech.py
@@ -93,9 +93,9 @@
         found = {name.lower(): value for name, value in exchange.raw_headers}
         name = _text(found, ID)
         if not name:
-            return BAD_REQUEST.because("request without an id")
+            return BAD_REQUEST.with_reason("request without an id")
         if len(found) < len(exchange.raw_headers) and _is_ambiguous(exchange.raw_headers):
-            return BAD_REQUEST.because("request with several ids")
+            return BAD_REQUEST.with_reason("request with several ids")
         scheme, _, key = _text(found, AUTHORIZATION).partition(" ")
         parts, tokens = parts_of(_text(found, PREFIX)), _text(found, TOKENS).partition(",")[0]
         host, target = _text(found, HOST), exchange.target
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -7,24 +7,24 @@
 import msgspec
 
 from swiftdeck.fault import (
-    BAD_RETURN,
-    CLAIM_LEFT,
-    HORIZON,
+    BAD_API_KEY,
+    BAD_BACKEND_RESPONSE,
+    BAD_WORKER_OUTPUT,
+    CLAIM_UNRELEASED,
+    HORIZON_REACHED,
     NO_CLAIM,
-    NO_KEEPER,
+    NO_COORDINATOR,
     NO_LEASE,
     NO_ROUTE,
     NO_WORKER,
-    OTHER_WEIGHTS,
-    STALE_LIST,
-    STOPPING,
-    UNKNOWN_KEY,
-    UNREACHED,
-    WAITED_OUT,
-    WORKER_BAD,
-    WORKER_HANGS,
+    QUEUE_TIMEOUT,
+    ROUTER_STOPPING,
+    STALE_WORKER_LIST,
+    WEIGHTS_MISMATCH,
     WORKER_LOST,
     WORKER_REFUSED,
+    WORKER_SILENT,
+    WORKER_UNREACHABLE,
     is_fault,
 )
 from swiftdeck.http.client import connect, fetch_json
@@ -100,7 +100,7 @@
         if (
             attempt
             and attempt.grant is None
-            and (attempt.fault is None or attempt.fault.code == WAITED_OUT.code)
+            and (attempt.fault is None or attempt.fault.code == QUEUE_TIMEOUT.code)
         ):
             self.router.tell_keeper(
                 self.route.model, GrantDrop(call=self.name, model=self.route.model)
@@ -151,7 +151,7 @@
         last = self.ledger.attempts[-1] if self.ledger.attempts else None
         if last and last.grant is None:
             self.ledger.attempts.pop()
-            if last.fault.code != WAITED_OUT.code:
+            if last.fault.code != QUEUE_TIMEOUT.code:
                 await asyncio.sleep(min(0.2, (last.fault.retry_ms or 100) / 1000))
         attempt = Attempt(len(self.ledger.attempts) + 1)
         self.ledger.attempts.append(attempt)
@@ -165,13 +165,13 @@
         model = self.held.document.models.get(self.route.model)
         tenant = self.held.document.tenants.get(self.tenant)
         if self.held.tenant_by_key.get(self.key_digest) != self.tenant:
-            attempt.fault = UNKNOWN_KEY
+            attempt.fault = BAD_API_KEY
             return
         if model is None or tenant is None or self.body.model not in self.held.document.routes:
-            attempt.fault = NO_ROUTE.because(self.body.model)
+            attempt.fault = NO_ROUTE.with_reason(self.body.model)
             return
         if not self.router.workers.is_fresh():
-            attempt.fault = STALE_LIST
+            attempt.fault = STALE_WORKER_LIST
             return
         group = group_of(self.tenant, tenant.apart)
         if (self.weights, group) != (model.weights, getattr(self, "group", None)):
@@ -185,7 +185,7 @@
     async def _ask_keeper(self, attempt):
         keeper = self.router.keeper_of(self.route.model)
         if keeper is None:
-            return NO_KEEPER
+            return NO_COORDINATOR
         slice_ms, asked_s = int(min(self._left_ms(), SLICE_MS)), self.loop.time()
         ask = GrantAsk(
             router=self.router.me.name,
@@ -223,13 +223,13 @@
             or model.weights != self.weights
             or router.lease.held.tenant_by_key.get(self.key_digest) != self.tenant
         ):
-            return NO_LEASE.because("configuration changed meanwhile", 200)
+            return NO_LEASE.with_reason("configuration changed meanwhile", 200)
         if not router.workers.may_take(attempt.grant.worker):
-            return STALE_LIST.because("worker drains, is gone, or the list is old", 200)
+            return STALE_WORKER_LIST.with_reason("worker drains, is gone, or the list is old", 200)
         if not router.is_grant_valid(self.name):
-            return NO_KEEPER.because("grant lapsed", 200)
+            return NO_COORDINATOR.with_reason("grant lapsed", 200)
         if self.now_ms() >= self.ledger.horizonMs:
-            return WAITED_OUT
+            return QUEUE_TIMEOUT
         return None
 
     async def _send(self):
@@ -258,7 +258,7 @@
                 self.link.close()
         if attempt.fault is not None:
             self._close_attempt()
-            if not attempt.was_sent and attempt.fault.code != UNREACHED.code:
+            if not attempt.was_sent and attempt.fault.code != WORKER_UNREACHABLE.code:
                 attempt.grant = None
 
     async def _fetch(self, attempt):
@@ -322,18 +322,22 @@
                     attempt.grant.url,
                 )
             if is_fault(got):
-                return got if got.code != BAD_RETURN.code else WORKER_BAD.because(got.reason)
-            if got.status == OTHER_WEIGHTS.status:
+                return (
+                    got
+                    if got.code != BAD_BACKEND_RESPONSE.code
+                    else BAD_WORKER_OUTPUT.with_reason(got.reason)
+                )
+            if got.status == WEIGHTS_MISMATCH.status:
                 attempt.was_sent = False
-                return NO_WORKER.because("worker has other weights", 200)
+                return NO_WORKER.with_reason("worker has other weights", 200)
             if got.status != 200:
-                return WORKER_REFUSED.because(f"status {got.status}")
+                return WORKER_REFUSED.with_reason(f"status {got.status}")
             return await self._relay(attempt, got)
         except TimeoutError:
             return self._late()
 
     def _late(self):
-        return HORIZON if self.now_ms() >= self.ledger.horizonMs else WORKER_HANGS
+        return HORIZON_REACHED if self.now_ms() >= self.ledger.horizonMs else WORKER_SILENT
 
     async def _relay(self, attempt, got):
         lines, expected, self.pieces = got.lines(), 0, []
@@ -349,9 +353,13 @@
                 fault = (
                     got.fault
                     if got.fault is not None
-                    else WORKER_LOST.because("stream ended early")
+                    else WORKER_LOST.with_reason("stream ended early")
+                )
+                return (
+                    fault
+                    if fault.code != BAD_BACKEND_RESPONSE.code
+                    else BAD_WORKER_OUTPUT.with_reason(fault.reason)
                 )
-                return fault if fault.code != BAD_RETURN.code else WORKER_BAD.because(fault.reason)
             if not line.strip():
                 continue
             piece = self._read(line, expected)
@@ -368,15 +376,17 @@
 
     def _read(self, line, expected):
         if not line.startswith(b"data:"):
-            return WORKER_BAD.because("line is not data")
+            return BAD_WORKER_OUTPUT.with_reason("line is not data")
         try:
             piece = msgspec.json.decode(line[5:])
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            return WORKER_BAD.because(str(error))
+            return BAD_WORKER_OUTPUT.with_reason(str(error))
         if not isinstance(piece, dict) or piece.get("run") != self.run():
-            return WORKER_BAD.because("piece of another run")
+            return BAD_WORKER_OUTPUT.with_reason("piece of another run")
         if piece.get("seq") != expected or not isinstance(piece.get("text", ""), str):
-            return WORKER_BAD.because(f"piece {piece.get('seq')} where {expected} was due")
+            return BAD_WORKER_OUTPUT.with_reason(
+                f"piece {piece.get('seq')} where {expected} was due"
+            )
         return piece
 
     usage = {}
@@ -420,12 +430,12 @@
         return (
             fault
             if self.released.done()
-            else CLAIM_LEFT.because(fault.reason or fault.name, fault.retry_ms or None)
+            else CLAIM_UNRELEASED.with_reason(fault.reason or fault.name, fault.retry_ms or None)
         )
 
     async def end_with_work(self):
         """Give the final return that what was done allows, as the router has no more time."""
-        return await self._end(Move.GIVE_UP, self.ledger.verdict(STOPPING))
+        return await self._end(Move.GIVE_UP, self.ledger.verdict(ROUTER_STOPPING))
 
     async def _end(self, move, fault):
         attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
--- a/swiftdeck/traffic/claims.py
+++ b/swiftdeck/traffic/claims.py
@@ -120,5 +120,5 @@
         if operation.kind != CLAIM:
             return True
         if result == FULL:
-            return NO_CLAIM.because("as many keys are remembered as may be")
-        return CLAIMED.because(f"state: {result}") if result else True
+            return NO_CLAIM.with_reason("as many keys are remembered as may be")
+        return CLAIMED.with_reason(f"state: {result}") if result else True
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/keeper.py
@@ -4,12 +4,12 @@
 
 from swiftdeck.duty.duty import Duty
 from swiftdeck.fault import (
-    BUDGET_SPENT,
+    COORDINATOR_RECOVERING,
     NO_LEASE,
     NO_WORKER,
-    NOT_KEEPER,
-    OLD_VIEW,
-    RECOVERING,
+    NOT_COORDINATOR,
+    RETRY_BUDGET_EXHAUSTED,
+    STALE_VIEW,
     is_fault,
 )
 from swiftdeck.http.client import fetch_json
@@ -108,7 +108,7 @@
             await asyncio.sleep(TICK_S)
 
     def _resign(self):
-        self.lines.clear(NOT_KEEPER)
+        self.lines.clear(NOT_COORDINATOR)
         for part in (self.books, self.placement, self.fetches, self.takeover):
             part.clear()
         self.ready_term, self.loading, self.adapted_s = 0, set(), 0.0
@@ -190,11 +190,11 @@
         if not self.is_ready() and not await self.takeover.gathered(
             start_s - ask.waited_ms / 1000, ask.wait_ms / 1000
         ):
-            return RECOVERING if self.duty.is_held() else NOT_KEEPER
+            return COORDINATOR_RECOVERING if self.duty.is_held() else NOT_COORDINATOR
         config = self.config()
         if config is None or ask.weights != config.weights or not self.router.lease.is_held():
             self.router.lease.kick.set()
-            return NO_LEASE.because("keeper and router hold different configurations", 200)
+            return NO_LEASE.with_reason("keeper and router hold different configurations", 200)
         conversation = self.books.conversations.get(ask.conversation) or self.books.continued(ask)
         if conversation is None:
             return await self.lines.wait(ask, sender, start_s)
@@ -205,10 +205,10 @@
         """Grant an attempt of an open conversation; returns a GrantReturn or a fault."""
         worker = self.router.workers.workers.get(conversation.worker)
         if worker is None or not self.is_ready():
-            return NO_WORKER if worker is None else NOT_KEEPER
+            return NO_WORKER if worker is None else NOT_COORDINATOR
         if ask.attempt > 1 and not self.budget.draw(self.loop.time(), self._allowance()):
             self.telemetry.count["budgetRefusals"] += 1
-            return BUDGET_SPENT
+            return RETRY_BUDGET_EXHAUSTED
         earlier_parts = conversation.parts if conversation.weights == ask.weights else 0
         if self.books.attempt_granted(conversation, ask, sender):
             self.budget.call(self.loop.time())
@@ -253,9 +253,9 @@
         after the router was asked for its conversations, or a fault.
         """
         if not self.is_ready():
-            return NOT_KEEPER
+            return NOT_COORDINATOR
         if hold.term > self.term:
-            return OLD_VIEW.because("router knows a newer keeper")
+            return STALE_VIEW.with_reason("router knows a newer keeper")
         self.books.renew_router(sender)
         settled_s = (hold.heard_ms - 2 * self.settings.grantMs) / 1000
         lost = self.books.reconcile(sender, set(hold.calls), settled_s)
--- a/swiftdeck/traffic/lease.py
+++ b/swiftdeck/traffic/lease.py
@@ -9,7 +9,7 @@
 from swiftdeck.chain.config_updates import unpack
 from swiftdeck.chain.weight_ages import WeightAges
 from swiftdeck.config.configuration import Configuration
-from swiftdeck.fault import INVALID, NO_LEASE, is_fault
+from swiftdeck.fault import INVALID_CONFIG, NO_LEASE, is_fault
 from swiftdeck.wire.messages import (
     ConfigChanged,
     DurableConfigAsk,
@@ -232,7 +232,7 @@
             TypeError,
             AttributeError,
         ) as error:
-            return INVALID.because(repr(error))
+            return INVALID_CONFIG.with_reason(repr(error))
         self.telemetry.count["configsChanged"] += 1
         return config
 
--- a/swiftdeck/traffic/ledger.py
+++ b/swiftdeck/traffic/ledger.py
@@ -5,21 +5,21 @@
 import attrs
 
 from swiftdeck.fault import (
+    COORDINATOR_RECOVERING,
     HANDLER_FAILED,
-    HORIZON,
+    HORIZON_REACHED,
     NO_CLAIM,
-    NO_KEEPER,
+    NO_COORDINATOR,
     NO_LEASE,
     NO_WORKER,
-    NOT_KEEPER,
-    OLD_TERM,
-    RECOVERING,
-    STALE_LIST,
-    TIMED_OUT,
-    UNREACHABLE,
-    UNREACHED,
-    WAITED_OUT,
+    NOT_COORDINATOR,
+    PEER_TIMEOUT,
+    PEER_UNREACHABLE,
+    QUEUE_TIMEOUT,
+    STALE_TERM,
+    STALE_WORKER_LIST,
     WORKER_LOST,
+    WORKER_UNREACHABLE,
     Fault,
 )
 
@@ -28,18 +28,18 @@
 RETRYABLE = {
     fault.code
     for fault in (
-        WAITED_OUT,
+        QUEUE_TIMEOUT,
         NO_WORKER,
         NO_LEASE,
-        STALE_LIST,
-        NO_KEEPER,
+        STALE_WORKER_LIST,
+        NO_COORDINATOR,
         NO_CLAIM,
-        UNREACHABLE,
-        TIMED_OUT,
+        PEER_UNREACHABLE,
+        PEER_TIMEOUT,
         HANDLER_FAILED,
-        OLD_TERM,
-        NOT_KEEPER,
-        RECOVERING,
+        STALE_TERM,
+        NOT_COORDINATOR,
+        COORDINATOR_RECOVERING,
     )
 }
 
@@ -94,18 +94,20 @@
     def verdict(self, fault: Fault) -> Fault:
         """Return the final fault: it promises "not run" only if nothing was ever sent.
 
-        Then it is `fault`, or UNREACHED where that promises nothing. Otherwise it is the fault of
-        the last attempt that was sent, or WORKER_LOST where that one promises "not run".
+        Then it is `fault`, or WORKER_UNREACHABLE where that promises nothing. Otherwise it is the
+        fault of the last attempt that was sent, or WORKER_LOST where that one promises "not run".
         """
         sent = self.sent()
         if not sent:
             if fault.notRun:
                 return fault
-            return UNREACHED.because(fault.reason or fault.name, fault.retry_ms or RETRY_MS)
+            return WORKER_UNREACHABLE.with_reason(
+                fault.reason or fault.name, fault.retry_ms or RETRY_MS
+            )
         faults = [attempt.fault for attempt in sent if attempt.fault is not None]
         if faults and not faults[-1].notRun:
             return faults[-1]
-        return WORKER_LOST.because(fault.reason)
+        return WORKER_LOST.with_reason(fault.reason)
 
 
 def next_move(ledger: Ledger, now_ms: float) -> tuple[Move, Fault | None]:
@@ -130,7 +132,7 @@
 def _move_with_grant(ledger: Ledger, now_ms: float):
     """Return the move of a call that holds a grant: claim its key, then send."""
     if now_ms >= ledger.horizonMs:
-        return Move.GIVE_UP, ledger.verdict(WAITED_OUT)
+        return Move.GIVE_UP, ledger.verdict(QUEUE_TIMEOUT)
     is_claim_due = ledger.needsClaim and ledger.claim is None
     return (Move.CLAIM if is_claim_due else Move.SEND), None
 
@@ -143,5 +145,5 @@
     is_waiting = last.grant is None or not last.was_sent
     is_wait_over = is_waiting and now_ms >= ledger.waitUntilMs
     if now_ms >= ledger.horizonMs or is_wait_over:
-        return Move.GIVE_UP, ledger.verdict(HORIZON if ledger.sent() else last.fault)
+        return Move.GIVE_UP, ledger.verdict(HORIZON_REACHED if ledger.sent() else last.fault)
     return Move.NOMINATE, None
--- a/swiftdeck/traffic/lines.py
+++ b/swiftdeck/traffic/lines.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.fault import LINE_FULL, NO_WORKER, WAITED_OUT, is_fault
+from swiftdeck.fault import NO_WORKER, QUEUE_FULL, QUEUE_TIMEOUT, is_fault
 from swiftdeck.traffic.book import Book, Conversation
 from swiftdeck.traffic.line import Waiting
 
@@ -72,7 +72,7 @@
             if not done.done():
                 done.cancel()
         if done.cancelled():
-            return WAITED_OUT
+            return QUEUE_TIMEOUT
         if self.waits.get(waiting.ask.call) is waiting:
             del self.waits[waiting.ask.call]
         return done.result()
@@ -100,7 +100,7 @@
             worker=book.worker,
             why="line full",
         )
-        self._answer(waiting, LINE_FULL)
+        self._answer(waiting, QUEUE_FULL)
 
     def _stand(self, book: Book, waiting: Waiting):
         """Put a call into a line."""
@@ -172,7 +172,7 @@
                 if waiting.ask.call == call:
                     book.line.remove(waiting)
                     self._forget(waiting)
-                    self._answer(waiting, WAITED_OUT.because("caller went away"))
+                    self._answer(waiting, QUEUE_TIMEOUT.with_reason("caller went away"))
                     return
 
     def _forget(self, waiting: Waiting):
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -12,20 +12,20 @@
 from swiftdeck.config.document import key_digest
 from swiftdeck.control.node import Node
 from swiftdeck.fault import (
+    BAD_API_KEY,
     BAD_METHOD,
-    BAD_OPERATOR,
+    BAD_OPERATOR_KEY,
     BAD_REQUEST,
-    BUSY,
     NO_LEASE,
     NO_ROUTE,
+    NOT_COORDINATOR,
     NOT_FOUND,
-    NOT_KEEPER,
-    OLD_TERM,
-    STOPPING,
+    ROUTER_STOPPING,
+    STALE_TERM,
     TOO_LARGE,
-    UNKNOWN_KEY,
-    UNREACHED,
+    TOO_MANY_CALLS,
     WORKER_LOST,
+    WORKER_UNREACHABLE,
     is_fault,
 )
 from swiftdeck.http.drain import Drain, DrainTimes, OpenRequests
@@ -209,7 +209,7 @@
         """Note a grant, unless a newer keeper is known."""
         model = call.route.model
         if grant.term < self.known.get(model, (0, ""))[0]:
-            return OLD_TERM.because(f"grant of term {grant.term}", 50)
+            return STALE_TERM.with_reason(f"grant of term {grant.term}", 50)
         self.running[call.name] = Running(call, model, grant.term, asked_s)
         told = OpenConversation(
             conversation=grant.conversation,
@@ -272,7 +272,7 @@
                 hits=hits if is_counted else 0,
                 parts=parts if is_counted else 0,
                 never_sent=not attempt.was_sent,
-                is_bad=attempt.fault is not None and attempt.fault.code == UNREACHED.code,
+                is_bad=attempt.fault is not None and attempt.fault.code == WORKER_UNREACHABLE.code,
                 slow_from=call.slow_from,
                 earlier=attempt.grant.earlier,
             ),
@@ -282,7 +282,7 @@
         """Answer a request for a place, if this process coordinates the model."""
         keeper = self.keepers.get(ask.model)
         if keeper is None or not keeper.duty.is_held() and keeper.term != keeper.duty.term:
-            return NOT_KEEPER
+            return NOT_COORDINATOR
         if not ask.chain or not ask.talk or not ask.call:
             return BAD_REQUEST
         return await keeper.on_grant_ask(ask, sender)
@@ -300,13 +300,13 @@
     async def on_hold(self, hold, sender):
         """Renew what a router holds, if this process coordinates the model."""
         keeper = self.keepers.get(hold.model)
-        return await keeper.on_hold(hold, sender) if keeper else NOT_KEEPER
+        return await keeper.on_hold(hold, sender) if keeper else NOT_COORDINATOR
 
     def on_open_ask(self, ask, sender):
         """A new keeper gathers: what runs here, and what ran here a short while ago."""
         known = self.known.get(ask.model, (0, ""))
         if ask.term < known[0]:
-            return OLD_TERM.because(f"term {known[0]} is known")
+            return STALE_TERM.with_reason(f"term {known[0]} is known")
         self.known[ask.model] = (ask.term, ask.keeper)
         model = self.lease.held.document.models.get(ask.model) if self.lease.held else None
         idle_s, now_s, told = (model.idleMs / 1000 if model else 10.0), self.loop.time(), []
@@ -371,7 +371,7 @@
             return await self._call(exchange)
         key = self.settings.operatorKey
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
-            return BAD_OPERATOR
+            return BAD_OPERATOR_KEY
         if path == "/v1/status":
             return await exchange.give(200, self.status())
         if path == "/v1/counters":
@@ -387,9 +387,9 @@
     async def _call(self, exchange):
         self.telemetry.count["calls"] += 1
         if self.stopping:
-            return self._refuse(STOPPING)
+            return self._refuse(ROUTER_STOPPING)
         if self.open >= self.settings.callsOpen:
-            return self._refuse(BUSY)
+            return self._refuse(TOO_MANY_CALLS)
         call = None
 
         async def serve():
@@ -398,7 +398,11 @@
             return self._refuse(call) if is_fault(call) else await call.serve()
 
         async def end():
-            return await call.end_with_work() if isinstance(call, Call) else self._refuse(STOPPING)
+            return (
+                await call.end_with_work()
+                if isinstance(call, Call)
+                else self._refuse(ROUTER_STOPPING)
+            )
 
         probing = []
         exchange.watch_client(lambda: probing.append(asyncio.ensure_future(self._probe(exchange))))
@@ -426,9 +430,9 @@
         try:
             body = msgspec.json.decode(exchange.body, type=CallBody)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            return BAD_REQUEST.because(str(error))
+            return BAD_REQUEST.with_reason(str(error))
         if len(body.parts) > self.settings.partsMost:
-            return TOO_LARGE.because(f"more than {self.settings.partsMost} parts")
+            return TOO_LARGE.with_reason(f"more than {self.settings.partsMost} parts")
         held = self.lease.held
         route = held.document.routes.get(body.model) if held else None
         start_s, wait_s = self.loop.time(), (route.waitMs if route else 3000) / 1000
@@ -439,12 +443,12 @@
         digest = key_digest(key.strip())
         tenant = held.tenant_by_key.get(digest) if scheme.lower() == "bearer" else None
         if tenant is None:
-            return UNKNOWN_KEY
+            return BAD_API_KEY
         route = held.document.routes.get(body.model)
         if route is None or route.tenants and tenant not in route.tenants:
-            return NO_ROUTE.because(body.model)
+            return NO_ROUTE.with_reason(body.model)
         if len(exchange.headers.get("idempotency-key", "")) > 200:
-            return BAD_REQUEST.because("Idempotency-Key is over 200 characters")
+            return BAD_REQUEST.with_reason("Idempotency-Key is over 200 characters")
         call = Call(self, exchange, held, tenant, route, body, start_s)
         call.key_digest = digest
         return call
@@ -452,7 +456,7 @@
     async def _decisions(self, exchange):
         since = exchange.query.get("since", "0")
         if not since.isdecimal():
-            return BAD_REQUEST.because("since is a number")
+            return BAD_REQUEST.with_reason("since is a number")
         process = f"{self.me.incarnation:x}"
         at = int(since) if exchange.query.get("process", process) == process else 0
         exchange.begin(
--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -12,12 +12,12 @@
 
 from swiftdeck.fault import (
     BAD_FRAME,
-    BUSY,
     HANDLER_FAILED,
-    TIMED_OUT,
+    PEER_TIMEOUT,
+    PEER_UNREACHABLE,
+    TOO_MANY_CALLS,
     UNKNOWN_KIND,
-    UNREACHABLE,
-    fault_of,
+    fault_from_code,
     is_fault,
 )
 from swiftdeck.wire.messages import KINDS, NUMBERS, Done, FaultReturn, WireMessage
@@ -170,7 +170,7 @@
             del self.mesh.dialled[self.addr]
         for asked in list(self.mesh.asked.values()):
             if asked.link is self and not asked.answer.done():
-                asked.answer.set_result(TIMED_OUT.because("link lost"))
+                asked.answer.set_result(PEER_TIMEOUT.with_reason("link lost"))
 
 
 class Mesh:
@@ -217,7 +217,7 @@
         self.handlers[kind] = Handler(handler, is_bound)
 
     async def _link(self, addr):
-        """Return the link to a neighbour, opened if need be, or UNREACHABLE."""
+        """Return the link to a neighbour, opened if need be, or PEER_UNREACHABLE."""
         link = self.dialled.get(addr)
         if link and not link.gone:
             return link
@@ -235,7 +235,7 @@
             self.dialled[addr] = link
             return link
         except (OSError, ValueError, TimeoutError) as error:
-            return UNREACHABLE.because(f"{addr}: {error or 'no connection in time'}")
+            return PEER_UNREACHABLE.with_reason(f"{addr}: {error or 'no connection in time'}")
         finally:
             self.dialling.pop(addr, None)
 
@@ -246,9 +246,9 @@
     async def ask(self, addr, message, timeoutMs=1000, while_heard_ms=0):
         """Send a message and give what comes back: a message or a fault.
 
-        UNREACHABLE means that it was never sent. While part of a frame comes in on its link the
-        answer may be on its way over a narrow one: then it is waited for up to `while_heard_ms`,
-        since asking again would only put the same bytes behind the first ones.
+        PEER_UNREACHABLE means that it was never sent. While part of a frame comes in on its link
+        the answer may be on its way over a narrow one: then it is waited for up to
+        `while_heard_ms`, since asking again would only put the same bytes behind the first ones.
         """
         loop = asyncio.get_running_loop()
         start_s = loop.time()
@@ -264,15 +264,15 @@
                 data = self._envelope(message, number)
                 self.note_sent(message.kind_name, data)
                 if not link.send(data):
-                    return UNREACHABLE.because("link is full")
+                    return PEER_UNREACHABLE.with_reason("link is full")
                 return await asyncio.shield(answer)
         except TimeoutError:
             if asked is None:
-                return UNREACHABLE.because(f"{addr}: no connection in time")
+                return PEER_UNREACHABLE.with_reason(f"{addr}: no connection in time")
             if await self._comes_in(asked, start_s, while_heard_ms):
                 return answer.result()
             self._drop_silent(asked.link, start_s, timeoutMs / 1000)
-            return TIMED_OUT.because(f"{message.kind_name} to {addr}")
+            return PEER_TIMEOUT.with_reason(f"{message.kind_name} to {addr}")
         finally:
             self.asked.pop(number, None)
 
@@ -350,11 +350,11 @@
             return envelope.message is not None
         handler = self.handlers.get(type(envelope.message))
         if handler is None:
-            fault = UNKNOWN_KIND.because(str(envelope.number))
+            fault = UNKNOWN_KIND.with_reason(str(envelope.number))
             self._give_back(link, envelope.exchange, fault)
             return envelope.exchange != 0
         if link and len(link.handled) >= OPEN_LIMIT:
-            self._give_back(link, envelope.exchange, BUSY)
+            self._give_back(link, envelope.exchange, TOO_MANY_CALLS)
         else:
             self._handle(handler, envelope, link)
         return True
@@ -377,7 +377,7 @@
     def _answer_of(message):
         """Return what a return says: the message, or the fault that it bears."""
         if isinstance(message, FaultReturn):
-            return fault_of(message.code, message.reason, message.retry_ms or None)
+            return fault_from_code(message.code, message.reason, message.retry_ms or None)
         return message
 
     def _handle(self, handler, envelope, link):
@@ -412,7 +412,7 @@
             kind=message.kind_name,
             reason=repr(error),
         )
-        return HANDLER_FAILED.because(message.kind_name)
+        return HANDLER_FAILED.with_reason(message.kind_name)
 
     def _give_back(self, link, exchange, result):
         """Send the return of a message, if one is expected: a message, a fault, or Done."""
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -2,7 +2,7 @@
 
 from unittest import mock
 
-from swiftdeck.fault import LINE_FULL, WAITED_OUT
+from swiftdeck.fault import QUEUE_FULL, QUEUE_TIMEOUT
 from tests.cases.bases import OpenConversationsCase
 
 
@@ -77,10 +77,10 @@
         ]
         cluster.world.run(0.5)
         full = [each[0] for each in box if each]
-        self.assertEqual([each["code"] for each in full], [LINE_FULL.code] * 2)
+        self.assertEqual([each["code"] for each in full], [QUEUE_FULL.code] * 2)
         cluster.world.run(until=lambda: all(box), limit_s=10)
         self.assertLess(cluster.world.now - at_s, 3.5)
-        late = [each[0] for each in box if each[0]["code"] == WAITED_OUT.code]
+        late = [each[0] for each in box if each[0]["code"] == QUEUE_TIMEOUT.code]
         self.assertEqual(len(late), 2)
         self.assertTrue(all(each["notRun"] and each["retryAfter"] for each in [*full, *late]))
         self.sound(cluster)
@@ -180,7 +180,7 @@
         cluster.world.run(until=lambda: stream, limit_s=60)
         self.assertTrue(stream[0]["whole"])
         late = cluster.call("oita", "check", ["b", "new"])
-        self.assertEqual(late["code"], WAITED_OUT.code)
+        self.assertEqual(late["code"], QUEUE_TIMEOUT.code)
         counters = cluster.up[cluster.keeper()].counters()
         self.assertGreater(counters["movesOverCap"], 0)
         self.sound(cluster)
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -5,13 +5,13 @@
 from unittest import mock
 
 from swiftdeck.fault import (
-    CLAIM_LEFT,
+    BAD_API_KEY,
+    BAD_WORKER_OUTPUT,
+    CLAIM_UNRELEASED,
     CLAIMED,
-    STALE_LIST,
-    UNKNOWN_KEY,
-    WORKER_BAD,
-    WORKER_HANGS,
+    STALE_WORKER_LIST,
     WORKER_LOST,
+    WORKER_SILENT,
 )
 from swiftdeck.http.client import connect
 from swiftdeck.traffic.call import Call
@@ -50,7 +50,7 @@
                 cluster.world.run(until=functools.partial(bool, busy), limit_s=10)
             back = self.call_until_known(cluster, door)
             self.assertEqual(got["notRun"], not (is_granted and is_cut), got)
-            self.assertEqual(got["code"] == CLAIM_LEFT.code, is_granted and is_cut)
+            self.assertEqual(got["code"] == CLAIM_UNRELEASED.code, is_granted and is_cut)
             self.assertTrue(got["retryAfter"])
             if got["notRun"]:
                 self.assertEqual((back["code"], back["whole"]), (0, True), (is_granted, is_cut))
@@ -78,7 +78,7 @@
         look, router = Call._may_be_sent, cluster.up[name]
 
         def fails(call, attempt):
-            return STALE_LIST if call.router is router else look(call, attempt)
+            return STALE_WORKER_LIST if call.router is router else look(call, attempt)
 
         door = cluster.addresses[name]["http"]
         with mock.patch.object(Call, "_may_be_sent", fails):
@@ -167,7 +167,9 @@
             self.quirk(cluster, quirk)
             got = cluster.call("saga", "check", ["book", "x"])
             self.assertEqual(
-                (got["code"], got["whole"], got["wrong"]), (WORKER_BAD.code, False, ""), quirk
+                (got["code"], got["whole"], got["wrong"]),
+                (BAD_WORKER_OUTPUT.code, False, ""),
+                quirk,
             )
             self.assertLessEqual(got["pieces"], 3)
             self.sound(cluster)
@@ -179,7 +181,7 @@
         self.quirk(cluster, "hang")
         at_s = cluster.world.now
         got = cluster.call("saga", "check", ["book", "x"], idempotency="k")
-        self.assertEqual((got["code"], got["notRun"]), (WORKER_HANGS.code, False))
+        self.assertEqual((got["code"], got["notRun"]), (WORKER_SILENT.code, False))
         self.assertLess(cluster.world.now - at_s, 4.0)
         self.assertEqual(len(self.runs(cluster)), 1)
 
@@ -318,5 +320,5 @@
             self.assertIn(b'"code":%d' % code, answer)
             self.assertGreaterEqual(status, 400)
         got = cluster.call("saga", "tag", ["a", "b"], key="wrong")
-        self.assertEqual((got["status"], got["code"]), (401, UNKNOWN_KEY.code))
+        self.assertEqual((got["status"], got["code"]), (401, BAD_API_KEY.code))
         self.assertEqual(cluster.world.faults, [])
--- a/tests/cases/config.py
+++ b/tests/cases/config.py
@@ -7,7 +7,7 @@
 
 from swiftdeck.bench.checker import check
 from swiftdeck.config.document import key_digest
-from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, UNDECIDED
+from swiftdeck.fault import CHANGE_ID_REUSED, INVALID_CONFIG, OUTCOME_UNDECIDED, VERSION_CONFLICT
 from swiftdeck.http.client import connect, fetch_json
 from tests.cases.bases import ThreeCoresCase
 
@@ -17,9 +17,11 @@
 
     def test_refusals_have_codes_and_change_nothing(self):
         cluster = self.cluster()
-        self.assertEqual(cluster.change("PATCH", self.cap(9), base=0)[1]["code"], LOST_RACE.code)
+        self.assertEqual(
+            cluster.change("PATCH", self.cap(9), base=0)[1]["code"], VERSION_CONFLICT.code
+        )
         invalid = cluster.change("PATCH", {"routes": {"check": {"model": "nobody"}}})
-        self.assertEqual((invalid[0], invalid[1]["code"]), (422, INVALID.code))
+        self.assertEqual((invalid[0], invalid[1]["code"]), (422, INVALID_CONFIG.code))
         self.assertIn("$.routes.check.model", invalid[1]["reason"])
         self.assertEqual(cluster.change("PATCH", self.cap(7), change_id="one")[1]["version"], 2)
         self.assertEqual(
@@ -27,7 +29,7 @@
         )
         self.assertEqual(
             cluster.change("PATCH", self.cap(8), base=1, change_id="one")[1]["code"],
-            REUSED_CHANGE.code,
+            CHANGE_ID_REUSED.code,
         )
         version, document = (
             cluster.ask("GET", "/v1/config")[1][name] for name in ("version", "document")
@@ -135,7 +137,7 @@
         cluster.world.run(6)
         again = cluster.change("PATCH", self.cap(19), base=1, name=door, change_id="late")
         if got[0] != 200:
-            self.assertEqual(got[1]["code"], UNDECIDED.code)
+            self.assertEqual(got[1]["code"], OUTCOME_UNDECIDED.code)
         self.assertEqual((again[0], again[1]["version"]), (200, 2))
 
     def test_many_routes_are_carried_to_all(self):
@@ -202,7 +204,7 @@
             )
             if got[0] != 200:
                 break
-        self.assertEqual((got[0], got[1]["code"]), (422, INVALID.code))
+        self.assertEqual((got[0], got[1]["code"]), (422, INVALID_CONFIG.code))
         self.assertIn("bytes", got[1]["reason"])
         self.assertEqual(cluster.call("saga", "tag", ["a", "b"])["status"], 200)
 
--- a/tests/cases/draining.py
+++ b/tests/cases/draining.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from swiftdeck.bench.checker import check
-from swiftdeck.fault import STOPPING, UNDECIDED, WORKER_HANGS, WORKER_LOST
+from swiftdeck.fault import OUTCOME_UNDECIDED, ROUTER_STOPPING, WORKER_LOST, WORKER_SILENT
 from swiftdeck.http.client import connect
 from swiftdeck.http.server import HttpServer
 from swiftdeck.sim.sim_cluster import SimCluster
@@ -74,7 +74,7 @@
         name = self.other(cluster)
         box = self.call(cluster, name)
         self.stop(cluster, name)
-        self.assertIn(box[0]["code"], (WORKER_LOST.code, WORKER_HANGS.code))
+        self.assertIn(box[0]["code"], (WORKER_LOST.code, WORKER_SILENT.code))
         self.assertFalse(box[0]["notRun"])
         self.assert_sound(cluster)
 
@@ -84,7 +84,7 @@
         with mock.patch.object(Call, "_ask_keeper", waits_forever):
             box = self.call(cluster, name)
             self.stop(cluster, name)
-        self.assertEqual((box[0]["code"], box[0]["notRun"]), (STOPPING.code, True))
+        self.assertEqual((box[0]["code"], box[0]["notRun"]), (ROUTER_STOPPING.code, True))
         self.assert_sound(cluster)
 
     def test_a_call_that_comes_after_sigterm_is_refused_at_once(self):
@@ -96,7 +96,7 @@
         cluster.world.run_in(name, lambda: loop.create_task(cluster.up[name].stop()))
         cluster.world.run(0.5)
         late = self.call(cluster, name)
-        self.assertEqual((late[0]["code"], late[0]["notRun"]), (STOPPING.code, True))
+        self.assertEqual((late[0]["code"], late[0]["notRun"]), (ROUTER_STOPPING.code, True))
         self.assertFalse(first)
         cluster.world.run(4)
         self.assertTrue(first)
@@ -153,7 +153,9 @@
             box = cluster.spawn(lambda: self.put(cluster, name))
             cluster.world.run(0.5)
             self.stop(cluster, name)
-        self.assertEqual((box[0][0], box[0][1]["code"]), (UNDECIDED.status, UNDECIDED.code))
+        self.assertEqual(
+            (box[0][0], box[0][1]["code"]), (OUTCOME_UNDECIDED.status, OUTCOME_UNDECIDED.code)
+        )
         self.assert_sound(cluster)
 
     async def put(self, cluster, name):
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -3,8 +3,8 @@
 from unittest import mock
 
 from swiftdeck.fault import (
-    STALE_LIST,
-    TIMED_OUT,
+    PEER_TIMEOUT,
+    STALE_WORKER_LIST,
     WORKER_LOST,
 )
 from swiftdeck.traffic.call import Call
@@ -126,7 +126,11 @@
         self.assertEqual((ends, starts), ([], []))
 
     def test_a_call_counts_once_however_often_its_first_attempt_is_granted(self):
-        cluster, look, failures = self.cluster(workers=1), Call._may_be_sent, [STALE_LIST] * 5
+        cluster, look, failures = (
+            self.cluster(workers=1),
+            Call._may_be_sent,
+            [STALE_WORKER_LIST] * 5,
+        )
 
         def fails(call, attempt):
             return failures.pop() if failures else look(call, attempt)
@@ -142,7 +146,9 @@
         cluster, take, lost = self.cluster(workers=1), Router.take_grant, [True]
 
         def loses(router, call, attempt, grant, asked_s):
-            return TIMED_OUT if lost and lost.pop() else take(router, call, attempt, grant, asked_s)
+            return (
+                PEER_TIMEOUT if lost and lost.pop() else take(router, call, attempt, grant, asked_s)
+            )
 
         with mock.patch.object(Router, "take_grant", loses):
             self.assertTrue(cluster.call("saga", "check", ["book", "x"], max_tokens=16)["whole"])
@@ -197,7 +203,7 @@
         cluster.world.run(5)
         start_s = cluster.world.now
         got = cluster.call("saga", "check", ["a", "c"], idempotency="k", door=alone["http"])
-        self.assertEqual((got["code"], got["notRun"]), (STALE_LIST.code, True))
+        self.assertEqual((got["code"], got["notRun"]), (STALE_WORKER_LIST.code, True))
         self.assertLess(cluster.world.now - start_s, 10.5)
         cluster.world.start("platform", platform, cluster.up["platform"].start)
         cluster.world.run(2)
@@ -232,7 +238,7 @@
         cluster.world.run(5)
         got = cluster.call("saga", "tag", ["a", "b"], door=cluster.addresses[keeper]["http"])
         self.assertEqual(
-            (got["code"], got["notRun"], len(self.runs(cluster))), (STALE_LIST.code, True, 0)
+            (got["code"], got["notRun"], len(self.runs(cluster))), (STALE_WORKER_LIST.code, True, 0)
         )
         self.sound(cluster)
 
--- a/tests/cases/late_messages.py
+++ b/tests/cases/late_messages.py
@@ -1,6 +1,6 @@
 """Cases of messages of the own interface that reach a router long after they were given up."""
 
-from swiftdeck.fault import OLD_TERM
+from swiftdeck.fault import STALE_TERM
 from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.wire.messages import GrantAsk, GrantDrop, OpenAsk
 from tests.cases.bases import SiteCase
@@ -68,5 +68,5 @@
         self.cluster.world.run(1)
         known = self.router.known[MODEL]
         late = OpenAsk(term=known[0] - 1, model=MODEL, keeper="10.9.9.9:1")
-        self.assertEqual(self.router.on_open_ask(late, "10.9.9.9:1").code, OLD_TERM.code)
+        self.assertEqual(self.router.on_open_ask(late, "10.9.9.9:1").code, STALE_TERM.code)
         self.assertEqual(self.router.known[MODEL], known)
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -231,7 +231,7 @@
         "a worker's refusal is no run",
         weights.WeightsCase,
         "test_a_switch_under_load_ends_the_old_weights",
-        [("swiftdeck.traffic.call", "OTHER_WEIGHTS", NO_LEASE)],
+        [("swiftdeck.traffic.call", "WEIGHTS_MISMATCH", NO_LEASE)],
     ),
     (
         "what was served stays open",
--- a/tests/cases/replacements.py
+++ b/tests/cases/replacements.py
@@ -8,7 +8,7 @@
 
 from swiftdeck.chain.chain import Chain
 from swiftdeck.chain.state import ChainState
-from swiftdeck.fault import NO_LEASE, OLD_VIEW, WAITED_OUT
+from swiftdeck.fault import NO_LEASE, QUEUE_TIMEOUT, STALE_VIEW
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.ledger import Move, next_move
@@ -58,7 +58,7 @@
 
 
 async def copies_nothing_from_behind(self, addr, above=-1, copy_from=Chain._copy_from):
-    return OLD_VIEW if above >= 0 else await copy_from(self, addr)
+    return STALE_VIEW if above >= 0 else await copy_from(self, addr)
 
 
 class Endless:
@@ -130,7 +130,7 @@
 
 
 def promises(self, fault):
-    return WAITED_OUT
+    return QUEUE_TIMEOUT
 
 
 def again(ledger, now_ms):
--- a/tests/chain/test_editions.py
+++ b/tests/chain/test_editions.py
@@ -6,7 +6,13 @@
 
 from swiftdeck.chain.state import ChainState
 from swiftdeck.config.configuration import Configuration
-from swiftdeck.fault import BASE_AHEAD, INVALID, LOST_RACE, REUSED_CHANGE, is_fault
+from swiftdeck.fault import (
+    BASE_VERSION_AHEAD,
+    CHANGE_ID_REUSED,
+    INVALID_CONFIG,
+    VERSION_CONFLICT,
+    is_fault,
+)
 
 PATH = {"host": "h", "prefix": "/", "services": [{"service": "s", "share": 1}], "timeoutMs": 5}
 
@@ -141,13 +147,13 @@
 
     def test_an_edition_builds_on_the_present_one_and_is_above_it(self):
         for edition, on_edition, code in (
-            (9, 3, LOST_RACE.code),
-            (9, 0, LOST_RACE.code),
-            (9, 5, BASE_AHEAD.code),
-            (4, 4, INVALID.code),
-            (3, 4, INVALID.code),
-            (3, 3, INVALID.code),
-            (5, 5, INVALID.code),
+            (9, 3, VERSION_CONFLICT.code),
+            (9, 0, VERSION_CONFLICT.code),
+            (9, 5, BASE_VERSION_AHEAD.code),
+            (4, 4, INVALID_CONFIG.code),
+            (3, 4, INVALID_CONFIG.code),
+            (3, 3, INVALID_CONFIG.code),
+            (5, 5, INVALID_CONFIG.code),
         ):
             for op in ("replace", "items"):
                 self.assertEqual(self.change("x", op, {}, edition, on_edition).code, code)
@@ -164,7 +170,7 @@
                 ensure={"models": {"m": {"weights": "1"}}},
             )
         )
-        self.assertEqual(self.change("first", "replace", {}, 4, 0).code, REUSED_CHANGE.code)
+        self.assertEqual(self.change("first", "replace", {}, 4, 0).code, CHANGE_ID_REUSED.code)
         self.take(
             {"id": "p", "op": "patch", "base": 1, "document": {"routes": {"r": {"model": "m"}}}}
         )
@@ -172,7 +178,7 @@
 
     def test_without_an_edition_the_base_counts(self):
         change = {"id": "i", "op": "items", "document": {"paths": {"a": None}}}
-        self.assertEqual(self.take(change | {"base": 0}).code, LOST_RACE.code)
+        self.assertEqual(self.take(change | {"base": 0}).code, VERSION_CONFLICT.code)
         self.assertEqual(self.take(change | {"base": 1})["version"], 2)
         self.assertEqual(self.raws("edition"), {"operator": {"number": 4}})
 
@@ -192,7 +198,7 @@
         ]:
             fault = self.change("x", "items", document, 9, 4)
             self.assertEqual(
-                (fault.code, fault.reason.startswith(word)), (INVALID.code, True), fault
+                (fault.code, fault.reason.startswith(word)), (INVALID_CONFIG.code, True), fault
             )
         self.assertTrue(
             all(
@@ -217,12 +223,14 @@
         self.assertIsNone(self.take({"id": "w2", "op": "raise", "model": "m", "weights": 2}))
         self.assertEqual(
             self.take({"id": "w2", "op": "raise", "model": "m", "weights": 3}).code,
-            REUSED_CHANGE.code,
+            CHANGE_ID_REUSED.code,
         )
         self.assertEqual(
-            self.take({"id": "u", "op": "raise", "model": "u", "weights": 3}).code, INVALID.code
+            self.take({"id": "u", "op": "raise", "model": "u", "weights": 3}).code,
+            INVALID_CONFIG.code,
         )
         self.change("named", "items", {"models": {"m": {"weights": "w1"}}}, 9, 4)
         self.assertEqual(
-            self.take({"id": "v", "op": "raise", "model": "m", "weights": 3}).code, INVALID.code
+            self.take({"id": "v", "op": "raise", "model": "m", "weights": 3}).code,
+            INVALID_CONFIG.code,
         )
--- a/tests/chain/test_outcomes.py
+++ b/tests/chain/test_outcomes.py
@@ -7,7 +7,13 @@
 
 from swiftdeck.chain import outcomes
 from swiftdeck.chain.state import ChainState
-from swiftdeck.fault import FORGOTTEN, INVALID, LOST_RACE, REUSED_CHANGE, is_fault
+from swiftdeck.fault import (
+    CHANGE_FORGOTTEN,
+    CHANGE_ID_REUSED,
+    INVALID_CONFIG,
+    VERSION_CONFLICT,
+    is_fault,
+)
 
 
 def order(number, base, note=""):
@@ -44,13 +50,15 @@
         copied.from_bytes(state.to_bytes())
         for each in (state, copied):
             self.assertIsNone(self.take(each, order(2, 0)))
-            self.assertEqual(self.take(each, order(3, 2)).code, LOST_RACE.code)
+            self.assertEqual(self.take(each, order(3, 2)).code, VERSION_CONFLICT.code)
             self.assertEqual(each.outcomes.find(order(2, 0)["id"]).version, 1)
             reused = order(2, 0) | {"document": {"edition": {"operator": {}}}}
-            self.assertEqual(self.take(each, reused).code, REUSED_CHANGE.code)
+            self.assertEqual(self.take(each, reused).code, CHANGE_ID_REUSED.code)
         self.assertEqual(copied.to_bytes(), state.to_bytes())
         with mock.patch.object(outcomes, "OLDER_KEPT", 0):
-            self.assertEqual(self.take(self.state_after(5001), order(2, 0)).code, FORGOTTEN.code)
+            self.assertEqual(
+                self.take(self.state_after(5001), order(2, 0)).code, CHANGE_FORGOTTEN.code
+            )
 
     @mock.patch.object(outcomes, "CHANGES_KEPT", 5)
     @mock.patch.object(outcomes, "OLDER_KEPT", 10)
@@ -61,13 +69,17 @@
         said = {
             number: self.take(state, order(2 * number, 2 * number - 2)) for number in range(1, 31)
         }
-        self.assertEqual({said[number].code for number in range(1, 16)}, {FORGOTTEN.code})
+        self.assertEqual({said[number].code for number in range(1, 16)}, {CHANGE_FORGOTTEN.code})
         self.assertEqual({said[number] for number in range(16, 31)}, {None})
-        self.assertEqual(self.take(state, order(31, 28)).code, LOST_RACE.code)
-        self.assertEqual(self.take(state, order(30, 60)).code, INVALID.code)
+        self.assertEqual(self.take(state, order(31, 28)).code, VERSION_CONFLICT.code)
+        self.assertEqual(self.take(state, order(30, 60)).code, INVALID_CONFIG.code)
         own = {"t": "config", "op": "patch", "document": {}}
-        self.assertEqual(self.take(state, own | {"id": "a", "base": 14}).code, FORGOTTEN.code)
-        self.assertEqual(self.take(state, own | {"id": "b", "base": 15}).code, LOST_RACE.code)
+        self.assertEqual(
+            self.take(state, own | {"id": "a", "base": 14}).code, CHANGE_FORGOTTEN.code
+        )
+        self.assertEqual(
+            self.take(state, own | {"id": "b", "base": 15}).code, VERSION_CONFLICT.code
+        )
 
     @mock.patch.object(outcomes, "CHANGES_KEPT", 1)
     def test_a_row_of_an_earlier_form_is_kept_on(self):
--- a/tests/chain/test_state.py
+++ b/tests/chain/test_state.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from swiftdeck.chain.state import CLAIM, FINISH, FULL, HELD, OVER, RELEASE, WITHDRAWN, ChainState
-from swiftdeck.fault import INVALID, LOST_RACE, REUSED_CHANGE, is_fault
+from swiftdeck.fault import CHANGE_ID_REUSED, INVALID_CONFIG, VERSION_CONFLICT, is_fault
 
 
 class ChainStateTest(unittest.TestCase):
@@ -44,14 +44,16 @@
         self.assertEqual(self.change(state, id="a", base=0, document=whole)["version"], 1)
         self.assertIsNone(self.change(state, id="a", base=0, document=whole))
         self.assertEqual(
-            self.change(state, id="a", base=1, document=whole).code, REUSED_CHANGE.code
+            self.change(state, id="a", base=1, document=whole).code, CHANGE_ID_REUSED.code
+        )
+        self.assertEqual(
+            self.change(state, id="b", base=0, document=whole).code, VERSION_CONFLICT.code
         )
-        self.assertEqual(self.change(state, id="b", base=0, document=whole).code, LOST_RACE.code)
         self.assertEqual(
             self.change(
                 state, id="c", base=1, op="patch", document={"models": {"m": {"cap": "x"}}}
             ).code,
-            INVALID.code,
+            INVALID_CONFIG.code,
         )
         self.change(
             state, id="d", base=1, op="patch", document={"models": {"m": {"weights": "w2"}}}
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -3,7 +3,7 @@
 import unittest
 
 from swiftdeck.config.document import merge
-from swiftdeck.fault import INVALID, is_fault
+from swiftdeck.fault import INVALID_CONFIG, is_fault
 
 
 class DocumentTest(unittest.TestCase):
@@ -36,6 +36,8 @@
             fault = Configuration.read(text.encode())
             self.assertTrue(is_fault(fault))
             self.assertEqual(
-                (fault.code, fault.reason.startswith(path)), (INVALID.code, True), fault.reason
+                (fault.code, fault.reason.startswith(path)),
+                (INVALID_CONFIG.code, True),
+                fault.reason,
             )
         self.assertEqual(Configuration.read((f"{{{model}}}").encode()).document.models["m"].cap, 16)
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -7,8 +7,8 @@
 
 from swiftdeck.chain.agreement import Agreement
 from swiftdeck.chain.state import ChainState
-from swiftdeck.fault import LOST_RACE as LOST_RACE_FAULT
-from swiftdeck.fault import NOT_TAIL, OLD_VIEW, is_fault
+from swiftdeck.fault import NOT_TAIL, STALE_VIEW, is_fault
+from swiftdeck.fault import VERSION_CONFLICT as VERSION_CONFLICT_FAULT
 from swiftdeck.platform import configs
 from swiftdeck.wire.messages import (
     Accept,
@@ -38,7 +38,7 @@
 from tests.gateway.case import SiteCase
 from tests.gateway.cases.orders import FIRST, OrderStorm
 from tests.gateway.loss_storm import LossStorm
-from tests.gateway.orders import LOST_RACE, TAKEN, OrderCluster
+from tests.gateway.orders import TAKEN, VERSION_CONFLICT, OrderCluster
 from tests.gateway.platform_cluster import MODEL
 
 SHARE = 0.25
@@ -72,7 +72,7 @@
         self.cluster.settle()
         self.lost, self.taken = self.cluster.patch(5, FIRST), self.cluster.patch(7, FIRST)
         self.assertEqual(self.cluster.send(self.taken, "core1"), TAKEN)
-        self.assertEqual(self.cluster.send(self.lost, "core1"), LOST_RACE)
+        self.assertEqual(self.cluster.send(self.lost, "core1"), VERSION_CONFLICT)
 
     def core(self, position):
         """The core at a place of the view."""
@@ -97,7 +97,9 @@
     def test_a_late_write_changes_nothing(self):
         version = self.core(0).chain.state.stored.version
         self.assertFalse(is_fault(self.bring(self.write_of(self.taken), 0, -1)))
-        self.assertEqual(self.bring(self.write_of(self.lost), 0, -1).code, LOST_RACE_FAULT.code)
+        self.assertEqual(
+            self.bring(self.write_of(self.lost), 0, -1).code, VERSION_CONFLICT_FAULT.code
+        )
         self.cluster.world.run(1)
         self.assertEqual((self.core(-1).chain.state.stored.version, self.number()), (version, 7))
         with mock.patch.object(ChainState, "_outpaced", lambda self, change: None):
@@ -115,7 +117,7 @@
 
     def test_a_late_pass_of_an_earlier_view_is_not_taken(self):
         late = self.late_pass()
-        self.assertEqual(self.bring(late, -1, -2).code, OLD_VIEW.code)
+        self.assertEqual(self.bring(late, -1, -2).code, STALE_VIEW.code)
         self.assertEqual(self.number(), 7)
         late.view = self.core(-1).agreement.decided.number
         self.assertFalse(is_fault(self.bring(late, -1, -2)))
@@ -149,7 +151,7 @@
         ask.view = self.core(-1).agreement.decided.number
         self.assertFalse(is_fault(self.bring(ask, -1, 0)))
         join = JoinAsk(core_id="new", addr="10.1.0.9:7000", view=number)
-        self.assertEqual(self.bring(join, -1, 0).code, OLD_VIEW.code)
+        self.assertEqual(self.bring(join, -1, 0).code, STALE_VIEW.code)
 
     def test_a_late_question_for_a_lease_does_not_take_back_what_a_router_has(self):
         lease, tail = self.cluster.up["router1"].lease, self.core(-1).chain
@@ -172,7 +174,7 @@
     def test_late_wishes_to_leave_of_an_earlier_view_move_nobody_out(self):
         gone = self.core(-1).agreement
         late = LeaveAsk(core_id=gone.core_id, view=self.old_view.number)
-        self.assertEqual(self.bring(late, 0, -1).code, OLD_VIEW.code)
+        self.assertEqual(self.bring(late, 0, -1).code, STALE_VIEW.code)
         self.cluster.world.run(1)
         self.assertGreaterEqual(gone.position(), 0)
 
--- a/tests/gateway/cases/leaving_clients.py
+++ b/tests/gateway/cases/leaving_clients.py
@@ -3,7 +3,7 @@
 import asyncio
 from unittest import mock
 
-from swiftdeck.fault import CLIENT_ENDED
+from swiftdeck.fault import CLIENT_CLOSED
 from swiftdeck.gateway.admission import Admission
 from swiftdeck.gateway.pool import Pool
 from swiftdeck.http.server import HttpExchange
@@ -93,7 +93,7 @@
         self.assertEqual([each["status"] for each in self.half_closed("r-once").account()], [200])
         client = self.half_closed("r-safe")
         self.assertEqual([each["status"] for each in client.account()], [502])
-        self.assertIn(CLIENT_ENDED.name.encode(), bytes(client.got))
+        self.assertIn(CLIENT_CLOSED.name.encode(), bytes(client.got))
 
     def test_a_frozen_router_sends_nothing_on_for_clients_that_left_meanwhile(self):
         cluster = PlatformCluster(63).start()
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -9,11 +9,11 @@
 from swiftdeck.chain.chain import Chain, Refusal
 from swiftdeck.chain.outcomes import Horizon, Outcomes
 from swiftdeck.chain.state import ChainState
-from swiftdeck.fault import BASE_AHEAD, is_fault
-from swiftdeck.fault import LOST_RACE as LOST_RACE_FAULT
+from swiftdeck.fault import BASE_VERSION_AHEAD, is_fault
+from swiftdeck.fault import VERSION_CONFLICT as VERSION_CONFLICT_FAULT
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform.operator_door import WEIGHTS_PATH
-from tests.gateway.orders import INVALID, LOST_RACE, TAKEN, TRY_AGAIN, OrderCluster
+from tests.gateway.orders import INVALID, TAKEN, TRY_AGAIN, VERSION_CONFLICT, OrderCluster
 from tests.gateway.platform_cluster import MODEL
 
 FIRST = 3
@@ -215,7 +215,7 @@
         return [
             f"{order.number} on {order.base}: {order.statuses()}"
             for order in orders
-            if TAKEN not in order.statuses() or order.statuses() & {LOST_RACE, INVALID}
+            if TAKEN not in order.statuses() or order.statuses() & {VERSION_CONFLICT, INVALID}
         ] + cluster.wrong()
 
     def test_orders_on_numbers_that_are_still_under_way_are_all_taken(self):
@@ -224,8 +224,8 @@
 
         def refuses_what_is_ahead(self, edition, base, outpaced=ChainState._outpaced_edition):
             got = outpaced(self, edition, base)
-            is_ahead = is_fault(got) and got.code == BASE_AHEAD.code
-            return LOST_RACE_FAULT if is_ahead else got
+            is_ahead = is_fault(got) and got.code == BASE_VERSION_AHEAD.code
+            return VERSION_CONFLICT_FAULT if is_ahead else got
 
         self.assert_falls_without(
             mock.patch.object(ChainState, "_outpaced_edition", refuses_what_is_ahead),
@@ -256,7 +256,7 @@
             f"{order.number}: {order.statuses()}"
             for order in again
             if order.statuses() - {TAKEN, TRY_AGAIN}
-        ] + [f"{lost.statuses()}"] * (lost.statuses() != {LOST_RACE})
+        ] + [f"{lost.statuses()}"] * (lost.statuses() != {VERSION_CONFLICT})
 
     def send_again(self, cluster, orders):
         """Send orders to every core at once, one order after the other."""
@@ -336,7 +336,7 @@
         cluster.world.run(until=lambda: all(task.done() for task in tasks), limit_s=45)
         cluster.settle()
         statuses = sorted(task.result() for task in tasks)
-        if statuses != [TAKEN, LOST_RACE]:
+        if statuses != [TAKEN, VERSION_CONFLICT]:
             self.wrong.append(f"{name} {after_s} {has_power}: {statuses}")
         self.newest = base + 2
 
--- a/tests/gateway/orders.py
+++ b/tests/gateway/orders.py
@@ -10,7 +10,7 @@
 from swiftdeck.platform.operator_door import CONFIG_PATH
 from tests.gateway.platform_cluster import PlatformCluster, document, route
 
-TAKEN, LOST_RACE, INVALID, TRY_AGAIN = 200, 412, 400, 503
+TAKEN, VERSION_CONFLICT, INVALID, TRY_AGAIN = 200, 412, 400, 503
 FINAL = (200, 400, 409, 412, 413, 422)
 ANSWER_MS = 1000
 
@@ -183,7 +183,7 @@
         found += [
             f"{order.number} on {order.base} was refused for a change that never was"
             for order in self.orders
-            if LOST_RACE in order.statuses() and order.base not in by_base
+            if VERSION_CONFLICT in order.statuses() and order.base not in by_base
         ]
         found += [f"{len(ids)} taken on {base}" for base, ids in by_base.items() if len(ids) > 1]
         return found + self._old_reads()
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -3,7 +3,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from swiftdeck.fault import TIMED_OUT
+from swiftdeck.fault import PEER_TIMEOUT
 from swiftdeck.gateway.following import OWNED_S, Following
 from swiftdeck.gateway.interfaces import Kept, Part, Reports
 from swiftdeck.gateway.kept import KeptTable
@@ -110,7 +110,7 @@
 
     def test_a_cache_that_fails_is_asked_again_from_where_it_was_or_from_the_beginning(self):
         self.told(("book", 13000, True))
-        self.source.answers[self.addr] = [TIMED_OUT]
+        self.source.answers[self.addr] = [PEER_TIMEOUT]
         self.world.run(3)
         self.assertEqual(self.telemetry.count["reportsFailed"], 1)
         self.told(("book", 13000, True), number=12)
--- a/tests/gateway/test_ledger.py
+++ b/tests/gateway/test_ledger.py
@@ -4,29 +4,29 @@
 import unittest
 
 from swiftdeck.fault import (
-    BUDGET_SPENT,
+    BAD_WORKER_OUTPUT,
     DEADLINE_PASSED,
-    NO_ROOM,
     NO_WORKER,
-    OTHER_WEIGHTS,
+    NO_WORKER_CAPACITY,
+    RETRY_BUDGET_EXHAUSTED,
     STREAM_BROKEN,
-    UNREACHED,
-    WORKER_BAD,
+    WEIGHTS_MISMATCH,
     WORKER_FULL,
-    WORKER_HANGS,
     WORKER_LOST,
+    WORKER_SILENT,
+    WORKER_UNREACHABLE,
 )
 from swiftdeck.gateway.ledger import Attempt, Ledger, Move, next_move
 
 WORKER = object()
-NOT_SENT = dict(worker=WORKER, fault=UNREACHED)
+NOT_SENT = dict(worker=WORKER, fault=WORKER_UNREACHABLE)
 UNSENT = dict(worker=WORKER, fault=WORKER_LOST)
 NOT_RUN = dict(worker=WORKER, fault=WORKER_FULL, was_sent=True, has_not_run=True)
 LOST = dict(worker=WORKER, fault=WORKER_LOST, was_sent=True)
-HUNG = dict(worker=WORKER, fault=WORKER_HANGS, was_sent=True)
+HUNG = dict(worker=WORKER, fault=WORKER_SILENT, was_sent=True)
 LATE = dict(worker=WORKER, fault=DEADLINE_PASSED, was_sent=True)
 CHOSEN, WHOLE = dict(worker=WORKER), dict(worker=WORKER, was_sent=True, is_whole=True)
-UNPLACED = dict(fault=NO_ROOM)
+UNPLACED = dict(fault=NO_WORKER_CAPACITY)
 
 
 def ledger(*attempts, repeatable=False, resumable=False, tries=2, has_begun=False, deadline_s=10.0):
@@ -52,7 +52,7 @@
 
     def test_a_once_only_request_is_never_sent_again_after_it_may_have_run(self):
         for ran, then in itertools.product(
-            (LOST, HUNG, LATE, LOST | {"fault": WORKER_BAD}), ((), (NOT_SENT,), (NOT_RUN,))
+            (LOST, HUNG, LATE, LOST | {"fault": BAD_WORKER_OUTPUT}), ((), (NOT_SENT,), (NOT_RUN,))
         ):
             for begun, tries in itertools.product((False, True), (2, 5)):
                 move, fault = self.move(ran, *then, tries=tries, has_begun=begun)
@@ -63,7 +63,7 @@
         self.assertEqual(self.move(NOT_SENT)[0], Move.PLACE)
         self.assertEqual(self.move(NOT_RUN, tries=2)[0], Move.PLACE)
         self.assertEqual(
-            self.move(NOT_RUN | {"fault": OTHER_WEIGHTS}, NOT_SENT, tries=2)[0], Move.PLACE
+            self.move(NOT_RUN | {"fault": WEIGHTS_MISMATCH}, NOT_SENT, tries=2)[0], Move.PLACE
         )
 
     def test_what_ends_a_request_promises_only_where_nothing_may_have_run(self):
@@ -73,7 +73,7 @@
         ):
             for last in (
                 UNPLACED,
-                UNPLACED | {"fault": BUDGET_SPENT},
+                UNPLACED | {"fault": RETRY_BUDGET_EXHAUSTED},
                 UNPLACED | {"fault": NO_WORKER},
                 None,
             ):
@@ -90,14 +90,14 @@
     def test_a_repeatable_request_goes_to_no_more_workers_than_its_tries(self):
         self.assertEqual(self.move(LOST, repeatable=True, tries=2)[0], Move.PLACE)
         self.assertEqual(
-            self.move(LOST, HUNG, repeatable=True, tries=2), (Move.GIVE_UP, WORKER_HANGS)
+            self.move(LOST, HUNG, repeatable=True, tries=2), (Move.GIVE_UP, WORKER_SILENT)
         )
         self.assertEqual(self.move(LOST, repeatable=True, tries=1)[0], Move.GIVE_UP)
         self.assertEqual(self.move(NOT_RUN, NOT_RUN, tries=2), (Move.GIVE_UP, WORKER_FULL))
 
     def test_workers_that_are_not_reached_end_a_request_at_last(self):
         self.assertEqual(self.move(*[NOT_SENT] * 4, tries=2)[0], Move.PLACE)
-        self.assertEqual(self.move(*[NOT_SENT] * 5, tries=2), (Move.GIVE_UP, UNREACHED))
+        self.assertEqual(self.move(*[NOT_SENT] * 5, tries=2), (Move.GIVE_UP, WORKER_UNREACHABLE))
 
     def test_an_answer_that_has_begun_breaks_unless_it_can_be_taken_up(self):
         for repeatable in (False, True):
@@ -117,7 +117,7 @@
         )
 
     def test_nothing_is_held_to_its_deadline(self):
-        self.assertEqual(self.move(UNPLACED), (Move.GIVE_UP, NO_ROOM))
+        self.assertEqual(self.move(UNPLACED), (Move.GIVE_UP, NO_WORKER_CAPACITY))
         self.assertEqual(self.move(UNPLACED, repeatable=True, tries=9)[0], Move.GIVE_UP)
         self.assertEqual(self.move(NOT_SENT, now_s=10.0), (Move.GIVE_UP, DEADLINE_PASSED))
         self.assertEqual(self.move(LOST, repeatable=True, now_s=10.0), (Move.GIVE_UP, WORKER_LOST))
--- a/tests/gateway/test_listing.py
+++ b/tests/gateway/test_listing.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from swiftdeck.fault import BAD_RETURN
+from swiftdeck.fault import BAD_BACKEND_RESPONSE
 from swiftdeck.gateway.listing import Listing
 from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.member.membership import Membership
@@ -26,7 +26,7 @@
         self.reads.append(self.world.now)
         got = list(self.listing)
         await asyncio.sleep(0.01)
-        return BAD_RETURN if self.fails else got
+        return BAD_BACKEND_RESPONSE if self.fails else got
 
 
 class ListingTest(SimCase):
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from swiftdeck.fault import NO_CONNECTION, UNREACHED, is_fault
+from swiftdeck.fault import NO_CONNECTION, WORKER_UNREACHABLE, is_fault
 from swiftdeck.gateway.pool import KEEP_S, SPARE_S, Pool
 from tests.gateway.parts import SimCase, worker_registry
 
@@ -162,11 +162,13 @@
     def test_who_is_not_reached_counts_for_nothing(self):
         self.pool.most = lambda worker: 1
         for _ in range(3):
-            self.assertEqual(self.take(self.worker_registry.workers["w2"]).code, UNREACHED.code)
+            self.assertEqual(
+                self.take(self.worker_registry.workers["w2"]).code, WORKER_UNREACHABLE.code
+            )
         self.world.net.cut(["10.0.0.1"], ["10.1.0.1"])
         for _ in range(3):
             begun_s = self.world.now
-            self.assertEqual(self.take().code, UNREACHED.code)
+            self.assertEqual(self.take().code, WORKER_UNREACHABLE.code)
             self.assertAlmostEqual(self.world.now - begun_s, 0.3, delta=0.01)
         self.world.net.heal()
         self.assertFalse(is_fault(self.take()))
@@ -196,7 +198,7 @@
         self.world.net.cut(["10.0.0.1"], ["10.1.0.1"])
         for within_s, took_s in ((0.05, 0.05), (-1.0, 0.0), (9.0, 0.3)):
             begun_s = self.world.now
-            self.assertEqual(self.take(within_s=within_s).code, UNREACHED.code)
+            self.assertEqual(self.take(within_s=within_s).code, WORKER_UNREACHABLE.code)
             self.assertAlmostEqual(self.world.now - begun_s, took_s, delta=0.01)
 
     def test_connections_to_a_life_that_is_gone_are_closed_and_never_serve_the_next_at_its_address(
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.fault import UNREACHED
+from swiftdeck.fault import WORKER_UNREACHABLE
 from swiftdeck.http.client import connect, fetch_json
 from swiftdeck.http.server import HttpServer
 from swiftdeck.sim.world import World
@@ -26,7 +26,8 @@
             (201, {"a": "x" * 200000}),
         )
         self.assertEqual(
-            world.do("c", lambda: fetch_json("10.0.0.1:81", "GET", "/")).code, UNREACHED.code
+            world.do("c", lambda: fetch_json("10.0.0.1:81", "GET", "/")).code,
+            WORKER_UNREACHABLE.code,
         )
 
 
--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.fault import STOPPING, WORKER_LOST
+from swiftdeck.fault import ROUTER_STOPPING, WORKER_LOST
 from swiftdeck.http.drain import Drain, DrainTimes
 from swiftdeck.http.server import HttpServer
 from swiftdeck.sim.world import World
@@ -154,7 +154,7 @@
         self.on_server(self.server.stop)
         self.world.run(HANDLING_S + 0.1)
         self.assertIn(b"ok", client.got)
-        self.assertIn(b'"code":%d' % STOPPING.code, client.got)
+        self.assertIn(b'"code":%d' % ROUTER_STOPPING.code, client.got)
         self.assertEqual((self.server.open, self.cuts()), ({}, {}))
 
     def test_what_a_handler_has_not_answered_in_time_is_answered_in_its_place(self):
--- a/tests/platform/test_configs.py
+++ b/tests/platform/test_configs.py
@@ -7,7 +7,7 @@
 
 from swiftdeck.chain.state import ChainState
 from swiftdeck.config.document import key_digest
-from swiftdeck.fault import INVALID, LOST_RACE, is_fault
+from swiftdeck.fault import INVALID_CONFIG, VERSION_CONFLICT, is_fault
 from swiftdeck.platform import configs
 
 ROUTES = [
@@ -328,7 +328,9 @@
             fault = self.take(configs.whole, changed(path, value, whole), 7)
             self.assertTrue(is_fault(fault), path)
             self.assertEqual(
-                (fault.code, word in fault.reason), (INVALID.code, True), f"{path} {fault.reason}"
+                (fault.code, word in fault.reason),
+                (INVALID_CONFIG.code, True),
+                f"{path} {fault.reason}",
             )
         for body in (
             b"",
@@ -343,7 +345,7 @@
                 b'"extra":1', b'"extra":' + b"9" * 40
             ),
         ):
-            self.assertEqual(self.take(configs.whole, body, 7).code, INVALID.code, body[:40])
+            self.assertEqual(self.take(configs.whole, body, 7).code, INVALID_CONFIG.code, body[:40])
         self.assertEqual(self.shown(), WHOLE)
 
     def test_invalid_changes_of_items(self):
@@ -375,9 +377,11 @@
             fault = self.take(configs.items, {"version": 9} | more, 7)
             self.assertTrue(is_fault(fault), more)
             self.assertEqual(
-                (fault.code, word in fault.reason), (INVALID.code, True), f"{more} {fault.reason}"
+                (fault.code, word in fault.reason),
+                (INVALID_CONFIG.code, True),
+                f"{more} {fault.reason}",
             )
-        self.assertEqual(self.take(configs.items, {"version": 9}, 6).code, LOST_RACE.code)
+        self.assertEqual(self.take(configs.items, {"version": 9}, 6).code, VERSION_CONFLICT.code)
         self.assertEqual(self.shown(), WHOLE)
 
     def test_weights_go_up_only(self):
@@ -390,7 +394,7 @@
             {"model": "nobody", "version": 2},
             {"model": "daka510000", "version": "2"},
         ):
-            self.assertEqual(self.take(configs.weights, body).code, INVALID.code, body)
+            self.assertEqual(self.take(configs.weights, body).code, INVALID_CONFIG.code, body)
         for number, held in ((3, "3"), (3, "3"), (2, "3"), (12, "12")):
             self.assertIsNone(
                 self.take(configs.weights, {"model": "daka510000", "version": number})
--- a/tests/platform/test_lists.py
+++ b/tests/platform/test_lists.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.fault import BAD_RETURN, is_fault
+from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
 from swiftdeck.gateway.interfaces import Listed
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.lists import PlatformList
@@ -104,7 +104,7 @@
 
     def assert_fault(self, entry):
         got = self.read([ENTRY], [entry])
-        self.assertTrue(is_fault(got) and got.code == BAD_RETURN.code, got)
+        self.assertTrue(is_fault(got) and got.code == BAD_BACKEND_RESPONSE.code, got)
 
     def test_entries_of_the_wrong_type_make_the_reading_fail(self):
         for field, value in (
@@ -122,7 +122,7 @@
             "": (200, {"app-servers": [ENTRY], "next-token": "p"}),
             "p": (200, {"app-servers": [ENTRY], "next-token": "p"}),
         }
-        self.assertEqual(self.reading().code, BAD_RETURN.code)
+        self.assertEqual(self.reading().code, BAD_BACKEND_RESPONSE.code)
         self.assertEqual(len(self.asked), 2)
 
     def test_what_is_no_list_is_a_fault(self):
--- a/tests/platform/test_speech.py
+++ b/tests/platform/test_speech.py
@@ -4,16 +4,16 @@
 from types import SimpleNamespace
 
 from swiftdeck.fault import (
+    BAD_API_KEY,
     BAD_REQUEST,
-    BUDGET_SPENT,
-    NO_ROOM,
+    FAULTS_BY_CODE,
     NO_ROUTE,
-    OTHER_WEIGHTS,
+    NO_WORKER_CAPACITY,
+    RETRY_BUDGET_EXHAUSTED,
     STREAM_BROKEN,
-    TABLE,
-    UNKNOWN_KEY,
-    WORKER_HANGS,
+    WEIGHTS_MISMATCH,
     WORKER_LOST,
+    WORKER_SILENT,
     is_fault,
 )
 from swiftdeck.gateway.interfaces import Part, UpstreamRequest, Verdict
@@ -110,19 +110,19 @@
 
     def test_a_refusal_promises_only_what_its_fault_does(self):
         request = self.read()
-        for fault in TABLE.values():
+        for fault in FAULTS_BY_CODE.values():
             status, headers, _ = Callers().refusal(fault, request)
             if not fault.notRun:
                 self.assertNotIn(status, (408, 421, 429), fault)
         for fault, status in (
-            (NO_ROOM, 503),
-            (BUDGET_SPENT, 503),
-            (UNKNOWN_KEY, 401),
+            (NO_WORKER_CAPACITY, 503),
+            (RETRY_BUDGET_EXHAUSTED, 503),
+            (BAD_API_KEY, 401),
             (NO_ROUTE, 404),
             (WORKER_LOST, 502),
-            (WORKER_HANGS, 504),
+            (WORKER_SILENT, 504),
             (STREAM_BROKEN, 502),
-            (OTHER_WEIGHTS, 502),
+            (WEIGHTS_MISMATCH, 502),
         ):
             got, headers, body = Callers().refusal(fault, request)
             named = dict(headers)
@@ -133,7 +133,10 @@
             )
             self.assertIn(b'"code":%d' % fault.code, body)
         self.assertEqual(
-            dict(Callers().refusal(NO_ROOM.because("", 1250), None)[1])["Retry-After"], "1.250"
+            dict(Callers().refusal(NO_WORKER_CAPACITY.with_reason("", 1250), None)[1])[
+                "Retry-After"
+            ],
+            "1.250",
         )
 
 
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -3,12 +3,12 @@
 import unittest
 from pathlib import Path
 
-from swiftdeck.fault import LOST_RACE, TABLE
+from swiftdeck.fault import FAULTS_BY_CODE, VERSION_CONFLICT
 
 
 class FaultTest(unittest.TestCase):
     def test_fault_is_false_and_keeps_its_code(self):
-        fault = LOST_RACE.because("base 3, newest 4")
+        fault = VERSION_CONFLICT.with_reason("base 3, newest 4")
         self.assertFalse(fault)
         self.assertEqual(
             fault.as_body(),
@@ -16,8 +16,12 @@
         )
 
     def test_only_faults_before_dispatch_promise_not_run(self):
-        self.assertTrue(all(not fault.notRun for code, fault in TABLE.items() if 130 <= code < 150))
-        self.assertTrue(all(fault.notRun for code, fault in TABLE.items() if 100 <= code < 130))
+        self.assertTrue(
+            all(not fault.notRun for code, fault in FAULTS_BY_CODE.items() if 130 <= code < 150)
+        )
+        self.assertTrue(
+            all(fault.notRun for code, fault in FAULTS_BY_CODE.items() if 100 <= code < 130)
+        )
 
     def test_the_table_in_the_docs_is_this_one(self):
         path = Path(__file__).resolve().parent.parent / "docs" / "codes.md"
@@ -29,9 +33,9 @@
             if line.startswith("| ") and line[2].isdecimal()
         ]
         self.assertEqual(
-            rows[: len(TABLE)],
+            rows[: len(FAULTS_BY_CODE)],
             [
                 f"| {each.code} | {each.name} | {each.status} | {'yes' if each.notRun else ''} |"
-                for _, each in sorted(TABLE.items())
+                for _, each in sorted(FAULTS_BY_CODE.items())
             ],
         )
--- a/tests/traffic/test_lease_peeks.py
+++ b/tests/traffic/test_lease_peeks.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from swiftdeck.config.configuration import Configuration
-from swiftdeck.fault import NOT_TAIL, TIMED_OUT
+from swiftdeck.fault import NOT_TAIL, PEER_TIMEOUT
 from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.sim.world import World
 from swiftdeck.traffic.lease import PEEK_AGAIN_S, ConfigLease
@@ -30,7 +30,7 @@
         if isinstance(message, DurableConfigAsk) and addr in self.answers:
             return self.answers[addr]
         await asyncio.sleep(0.5 if isinstance(message, DurableConfigAsk) else 3.0)
-        return TIMED_OUT
+        return PEER_TIMEOUT
 
     def lease(self):
         mesh = SimpleNamespace(ask=self.ask, on=lambda *_: None)
--- a/tests/traffic/test_ledger.py
+++ b/tests/traffic/test_ledger.py
@@ -2,7 +2,13 @@
 
 import unittest
 
-from swiftdeck.fault import BUDGET_SPENT, LINE_FULL, NOT_KEEPER, UNREACHED, WORKER_LOST
+from swiftdeck.fault import (
+    NOT_COORDINATOR,
+    QUEUE_FULL,
+    RETRY_BUDGET_EXHAUSTED,
+    WORKER_LOST,
+    WORKER_UNREACHABLE,
+)
 from swiftdeck.traffic.ledger import Attempt, Ledger, Move, next_move
 
 
@@ -23,7 +29,9 @@
         lost = Attempt(1, grant="g", fault=WORKER_LOST, was_sent=True)
         self.assertEqual(self.move(lost), (Move.GIVE_UP, WORKER_LOST))
         self.assertEqual(self.move(lost, repeatable=True)[0], Move.NOMINATE)
-        self.assertEqual(self.move(Attempt(1, grant="g", fault=UNREACHED))[0], Move.NOMINATE)
+        self.assertEqual(
+            self.move(Attempt(1, grant="g", fault=WORKER_UNREACHABLE))[0], Move.NOMINATE
+        )
 
     def test_nothing_is_tried_again_once_a_piece_was_delivered(self):
         broken = Attempt(1, grant="g", fault=WORKER_LOST, was_sent=True, delivered=1)
@@ -31,17 +39,17 @@
 
     def test_not_run_is_promised_only_if_nothing_was_sent(self):
         lost = Attempt(1, grant="g", fault=WORKER_LOST, was_sent=True)
-        for second in (Attempt(2, fault=BUDGET_SPENT), Attempt(2, fault=LINE_FULL)):
+        for second in (Attempt(2, fault=RETRY_BUDGET_EXHAUSTED), Attempt(2, fault=QUEUE_FULL)):
             move, fault = self.move(lost, second, repeatable=True)
             self.assertEqual((move, fault.notRun), (Move.GIVE_UP, False))
-        move, fault = self.move(Attempt(1, fault=NOT_KEEPER), now_ms=2000)
+        move, fault = self.move(Attempt(1, fault=NOT_COORDINATOR), now_ms=2000)
         self.assertEqual((move, fault.notRun), (Move.GIVE_UP, True))
 
     def test_another_attempt_is_not_waited_for_until_the_deadline(self):
         lost = Attempt(1, grant="g", fault=WORKER_LOST, was_sent=True)
         self.assertEqual(self.move(lost, now_ms=1500, repeatable=True)[0], Move.NOMINATE)
         self.assertEqual(
-            self.move(lost, Attempt(2, fault=NOT_KEEPER), now_ms=1500, repeatable=True),
+            self.move(lost, Attempt(2, fault=NOT_COORDINATOR), now_ms=1500, repeatable=True),
             (Move.GIVE_UP, WORKER_LOST),
         )
 
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from swiftdeck.fault import BAD_FRAME, TIMED_OUT, UNKNOWN_KIND, UNREACHABLE
+from swiftdeck.fault import BAD_FRAME, PEER_TIMEOUT, PEER_UNREACHABLE, UNKNOWN_KIND
 from swiftdeck.sim.world import World
 from swiftdeck.wire.mesh import HEAD, Link, Mesh
 from swiftdeck.wire.messages import NUMBERS, Done, ListAsk, ListReturn
@@ -34,7 +34,7 @@
 
         world.start("a", "10.0.0.1", serve)
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
-        self.assertEqual(world.do("b", ask), (5, UNKNOWN_KIND.code, UNREACHABLE.code))
+        self.assertEqual(world.do("b", ask), (5, UNKNOWN_KIND.code, PEER_UNREACHABLE.code))
         self.assertEqual(meshes["a"].count["faults.%d" % BAD_FRAME.code], 1)
 
     def test_a_return_counts_only_on_the_link_of_its_question(self):
@@ -109,10 +109,10 @@
         self.assertEqual(got.age_ms, 5)
         self.assertGreater(took_s, 0.7)
         got, took_s = self.slow_answer(0, 0.1)
-        self.assertEqual(got.code, TIMED_OUT.code)
+        self.assertEqual(got.code, PEER_TIMEOUT.code)
         self.assertLess(took_s, 0.35)
         got, took_s = self.slow_answer(2000, 0.9)
-        self.assertEqual(got.code, TIMED_OUT.code)
+        self.assertEqual(got.code, PEER_TIMEOUT.code)
         self.assertLess(took_s, 1.2)
 
     def test_what_many_are_told_is_written_out_once(self):
@@ -186,7 +186,7 @@
 
     def test_a_return_that_stops_midway_is_given_up(self):
         got, took_s = self.slow_return(5)
-        self.assertEqual(got.code, TIMED_OUT.code)
+        self.assertEqual(got.code, PEER_TIMEOUT.code)
         self.assertLess(took_s, 1.2)
 
 
