--- a/swiftdeck/bench/fleet.py
+++ b/swiftdeck/bench/fleet.py
@@ -159,7 +159,7 @@
             await asyncio.sleep(0.5)
         return None
 
-    async def keeper(self):
+    async def coordinator(self):
         """The name of the router that keeps the books."""
         for node in self.site.routers:
             if self.processes[node["name"]].poll() is None:
--- a/swiftdeck/bench/fleet_faults.py
+++ b/swiftdeck/bench/fleet_faults.py
@@ -15,7 +15,7 @@
 
     def __init__(self, fleet):
         self.fleet, self.weights = fleet, "w1"
-        self.fault_count, self.last_keeper = 0, ""
+        self.fault_count, self.last_coordinator = 0, ""
 
     async def run(self, seconds):
         """Each fault in turn, with time to recover between them; the last is the closing fault."""
@@ -55,12 +55,12 @@
         """Record a fault; returns the function to call when the process is well again."""
         self.fault_count += 1
         number, record = self.fault_count, self.fleet.record
-        record("kill", target=name, asWhat=what, id=number, keeper=name == self.last_keeper)
+        record("kill", target=name, asWhat=what, id=number, keeper=name == self.last_coordinator)
         return lambda: record("back", id=number, target=name)
 
     async def _named(self, name):
-        self.last_keeper = await self.fleet.keeper() or "router1"
-        return name if name != "keeper" else self.last_keeper
+        self.last_coordinator = await self.fleet.coordinator() or "router1"
+        return name if name != "keeper" else self.last_coordinator
 
     async def _drain(self, name, **more):
         await fetch_json(self.fleet.site.platform, "POST", "/v1/drain", {"name": name} | more)
--- a/swiftdeck/bench/measures/faults.py
+++ b/swiftdeck/bench/measures/faults.py
@@ -34,9 +34,9 @@
     if victim == "worker":
         return "worker1"
     if victim == "keeper":
-        return cluster.keeper()
+        return cluster.coordinator()
     if victim == "router":
-        return next(name for name in cluster.router_names() if name != cluster.keeper())
+        return next(name for name in cluster.router_names() if name != cluster.coordinator())
     position = CHAIN_POSITIONS[victim]
     return next(
         name for name in cluster.core_names() if cluster.up[name].agreement.position() == position
--- a/swiftdeck/bench/rules/placement.py
+++ b/swiftdeck/bench/rules/placement.py
@@ -79,7 +79,7 @@
 def later_calls_pass(records, context):
     """A later call of an admitted conversation neither waits nor is refused for want of room.
 
-    Judged while its worker, its router, the keeper, the chain and the platform serve.
+    Judged while its worker, its router, the coordinator, the chain and the platform serve.
     """
     outages, offers = Outages(records), _offers(records)
     last, tries = {}, {}
@@ -125,7 +125,7 @@
     from_ms, to_ms = before["atMs"], back["atMs"]
     return (
         outages.chain_fell(from_ms, to_ms)
-        or outages.keeper_fell(from_ms - 10000, to_ms)
+        or outages.coordinator_fell(from_ms - 10000, to_ms)
         or outages.fell(asked["router"], asked["atMs"], to_ms)
         or outages.fell("platform", from_ms, to_ms)
     )
@@ -177,7 +177,7 @@
         if has_moved:
             continue
         count, cap = _count_others(here, talk, outages, at_ms), cap_of(models.get(worker), at_ms)
-        if is_start and count >= cap and not outages.keeper_fell(at_ms - 10000, at_ms):
+        if is_start and count >= cap and not outages.coordinator_fell(at_ms - 10000, at_ms):
             yield f"{item['run']} started on {worker} at {at_ms} beside {count} others, cap {cap}"
         end_ms = ends.get(item["run"], FOREVER_MS)
         here[item["run"]] = _Running(talk, asked.get("router", ""), end_ms)
--- a/swiftdeck/bench/rules/records.py
+++ b/swiftdeck/bench/rules/records.py
@@ -48,7 +48,7 @@
     """
 
     def __init__(self, records):
-        self.spans, self.keepers, self.opened = defaultdict(list), [], {}
+        self.spans, self.coordinators, self.opened = defaultdict(list), [], {}
         for item in of_kind(records, "kill", "back", "quirk", "up"):
             getattr(self, f"_on_{item['kind']}")(item)
 
@@ -57,7 +57,7 @@
         span = [at_ms, FOREVER_MS if "id" in item else at_ms + OUTAGE_MS]
         self.spans[item["target"]].append(span)
         if item.get("keeper"):
-            self.keepers.append(span)
+            self.coordinators.append(span)
         self.opened[item.get("id")] = span
 
     def _on_back(self, item):
@@ -82,9 +82,9 @@
         cores = [name for name in self.spans if name.startswith("core")]
         return sum(self.fell(name, from_ms, to_ms) for name in cores) > 1
 
-    def keeper_fell(self, from_ms, to_ms) -> bool:
-        """Whether a keeper was not well at some time between two."""
-        return any(a <= to_ms and b >= from_ms for a, b in self.keepers)
+    def coordinator_fell(self, from_ms, to_ms) -> bool:
+        """Whether a coordinator was not well at some time between two."""
+        return any(a <= to_ms and b >= from_ms for a, b in self.coordinators)
 
 
 def acknowledged(records):
--- a/swiftdeck/control/doctor.py
+++ b/swiftdeck/control/doctor.py
@@ -213,13 +213,13 @@
     kept = {book["model"]: book for each in routers.values() for book in each["keeps"]}
     wanted = {worker["model"] for each in routers.values() for worker in each["list"]["workers"]}
     yield from (finding(711, model) for model in sorted(wanted - set(kept)))
-    for model, keeper in kept.items():
-        if not keeper["ready"]:
+    for model, coordinator in kept.items():
+        if not coordinator["ready"]:
             yield finding(711, f"{model}: still gathers")
-        for name, book in keeper["books"].items():
+        for name, book in coordinator["books"].items():
             if not book["up"]:
                 yield finding(712, name)
-            elif book["weights"] != keeper.get("weights", book["weights"]):
+            elif book["weights"] != coordinator.get("weights", book["weights"]):
                 yield finding(713, f"{name}: {book['weights']}")
-            if book["line"] > 0.9 * keeper.get("lineMax", 1 << 30):
+            if book["line"] > 0.9 * coordinator.get("lineMax", 1 << 30):
                 yield finding(717, f"{name}: {book['line']} wait")
--- a/swiftdeck/sim/faults/closing.py
+++ b/swiftdeck/sim/faults/closing.py
@@ -31,11 +31,11 @@
         )
 
     def _kill_some(self):
-        keeper = self.cluster.keeper()
-        others = [name for name in self.cluster.router_names() if name != keeper]
+        coordinator = self.cluster.coordinator()
+        others = [name for name in self.cluster.router_names() if name != coordinator]
         router = self.injector.pick(others)
         worker = self.injector.pick(self.injector.worker_names())
-        for name in (self._tail(), keeper, router, worker):
+        for name in (self._tail(), coordinator, router, worker):
             if name:
                 self.injector.note_fault(name)
                 self.cluster.world.kill(name, silent=True)
@@ -56,7 +56,7 @@
             self.injector.kill(name, least_s=0.5, most_s=2.0)
 
     def _freeze_keeper_and_tail(self):
-        for name in (self._tail(), self.cluster.keeper()):
+        for name in (self._tail(), self.cluster.coordinator()):
             if name:
                 self.injector.note_fault(name)
                 self.cluster.world.freeze(name)
--- a/swiftdeck/sim/faults/injector.py
+++ b/swiftdeck/sim/faults/injector.py
@@ -28,7 +28,7 @@
         number, cluster = self.fault_count, self.cluster
         self.open_faults[number] = name
         cluster.record("operator")(
-            "kill", target=name, id=number, keeper=name in cluster.keeper_names()
+            "kill", target=name, id=number, keeper=name in cluster.coordinator_names()
         )
 
         def recovered():
--- a/swiftdeck/sim/faults/processes.py
+++ b/swiftdeck/sim/faults/processes.py
@@ -26,7 +26,7 @@
 
     def kill_keeper(self):
         """Kill the router that coordinates admission."""
-        self.injector.kill(self.cluster.keeper())
+        self.injector.kill(self.cluster.coordinator())
 
     def kill_core(self):
         """Kill a core while all of them run."""
@@ -52,7 +52,7 @@
 
     def freeze_keeper(self):
         """Freeze the router that coordinates admission."""
-        self.injector.freeze(self.cluster.keeper())
+        self.injector.freeze(self.cluster.coordinator())
 
     def freeze_worker(self):
         """Freeze a worker for six seconds at most."""
@@ -65,7 +65,7 @@
 
         def look():
             for name in self.cluster.router_names():
-                if name != self.cluster.keeper() and self._holds_unused_grant(name):
+                if name != self.cluster.coordinator() and self._holds_unused_grant(name):
                     return self.injector.freeze(name, least_s=LONGER_THAN_A_GRANT_S)
             if world.now < end_s:
                 world.at(0.001, look)
--- a/swiftdeck/sim/faults/workers.py
+++ b/swiftdeck/sim/faults/workers.py
@@ -124,12 +124,12 @@
         self.drain()
 
     def split_list(self):
-        """Cut the keeper and half of the routers from the platform and the others, then drain."""
-        keeper = self.cluster.keeper()
-        others = [name for name in self.cluster.router_names() if name != keeper]
-        if keeper is None or len(others) < 2:
+        """Cut the coordinator and half of the routers from platform and others, then drain."""
+        coordinator = self.cluster.coordinator()
+        others = [name for name in self.cluster.router_names() if name != coordinator]
+        if coordinator is None or len(others) < 2:
             return
-        near = [keeper, *self.random.sample(others, len(others) // 2)]
+        near = [coordinator, *self.random.sample(others, len(others) // 2)]
         far = [self.injector.address(name) for name in others if name not in near]
         recoveries = [self.injector.note_fault(name) for name in near]
         addresses = [self.injector.address(name) for name in near]
--- a/swiftdeck/sim/sim_cluster.py
+++ b/swiftdeck/sim/sim_cluster.py
@@ -160,7 +160,7 @@
         answer = self.change("PUT", self.site.document(**model))
         assert answer[0] == 200, answer
         self.is_first_start = False
-        self.world.run(until=lambda: self.keeper() is not None, limit_s=START_LIMIT_S)
+        self.world.run(until=lambda: self.coordinator() is not None, limit_s=START_LIMIT_S)
         self.world.run(0.5)
         return self
 
@@ -190,21 +190,21 @@
         """Routers that run."""
         return [node["name"] for node in self.site.routers if node["name"] in self.world.loops]
 
-    def keeper(self):
+    def coordinator(self):
         """The name of the router that keeps the books, if one does."""
         for name in self.router_names():
-            for keeper in self.up[name].keepers.values():
-                if keeper.is_ready() and not self.world.loops[name].frozen:
+            for coordinator in self.up[name].coordinators.values():
+                if coordinator.is_ready() and not self.world.loops[name].frozen:
                     return name
         return None
 
-    def keeper_names(self):
+    def coordinator_names(self):
         """The routers that keep the books of some model now."""
         return {
             name
             for name in self.router_names()
-            for keeper in self.up[name].keepers.values()
-            if keeper.duty.is_held()
+            for coordinator in self.up[name].coordinators.values()
+            if coordinator.duty.is_held()
         }
 
     def counters(self):
@@ -219,8 +219,8 @@
         )
 
     def books(self):
-        """The books of the present keeper."""
-        return next(iter(self.up[self.keeper()].keepers.values())).books.table
+        """The books of the present coordinator."""
+        return next(iter(self.up[self.coordinator()].coordinators.values())).books.table
 
     def ask(self, method, path, body=None, name=None, headers=(), timeout_ms=15000):
         """An operator's exchange with a process."""
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -102,7 +102,7 @@
             and attempt.grant is None
             and (attempt.fault is None or attempt.fault.code == QUEUE_TIMEOUT.code)
         ):
-            self.router.tell_keeper(
+            self.router.tell_coordinator(
                 self.route.model, GrantDrop(call=self.name, model=self.route.model)
             )
         self._close_attempt()
@@ -180,11 +180,11 @@
                 chain_of(model.weights, group, self.body.parts),
                 chain_of("", group, self.body.parts),
             )
-        attempt.fault = await self._ask_keeper(attempt)
+        attempt.fault = await self._ask_coordinator(attempt)
 
-    async def _ask_keeper(self, attempt):
-        keeper = self.router.keeper_of(self.route.model)
-        if keeper is None:
+    async def _ask_coordinator(self, attempt):
+        coordinator = self.router.coordinator_of(self.route.model)
+        if coordinator is None:
             return NO_COORDINATOR
         slice_ms, asked_s = int(min(self._left_ms(), SLICE_MS)), self.loop.time()
         ask = GrantAsk(
@@ -204,7 +204,7 @@
             was_granted=self.was_granted,
             size=sum(map(len, self.body.parts[:-1])),
         )
-        got = await self.router.ask_keeper(keeper, ask, slice_ms + 300)
+        got = await self.router.ask_coordinator(coordinator, ask, slice_ms + 300)
         if is_fault(got):
             return got
         fault = self.router.take_grant(self, attempt, got, asked_s)
--- a/swiftdeck/traffic/keeper.py
+++ b/swiftdeck/traffic/coordinator.py
@@ -31,7 +31,7 @@
 """The pause before a worker that did not load its weights is asked once more."""
 
 
-class Keeper:
+class AdmissionCoordinator:
     """Held by one router at a time; composes the books and hands messages to their readers.
 
     `term` is the term whose books are gathered or being gathered, 0 for none. `ready_term` equals
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -32,8 +32,8 @@
 from swiftdeck.http.server import HttpServer
 from swiftdeck.traffic.call import Call, CallBody
 from swiftdeck.traffic.claims import Claims
+from swiftdeck.traffic.coordinator import AdmissionCoordinator
 from swiftdeck.traffic.decisions import Decisions
-from swiftdeck.traffic.keeper import Keeper
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.workers import WorkerList
 from swiftdeck.wire.messages import (
@@ -66,7 +66,7 @@
 
 @attrs.define
 class Served:
-    """What this router remembers of a conversation, for a keeper that has to gather."""
+    """What this router remembers of a conversation, for a coordinator that has to gather."""
 
     told: OpenConversation
     model: str
@@ -75,8 +75,8 @@
 
 
 @attrs.frozen
-class HeardKeeper:
-    """When a keeper answered last, by its own clock in milliseconds, and the term that it holds."""
+class CoordinatorContact:
+    """When a coordinator answered last, by its own clock in milliseconds, and its term."""
 
     term: int
     stamp_ms: int
@@ -106,9 +106,9 @@
         self.http = HttpServer(
             self.handle, settings.bodyBytes, note=self.telemetry.log_event, drain=self.drain
         )
-        self.keepers, self.known, self.running, self.served = {}, {}, {}, {}
-        self.heard: dict[str, HeardKeeper] = {}
-        self.news.watch("duty/keeper/", self.on_keeper_news)
+        self.coordinators, self.known, self.running, self.served = {}, {}, {}, {}
+        self.heard: dict[str, CoordinatorContact] = {}
+        self.news.watch("duty/keeper/", self.on_coordinator_news)
         for kind, handler, is_bound in (
             (GrantAsk, self.on_grant_ask, True),
             (AttemptEnd, self.on_attempt_end, False),
@@ -143,7 +143,8 @@
         self.http.stop()
         await self.http.finish(ANSWERS_S, WORKER_LOST)
         await asyncio.gather(
-            self.lease.hand_back(), *(keeper.duty.hand_back() for keeper in self.keepers.values())
+            self.lease.hand_back(),
+            *(coordinator.duty.hand_back() for coordinator in self.coordinators.values()),
         )
         self.telemetry.log_event("router stopped", open=self.open)
         self.mesh.close()
@@ -165,48 +166,48 @@
     def on_config(self, held):
         """Keep, or stand for keeping, exactly the models of the configuration."""
         models = held.document.models
-        for name in [name for name in self.keepers if name not in models]:
-            self.keepers.pop(name).stop()
-        for name in [name for name in models if name not in self.keepers]:
-            self.keepers[name] = Keeper(name, self)
-            self.keepers[name].start()
+        for name in [name for name in self.coordinators if name not in models]:
+            self.coordinators.pop(name).stop()
+        for name in [name for name in models if name not in self.coordinators]:
+            self.coordinators[name] = AdmissionCoordinator(name, self)
+            self.coordinators[name].start()
 
-    def on_keeper_news(self, key, stamp, body):
+    def on_coordinator_news(self, key, stamp, body):
         """Learn who coordinates a model under which term."""
         model = key.removeprefix("duty/keeper/")
         if stamp > self.known.get(model, (0, ""))[0]:
             self.known[model] = (stamp, json.loads(body)["addr"])
-        keeper = self.keepers.get(model)
-        if keeper:
-            keeper.duty.seen_term = max(keeper.duty.seen_term, stamp)
-
-    def keeper_of(self, model):
-        """(term, address) of the newest keeper of a model, or None."""
-        keeper = self.keepers.get(model)
-        if keeper and keeper.duty.is_held():
-            return keeper.duty.term, self.me.addr
+        coordinator = self.coordinators.get(model)
+        if coordinator:
+            coordinator.duty.seen_term = max(coordinator.duty.seen_term, stamp)
+
+    def coordinator_of(self, model):
+        """(term, address) of the newest coordinator of a model, or None."""
+        coordinator = self.coordinators.get(model)
+        if coordinator and coordinator.duty.is_held():
+            return coordinator.duty.term, self.me.addr
         return self.known.get(model)
 
-    async def ask_keeper(self, keeper, ask, timeout_ms):
-        """Ask a keeper, which may be this process."""
-        if keeper[1] == self.me.addr:
+    async def ask_coordinator(self, coordinator, ask, timeout_ms):
+        """Ask a coordinator, which may be this process."""
+        if coordinator[1] == self.me.addr:
             return await self.on_grant_ask(ask, self.me.addr)
-        return await self.mesh.ask(keeper[1], ask, timeout_ms)
+        return await self.mesh.ask(coordinator[1], ask, timeout_ms)
 
-    def tell_keeper(self, model, message):
-        """Tell the keeper of a model something."""
-        keeper = self.keeper_of(model)
-        if keeper is None:
+    def tell_coordinator(self, model, message):
+        """Tell the coordinator of a model something."""
+        coordinator = self.coordinator_of(model)
+        if coordinator is None:
             return
-        if keeper[1] == self.me.addr:
+        if coordinator[1] == self.me.addr:
             {AttemptEnd: self.on_attempt_end, GrantDrop: self.on_grant_drop}[type(message)](
                 message, self.me.addr
             )
         else:
-            self.mesh.tell(keeper[1], message)
+            self.mesh.tell(coordinator[1], message)
 
     def take_grant(self, call, attempt, grant, asked_s):
-        """Note a grant, unless a newer keeper is known."""
+        """Note a grant, unless a newer coordinator is known."""
         model = call.route.model
         if grant.term < self.known.get(model, (0, ""))[0]:
             return STALE_TERM.with_reason(f"grant of term {grant.term}", 50)
@@ -241,7 +242,7 @@
         )
 
     def attempt_ended(self, call, attempt):
-        """A attempt is over: tell the keeper, and remember the conversation for a while."""
+        """A attempt is over: tell the coordinator, and remember the conversation for a while."""
         del self.running[call.name]
         served = self.served.get(attempt.grant.conversation)
         if served:
@@ -260,7 +261,7 @@
         )
         if is_over:
             self.served.pop(attempt.grant.conversation, None)
-        self.tell_keeper(
+        self.tell_coordinator(
             call.route.model,
             AttemptEnd(
                 router=self.me.name,
@@ -280,30 +281,34 @@
 
     async def on_grant_ask(self, ask, sender):
         """Answer a request for a place, if this process coordinates the model."""
-        keeper = self.keepers.get(ask.model)
-        if keeper is None or not keeper.duty.is_held() and keeper.term != keeper.duty.term:
+        coordinator = self.coordinators.get(ask.model)
+        if (
+            coordinator is None
+            or not coordinator.duty.is_held()
+            and coordinator.term != coordinator.duty.term
+        ):
             return NOT_COORDINATOR
         if not ask.chain or not ask.talk or not ask.call:
             return BAD_REQUEST
-        return await keeper.on_grant_ask(ask, sender)
+        return await coordinator.on_grant_ask(ask, sender)
 
     def on_attempt_end(self, end, sender):
         """Hand the end of an attempt to the model's coordinator."""
-        keeper = self.keepers.get(end.model)
-        return keeper.on_attempt_end(end, sender) if keeper else None
+        coordinator = self.coordinators.get(end.model)
+        return coordinator.on_attempt_end(end, sender) if coordinator else None
 
     def on_grant_drop(self, drop, sender):
         """Hand a call that nobody waits for any more to the model's coordinator."""
-        keeper = self.keepers.get(drop.model)
-        return keeper.on_grant_drop(drop, sender) if keeper else None
+        coordinator = self.coordinators.get(drop.model)
+        return coordinator.on_grant_drop(drop, sender) if coordinator else None
 
     async def on_hold(self, hold, sender):
         """Renew what a router holds, if this process coordinates the model."""
-        keeper = self.keepers.get(hold.model)
-        return await keeper.on_hold(hold, sender) if keeper else NOT_COORDINATOR
+        coordinator = self.coordinators.get(hold.model)
+        return await coordinator.on_hold(hold, sender) if coordinator else NOT_COORDINATOR
 
     def on_open_ask(self, ask, sender):
-        """A new keeper gathers: what runs here, and what ran here a short while ago."""
+        """A new coordinator gathers: what runs here, and what ran here a short while ago."""
         known = self.known.get(ask.model, (0, ""))
         if ask.term < known[0]:
             return STALE_TERM.with_reason(f"term {known[0]} is known")
@@ -329,37 +334,39 @@
             for name, running in self.running.items():
                 by_model.setdefault(running.model, []).append(name)
             for model, calls in by_model.items():
-                keeper = self.keeper_of(model)
-                if keeper:
-                    asyncio.ensure_future(self._hold(keeper, model, calls))
+                coordinator = self.coordinator_of(model)
+                if coordinator:
+                    asyncio.ensure_future(self._hold(coordinator, model, calls))
             if len(self.served) > 20000:
                 self.served = dict(list(self.served.items())[-10000:])
 
-    async def _hold(self, keeper, model, calls):
+    async def _hold(self, coordinator, model, calls):
         sent_s = self.loop.time()
-        heard = self.heard.get(model, HeardKeeper(keeper[0], 0))
+        heard = self.heard.get(model, CoordinatorContact(coordinator[0], 0))
         hold = CallRenewal(
             router=self.me.name,
             model=model,
             calls=calls,
-            term=keeper[0],
-            heard_ms=heard.stamp_ms if heard.term == keeper[0] else 0,
+            term=coordinator[0],
+            heard_ms=heard.stamp_ms if heard.term == coordinator[0] else 0,
         )
         got = await (
             self.on_hold(hold, self.me.addr)
-            if keeper[1] == self.me.addr
-            else self.mesh.ask(keeper[1], hold, 1000)
+            if coordinator[1] == self.me.addr
+            else self.mesh.ask(coordinator[1], hold, 1000)
         )
         if not is_fault(got):
             lost = set(got.lost) if isinstance(got, CallRenewalReturn) else set()
             if isinstance(got, CallRenewalReturn):
-                self.heard[model] = HeardKeeper(keeper[0], got.stamp_ms)
+                self.heard[model] = CoordinatorContact(coordinator[0], got.stamp_ms)
             self.telemetry.count["grantsLapsed"] += len(lost)
             for running in [
                 self.running[name] for name in calls if name in self.running and name not in lost
             ]:
                 running.asked_s = (
-                    max(running.asked_s, sent_s) if running.term == keeper[0] else running.asked_s
+                    max(running.asked_s, sent_s)
+                    if running.term == coordinator[0]
+                    else running.asked_s
                 )
 
     async def handle(self, exchange):
@@ -504,7 +511,11 @@
             "keepers": {
                 model: {"term": term, "addr": addr} for model, (term, addr) in self.known.items()
             },
-            "keeps": [keeper.status() for keeper in self.keepers.values() if keeper.duty.is_held()],
+            "keeps": [
+                coordinator.status()
+                for coordinator in self.coordinators.values()
+                if coordinator.duty.is_held()
+            ],
             "clockMs": self.clockMs(),
             "shared": self.settings.shared(),
             "tasks": self.task_count(),
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -99,11 +99,11 @@
 
     def test_a_place_lost_between_two_questions_is_taken_anew(self):
         cluster = self.cluster(cap=1, workers=2, lineMax=1, idleMs=60000, pauseMs=60000)
-        keeper = cluster.keeper()
-        alone = next(name for name in cluster.router_names() if name != keeper)
+        coordinator = cluster.coordinator()
+        alone = next(name for name in cluster.router_names() if name != coordinator)
         doors = {
             "alone": cluster.addresses[alone]["http"],
-            "keeper": cluster.addresses[keeper]["http"],
+            "keeper": cluster.addresses[coordinator]["http"],
         }
         talks = [
             cluster.call("saga", "check", ["b", str(number)], door=doors["keeper"])
@@ -127,7 +127,7 @@
             for each in book.line
             if each.tenant == "nagasaki"
         )
-        ips = [cluster.addresses[name]["inner"].rpartition(":")[0] for name in (alone, keeper)]
+        ips = [cluster.addresses[name]["inner"].rpartition(":")[0] for name in (alone, coordinator)]
         cluster.world.net.cut(ips[:1], ips[1:])
         cluster.world.run(until=lambda: not place[1].is_asking(), limit_s=2)
 
@@ -181,7 +181,7 @@
         self.assertTrue(stream[0]["whole"])
         late = cluster.call("oita", "check", ["b", "new"])
         self.assertEqual(late["code"], QUEUE_TIMEOUT.code)
-        counters = cluster.up[cluster.keeper()].counters()
+        counters = cluster.up[cluster.coordinator()].counters()
         self.assertGreater(counters["movesOverCap"], 0)
         self.sound(cluster)
 
@@ -214,7 +214,7 @@
         back = cluster.call("saga", "check", [*moved["parts"], "said", "y"])
         self.assertTrue(back["whole"])
         self.assertLess(cluster.world.now - at_s, 1.5 + 4.0)
-        counters = cluster.up[cluster.keeper()].counters()
+        counters = cluster.up[cluster.coordinator()].counters()
         self.assertGreaterEqual(
             sum(cluster.up[name].counters().get("fetches", 0) for name in cluster.router_names()),
             3,
@@ -249,7 +249,7 @@
                 lambda number=number: cluster.caller.agents("saga", turns=(10, 14), rest_s=0.1)
             )
         caps = []
-        with mock.patch("swiftdeck.traffic.keeper.ADAPT_S", 5.0):
+        with mock.patch("swiftdeck.traffic.coordinator.ADAPT_S", 5.0):
             for _ in range(25):
                 cluster.world.run(2)
                 caps += [book.cap for book in cluster.books().values()]
--- a/tests/cases/bases.py
+++ b/tests/cases/bases.py
@@ -86,7 +86,7 @@
 
         def look():
             nonlocal most
-            if cluster.keeper():
+            if cluster.coordinator():
                 most = max([most, *(len(book.open) for book in cluster.books().values())])
             return until()
 
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -40,9 +40,9 @@
     def test_a_caller_told_not_run_is_served_at_any_router_with_the_same_key(self):
         for is_granted, is_cut in ((False, False), (False, True), (True, False), (True, True)):
             cluster = self.cluster(routers=3, workers=1, speed=1.0)
-            keeper = cluster.keeper()
-            name = next(other for other in cluster.router_names() if other != keeper)
-            door = cluster.addresses[keeper]["http"]
+            coordinator = cluster.coordinator()
+            name = next(other for other in cluster.router_names() if other != coordinator)
+            door = cluster.addresses[coordinator]["http"]
             busy = self.occupy(cluster, door, is_granted)
             got = self.refused_at(cluster, name, is_cut)
             if is_cut:
--- a/tests/cases/coordinators.py
+++ b/tests/cases/coordinators.py
@@ -11,8 +11,8 @@
 
     def test_slots_of_a_dead_router_come_back_once_its_lease_has_run_out(self):
         cluster = self.cluster(cap=1)
-        keeper = cluster.keeper()
-        victim = next(name for name in cluster.router_names() if name != keeper)
+        coordinator = cluster.coordinator()
+        victim = next(name for name in cluster.router_names() if name != coordinator)
         cluster.spawn(
             lambda: cluster.caller.call(
                 "saga",
@@ -33,7 +33,7 @@
 
     def test_a_router_that_is_cut_off_adds_no_more_than_what_it_ran_and_only_until_that_ends(self):
         cluster = self.cluster(cap=2, routers=4, idleMs=8000, pauseMs=3000)
-        name = next(each for each in cluster.router_names() if each != cluster.keeper())
+        name = next(each for each in cluster.router_names() if each != cluster.coordinator())
         doors = [cluster.addresses[each]["http"] for each in cluster.router_names() if each != name]
 
         def running():
@@ -107,11 +107,11 @@
     def test_a_new_keeper_counts_open_conversations_before_it_grants_a_start(self):
         for how in ("kill", "freeze", "cut"):
             cluster = self.cluster(cap=2, routers=4, idleMs=60000, pauseMs=60000)
-            old = cluster.keeper()
+            old = cluster.coordinator()
             running = self.fill(cluster, self.other_doors(cluster, old))
             self.take_out(cluster, old, how)
             at_s, start = cluster.world.now, self.spawn_start(cluster)
-            self.run_to_next_keeper(cluster, old)
+            self.run_to_next_coordinator(cluster, old)
             self.assertLess(cluster.world.now - at_s, 12, how)
             cluster.world.run(1)
             self.assertEqual(self.open(cluster), 2, how)
@@ -122,8 +122,8 @@
             held = [
                 name
                 for name in cluster.router_names()
-                for keeper in cluster.up[name].keepers.values()
-                if keeper.duty.is_held()
+                for coordinator in cluster.up[name].coordinators.values()
+                if coordinator.duty.is_held()
             ]
             self.assertEqual(len(held), 1, how)
             self.assertTrue(not start or not start[0]["whole"], how)
@@ -174,9 +174,9 @@
             lambda: cluster.caller.call("oita", "check", ["b", "new"], timeout_s=5)
         )
 
-    def run_to_next_keeper(self, cluster, old):
+    def run_to_next_coordinator(self, cluster, old):
         """Let time pass until another router keeps the books."""
-        cluster.world.run(until=lambda: cluster.keeper() not in (None, old), limit_s=20)
+        cluster.world.run(until=lambda: cluster.coordinator() not in (None, old), limit_s=20)
 
     def test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting(self):
         for seed in (1, 2, 3):
@@ -184,7 +184,7 @@
             self.assertEqual(
                 cluster.change("PATCH", {"routes": {"check": {"waitMs": 40000}}})[0], 200
             )
-            old = cluster.keeper()
+            old = cluster.coordinator()
             doors = [
                 cluster.addresses[name]["http"] for name in cluster.router_names() if name != old
             ]
@@ -226,9 +226,9 @@
 
     def test_a_keeper_frozen_while_it_renews_gathers_anew_when_it_wakes(self):
         cluster = self.cluster(routers=1)
-        name = cluster.keeper()
+        name = cluster.coordinator()
         cluster.call("saga", "check", ["b", "x"])
-        mesh, duty = cluster.up[name].mesh, next(iter(cluster.up[name].keepers.values())).duty
+        mesh, duty = cluster.up[name].mesh, next(iter(cluster.up[name].coordinators.values())).duty
         cluster.world.freeze("core3")
         cluster.world.run(2)
         self.assertTrue(
@@ -243,14 +243,16 @@
         cluster.world.freeze(name)
         cluster.world.run(left_s + 0.1)
         cluster.world.thaw(name)
-        self.assertTrue(cluster.world.run(until=lambda: cluster.keeper() == name, limit_s=8))
+        self.assertTrue(cluster.world.run(until=lambda: cluster.coordinator() == name, limit_s=8))
         self.assertTrue(cluster.call("saga", "check", ["b", "y"])["whole"])
 
     def test_a_router_frozen_with_a_grant_on_its_way_does_not_act_on_it_later(self):
         cluster = self.cluster(cap=1, routers=4, idleMs=200, pauseMs=100)
-        keeper = cluster.keeper()
+        coordinator = cluster.coordinator()
         frozen, door, other = [
-            cluster.addresses[name]["http"] for name in cluster.router_names() if name != keeper
+            cluster.addresses[name]["http"]
+            for name in cluster.router_names()
+            if name != coordinator
         ]
         name = next(
             name for name in cluster.router_names() if cluster.addresses[name]["http"] == frozen
@@ -294,8 +296,8 @@
         bytes take to the worker: with 0.2 s its hold is answered before its connection is.
         """
         cluster = self.cluster(cap=1, routers=4, idleMs=200, pauseMs=100, listOldMs=20000)
-        keeper = cluster.keeper()
-        name, other = [router for router in cluster.router_names() if router != keeper][:2]
+        coordinator = cluster.coordinator()
+        name, other = [router for router in cluster.router_names() if router != coordinator][:2]
         ip = cluster.addresses[name]["inner"].rpartition(":")[0]
         worker = cluster.site.workers[0]["addr"].rpartition(":")[0]
         cluster.world.net.slow[(ip, worker)] = link_s
--- a/tests/cases/draining.py
+++ b/tests/cases/draining.py
@@ -55,7 +55,7 @@
 
     def other(self, cluster):
         """A router that coordinates no model."""
-        return next(each for each in cluster.router_names() if each != cluster.keeper())
+        return next(each for each in cluster.router_names() if each != cluster.coordinator())
 
     def assert_sound(self, cluster):
         self.assertEqual(check(cluster.records, {cluster.site.apart}), {})
@@ -81,7 +81,7 @@
     def test_a_call_that_waits_for_a_place_is_promised_not_to_have_run(self):
         cluster = self.cluster()
         name = self.other(cluster)
-        with mock.patch.object(Call, "_ask_keeper", waits_forever):
+        with mock.patch.object(Call, "_ask_coordinator", waits_forever):
             box = self.call(cluster, name)
             self.stop(cluster, name)
         self.assertEqual((box[0]["code"], box[0]["notRun"]), (ROUTER_STOPPING.code, True))
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -61,39 +61,41 @@
 
     def test_a_late_list_of_what_a_router_runs_ends_nothing_that_began_after_it(self):
         cluster = self.cluster(routers=2, workers=1)
-        keeper = cluster.up[cluster.keeper()].keepers["screener"]
+        coordinator = cluster.up[cluster.coordinator()].coordinators["screener"]
         router = next(
-            cluster.up[name] for name in cluster.router_names() if name != cluster.keeper()
+            cluster.up[name] for name in cluster.router_names() if name != cluster.coordinator()
         )
         cluster.caller.doors = [router.settings.http]
         cluster.world.run(2)
-        held = CallRenewal(router=router.me.name, model="screener", term=keeper.term)
+        held = CallRenewal(router=router.me.name, model="screener", term=coordinator.term)
         late = CallRenewal(
-            router=router.me.name, model="screener", calls=["gone"], term=keeper.term
+            router=router.me.name, model="screener", calls=["gone"], term=coordinator.term
         )
         returned = cluster.world.do(
-            router.me.name, lambda: router.mesh.ask(keeper.router.me.addr, held)
+            router.me.name, lambda: router.mesh.ask(coordinator.router.me.addr, held)
         )
         late.heard_ms = returned.stamp_ms
         cluster.spawn(lambda: cluster.caller.call("saga", "check", ["b", "x"], max_tokens=4000))
         cluster.world.run(6)
-        running = {call for each in keeper.books.conversations.values() for call in each.running}
+        running = {
+            call for each in coordinator.books.conversations.values() for call in each.running
+        }
         self.assertEqual(running, set(router.running))
         self.assertEqual(len(running), 1)
         router.settings.holdMs = 60000
         cluster.world.run(1)
-        cluster.world.do(router.me.name, lambda: router.mesh.ask(keeper.router.me.addr, late))
-        still = {call for each in keeper.books.conversations.values() for call in each.running}
+        cluster.world.do(router.me.name, lambda: router.mesh.ask(coordinator.router.me.addr, late))
+        still = {call for each in coordinator.books.conversations.values() for call in each.running}
         self.assertEqual((still, set(router.running)), (running, running))
-        self.assertEqual(keeper.telemetry.count["legEndsMended"], 0)
+        self.assertEqual(coordinator.telemetry.count["legEndsMended"], 0)
 
     def test_a_conversation_whose_grant_is_handed_back_after_a_change_of_keeper_stays_open(self):
         cluster, claim = self.cluster(routers=4, workers=1), Claims.claim
         got = cluster.call("saga", "check", ["b", "x"], idempotency="1")
-        old = cluster.keeper()
+        old = cluster.coordinator()
         cluster.world.kill(old)
         cluster.caller.doors = [cluster.addresses[name]["http"] for name in cluster.router_names()]
-        cluster.world.run(until=lambda: cluster.keeper(), limit_s=20)
+        cluster.world.run(until=lambda: cluster.coordinator(), limit_s=20)
         late = []
 
         def slow(claims, *what):
@@ -136,7 +138,7 @@
             return failures.pop() if failures else look(call, attempt)
 
         cluster.world.run(11)
-        budget = cluster.up[cluster.keeper()].keepers["screener"].budget
+        budget = cluster.up[cluster.coordinator()].coordinators["screener"].budget
         budget.calls.clear()
         with mock.patch.object(Call, "_may_be_sent", fails):
             self.assertTrue(cluster.call("saga", "tag", ["book", "x"])["whole"])
@@ -220,8 +222,8 @@
     ):
         cluster = self.cluster(routers=3)
         platform = cluster.site.platform.rpartition(":")[0]
-        keeper = cluster.keeper()
-        seeing = next(name for name in cluster.router_names() if name != keeper)
+        coordinator = cluster.coordinator()
+        seeing = next(name for name in cluster.router_names() if name != coordinator)
         ips = {
             name: cluster.addresses[name]["inner"].rpartition(":")[0]
             for name in cluster.router_names()
@@ -236,7 +238,7 @@
 
         cluster.world.do("platform", drain)
         cluster.world.run(5)
-        got = cluster.call("saga", "tag", ["a", "b"], door=cluster.addresses[keeper]["http"])
+        got = cluster.call("saga", "tag", ["a", "b"], door=cluster.addresses[coordinator]["http"])
         self.assertEqual(
             (got["code"], got["notRun"], len(self.runs(cluster))), (STALE_WORKER_LIST.code, True, 0)
         )
@@ -244,7 +246,7 @@
 
     def test_what_a_process_frozen_between_its_look_and_its_write_sends_later_is_no_run(self):
         cluster, look, frozen = self.cluster(routers=3, workers=2), Call._may_be_sent, []
-        name = next(each for each in cluster.router_names() if each != cluster.keeper())
+        name = next(each for each in cluster.router_names() if each != cluster.coordinator())
 
         def freezes(call, attempt):
             got = look(call, attempt)
@@ -274,8 +276,8 @@
     def test_a_frozen_router_wakes_and_sends_nothing_old(self):
         cluster = self.cluster(routers=2, workers=1)
         cluster.change("PATCH", {"models": {"screener": {"cap": 1}}})
-        keeper = cluster.keeper()
-        other = next(name for name in cluster.router_names() if name != keeper)
+        coordinator = cluster.coordinator()
+        other = next(name for name in cluster.router_names() if name != coordinator)
         door = cluster.addresses[other]["http"]
         first = cluster.spawn(
             lambda: cluster.caller.call(
@@ -283,7 +285,7 @@
                 "check",
                 ["book", "a"],
                 max_tokens=2000,
-                door=cluster.addresses[keeper]["http"],
+                door=cluster.addresses[coordinator]["http"],
             )
         )
         cluster.world.run(0.5)
--- a/tests/cases/late_messages.py
+++ b/tests/cases/late_messages.py
@@ -13,21 +13,21 @@
 
     def setUp(self):
         self.cluster = SimCluster(1, routers=2, workers=1).start()
-        self.keeper = self.cluster.up[self.cluster.keeper()].keepers[MODEL]
-        names = [name for name in self.cluster.router_names() if name != self.cluster.keeper()]
+        self.coordinator = self.cluster.up[self.cluster.coordinator()].coordinators[MODEL]
+        names = [name for name in self.cluster.router_names() if name != self.cluster.coordinator()]
         self.router = self.cluster.up[names[0]]
         self.cluster.caller.doors = [self.router.settings.http]
 
     def ask(self, message):
         """Bring a message of the other router to the coordinator; gives what comes back."""
-        addr = self.keeper.router.me.addr
+        addr = self.coordinator.router.me.addr
         return self.cluster.world.do(
             self.router.me.name, lambda: self.router.mesh.ask(addr, message)
         )
 
     def tell(self, message):
         """Bring a message that nobody waits for."""
-        addr = self.keeper.router.me.addr
+        addr = self.coordinator.router.me.addr
         self.cluster.world.run_in(self.router.me.name, lambda: self.router.mesh.tell(addr, message))
         self.cluster.world.run(0.1)
 
@@ -42,13 +42,13 @@
             group="shared",
             chain=[b"x"],
             talk=[b"x"],
-            weights=self.keeper.config().weights,
+            weights=self.coordinator.config().weights,
             wait_ms=500,
         )
 
     def running(self):
         """Calls that have a place in the books."""
-        conversations = self.keeper.books.conversations.values()
+        conversations = self.coordinator.books.conversations.values()
         return {call for each in conversations for call in each.running}
 
     def test_a_late_question_for_a_place_takes_one_for_no_longer_than_a_lease(self):
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -21,7 +21,7 @@
 from swiftdeck.traffic.budget import Budget
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
-from swiftdeck.traffic.keeper import Keeper
+from swiftdeck.traffic.coordinator import AdmissionCoordinator
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.ledger import Ledger
 from swiftdeck.traffic.line import Line
@@ -145,7 +145,7 @@
         "test_conversations_of_a_draining_worker_move_and_keep_their_admission",
         [
             (WorkerList, "may_take", lambda self, name: name in self.workers),
-            (Keeper, "on_workers", lambda self: None),
+            (AdmissionCoordinator, "on_workers", lambda self: None),
         ],
     ),
     (
@@ -176,7 +176,7 @@
         "a lapsed grant is not revived by a hold",
         coordinators.CoordinatorsCase,
         "test_a_grant_that_lapsed_is_not_revived_by_a_hold_before_its_worker_is_reached",
-        [("swiftdeck.traffic.keeper", "CallRenewalReturn", replacements.loses_nothing)],
+        [("swiftdeck.traffic.coordinator", "CallRenewalReturn", replacements.loses_nothing)],
     ),
     (
         "late requests at a worker",
@@ -294,7 +294,7 @@
         "one allowance for all models",
         grants.GrantsCase,
         "test_extra_tries_of_all_models_together_stay_within_one_allowance",
-        [(Keeper, "_allowance", lambda self: self.settings.budgetExtra)],
+        [(AdmissionCoordinator, "_allowance", lambda self: self.settings.budgetExtra)],
     ),
     (
         "text of the last run alone",
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -72,8 +72,8 @@
 
     def test_a_router_cut_off_at_the_moment_of_the_switch_starts_nothing_old(self):
         cluster = SimCluster(2, routers=3, workers=2).start(cap=4)
-        keeper = cluster.keeper()
-        alone = next(name for name in cluster.router_names() if name != keeper)
+        coordinator = cluster.coordinator()
+        alone = next(name for name in cluster.router_names() if name != coordinator)
         ip = cluster.addresses[alone]["inner"].rpartition(":")[0]
         rest = [
             node["inner"].rpartition(":")[0]
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -75,9 +75,9 @@
             first, *others = self.order(wanted)
             self.assertNotIn(first, lane)
             self.assertEqual(self.order(wanted, placing=self.made(7))[0], first)
-            keeper = next(each for each in others if each not in lane)
-            self.kept.keep(keeper, "1", f"book{at}", 13000)
-            self.assertEqual(self.order(wanted)[0], keeper)
+            coordinator = next(each for each in others if each not in lane)
+            self.kept.keep(coordinator, "1", f"book{at}", 13000)
+            self.assertEqual(self.order(wanted)[0], coordinator)
             self.assertEqual(self.order(wanted, salt="2")[0], first)
 
     def test_prompts_that_share_a_book_meet_and_others_spread(self):
