--- a/swiftdeck/bench/fleet.py
+++ b/swiftdeck/bench/fleet.py
@@ -71,7 +71,7 @@
         )
         path = self.folder / f"{node['name']}.toml"
         path.write_text("".join(f"{name} = {json.dumps(value)}\n" for name, value in lines.items()))
-        self.start(node["name"], "swiftdeck.programs.deck", role, "--settings", str(path))
+        self.start(node["name"], "swiftdeck.programs.cli", role, "--settings", str(path))
 
     def _start_stand_in(self, process, kind, /, **options):
         """Start a stand-in with its options and a file that takes its records."""
