--- a/swiftdeck/bench/outer/worker.py
+++ b/swiftdeck/bench/outer/worker.py
@@ -10,7 +10,7 @@
 from swiftdeck.http.client import fetch_json
 from swiftdeck.http.cuts import CutReason
 from swiftdeck.http.server import HttpServer
-from swiftdeck.platform.speech import parts_of
+from swiftdeck.platform.header_codec import parse_parts
 
 LOAD_S, CHUNK, READ_PER_S, STEP_S = 0.4, 2048, 61200, 0.00337
 QUIRKS = (
@@ -242,7 +242,7 @@
             head.get("swiftdeck-cache-salt", ""),
             self.versions.get(model, 0),
         )
-        parts = parts_of(head.get("swiftdeck-prompt-prefix", "")) if model else []
+        parts = parse_parts(head.get("swiftdeck-prompt-prefix", "")) if model else []
         quirk = self.quirk if self.random.random() < self.quirk_share else ""
         end_s = (
             asyncio.get_running_loop().time()
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -49,10 +49,10 @@
 class Gateway(Node):
     """Takes requests, places them, and passes answers on; it needs no disk."""
 
-    def __init__(self, settings, dialects, random, log=None):
+    def __init__(self, settings, codecs, random, log=None):
         super().__init__(settings, "router", random, log)
         self.me.http_addr = settings.opsHttp or settings.http
-        self.callers_speak, self.workers_speak, lists, caches = dialects
+        self.client_codec, self.worker_codec, lists, caches = codecs
         self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
         self.lease = ConfigLease(
             self.me, self.mesh, self.membership, self.cluster_map, self.telemetry, settings.renewMs
@@ -333,7 +333,7 @@
         """One request of a client."""
         start_s, count = self.loop.time(), self.telemetry.count
         count["calls"] += 1
-        request = self.callers_speak.read(exchange)
+        request = self.client_codec.read(exchange)
         if is_fault(request):
             return await self.refuse(exchange, request, None)
         exchange.name = request.name
@@ -365,7 +365,7 @@
     async def refuse(self, exchange, fault, request):
         """The final answer of a request that is given up."""
         self.telemetry.count[f"refused.{fault.code}"] += 1
-        status, headers, body = self.callers_speak.refusal(fault, request)
+        status, headers, body = self.client_codec.refusal(fault, request)
         await exchange.whole(status, headers, body)
 
     def counters(self):
--- a/swiftdeck/gateway/interfaces.py
+++ b/swiftdeck/gateway/interfaces.py
@@ -101,8 +101,8 @@
     reports: list[Kept]
 
 
-class CallerDialect(typing.Protocol):
-    """How callers speak."""
+class ClientCodec(typing.Protocol):
+    """How requests of clients are read, and refusals written."""
 
     def read(self, exchange):
         """Return the Request that an exchange brings, or a fault."""
@@ -111,8 +111,8 @@
         """Return status, headers and body of a final answer of our own."""
 
 
-class WorkerDialect(typing.Protocol):
-    """How workers are spoken to and how their answers read."""
+class WorkerCodec(typing.Protocol):
+    """How requests to workers are written, and their answers read."""
 
     def head(self, request: Request, upstream_request: UpstreamRequest) -> list:
         """Return the headers of an attempt."""
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -257,7 +257,7 @@
         fault = self.link.send_request(
             self.request.method,
             self.request.target,
-            gateway.workers_speak.head(self.request, upstream_request),
+            gateway.worker_codec.head(self.request, upstream_request),
             self.request.body,
         )
         if fault is not None:
@@ -383,7 +383,7 @@
             if not isinstance(event, h11.Response):
                 return BAD_WORKER_OUTPUT.with_reason("no head where one was due")
             headers = list(event.headers.raw_items())
-            self.verdict = self.gateway.workers_speak.verdict(
+            self.verdict = self.gateway.worker_codec.verdict(
                 self.request, event.status_code, headers
             )
             if self.verdict is not Verdict.FOREIGN:
@@ -397,7 +397,7 @@
     async def _take(self, attempt, worker, head, sent_s):
         gateway, (status, headers) = self.gateway, head
         self.link.hear(headers)
-        speak = gateway.workers_speak
+        speak = gateway.worker_codec
         version, is_its_own = speak.version(headers), speak.worker(headers) in ("", worker.name)
         if version and is_its_own and self.verdict is not Verdict.BAD:
             gateway.worker_registry.learn(worker, {self.request.model: version})
@@ -433,7 +433,7 @@
 
     def _note_turned_away(self, worker, headers):
         """Note what a worker says of itself where it is not what was believed."""
-        speak = self.gateway.workers_speak
+        speak = self.gateway.worker_codec
         self.gateway.telemetry.log_event(
             "turned away",
             worker=worker.name,
@@ -457,7 +457,7 @@
         self.rest, self.is_passing_on = b"", False
         is_bodiless = status in BODILESS or self.request.method == b"HEAD"
         if not self.ledger.has_begun:
-            passed_on = self.gateway.workers_speak.passed_on(headers)
+            passed_on = self.gateway.worker_codec.passed_on(headers)
             self.exchange.begin(status, _unframed(passed_on) if is_bodiless else passed_on)
             self.ledger.has_begun = True
         is_good = 200 <= status < 300
@@ -524,7 +524,7 @@
         if not end:
             return None
         whole, self.rest = self.rest[:end], self.rest[end:]
-        version = self.gateway.workers_speak.versions_in(whole)
+        version = self.gateway.worker_codec.versions_in(whole)
         if version:
             self.gateway.worker_registry.learn(worker, {self.request.model: version})
         ids = EVENT_ID.findall(whole)
--- a/swiftdeck/platform/speech.py
+++ b/swiftdeck/platform/header_codec.py
@@ -79,14 +79,14 @@
     return _text(found, ENCODING).lower() not in ("", "identity")
 
 
-def parts_of(text: str) -> list[Part]:
+def parse_parts(text: str) -> list[Part]:
     """ID:TOKENS split by commas; what can't be read is left out."""
     pairs = (each.strip().rpartition(":") for each in text.split(",") if each.strip())
     return [Part(name, int(tokens)) for name, _, tokens in pairs if name and tokens.isdecimal()]
 
 
-class Callers:
-    """How the platform's clients speak."""
+class ClientHeaderCodec:
+    """Headers of the platform's clients, read and answered."""
 
     def read(self, exchange):
         """A request, or a fault where it can't be one."""
@@ -97,7 +97,7 @@
         if len(found) < len(exchange.raw_headers) and _is_ambiguous(exchange.raw_headers):
             return BAD_REQUEST.with_reason("request with several ids")
         scheme, _, key = _text(found, AUTHORIZATION).partition(" ")
-        parts, tokens = parts_of(_text(found, PREFIX)), _text(found, TOKENS).partition(",")[0]
+        parts, tokens = parse_parts(_text(found, PREFIX)), _text(found, TOKENS).partition(",")[0]
         host, target = _text(found, HOST), exchange.target
         return Request(
             name,
@@ -128,7 +128,7 @@
         return status, headers, msgspec.json.encode(fault.as_body())
 
 
-class Workers:
+class WorkerHeaderCodec:
     """How the platform's workers are spoken to, and how their answers read."""
 
     def head(self, request: Request, upstream_request: UpstreamRequest) -> list:
--- a/swiftdeck/platform/nodes.py
+++ b/swiftdeck/platform/nodes.py
@@ -73,12 +73,12 @@
     """The process of an edge machine."""
     from swiftdeck.gateway.gateway import Gateway
     from swiftdeck.platform.caches import PlatformCaches
+    from swiftdeck.platform.header_codec import ClientHeaderCodec, WorkerHeaderCodec
     from swiftdeck.platform.lists import PlatformList
-    from swiftdeck.platform.speech import Callers, Workers
 
     node = Gateway(
         place.settings,
-        (Callers(), Workers(), PlatformList(place.list_addr), PlatformCaches()),
+        (ClientHeaderCodec(), WorkerHeaderCodec(), PlatformList(place.list_addr), PlatformCaches()),
         _seeded(),
         log,
     )
--- a/swiftdeck/platform/orders.py
+++ b/swiftdeck/platform/orders.py
@@ -3,7 +3,7 @@
 from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
 from swiftdeck.gateway.interfaces import WorkerReport
 from swiftdeck.http.client import fetch_json
-from swiftdeck.platform.speech import EXPECTED_WORKER
+from swiftdeck.platform.header_codec import EXPECTED_WORKER
 
 ORDER, REPORT, METHOD = "/swiftdeck/order", "/swiftdeck/report", "wait"
 EXPECTED_COUNT, ORDER_COUNT = "expected-count", "call-count"
--- a/tests/gateway/cases/answers.py
+++ b/tests/gateway/cases/answers.py
@@ -8,12 +8,12 @@
 from swiftdeck.gateway import proxied_request
 from swiftdeck.gateway.pool import WorkerConnection
 from swiftdeck.http.server import HttpConversation
-from swiftdeck.platform.speech import Workers
+from swiftdeck.platform.header_codec import WorkerHeaderCodec
 from tests.gateway.case import SiteCase
 from tests.gateway.platform_cluster import ROUTES, PlatformCluster
 
 HELD_MS = 250
-VERDICT = Workers.verdict
+VERDICT = WorkerHeaderCodec.verdict
 
 
 def by_headers(*ignored, **assumed):
@@ -26,7 +26,7 @@
             kept.append((b"swiftdeck-request-id", request.name.encode()))
         return VERDICT(self, request, status, kept)
 
-    return mock.patch.object(Workers, "verdict", verdict)
+    return mock.patch.object(WorkerHeaderCodec, "verdict", verdict)
 
 
 TROUBLED = ("lm1", "lm2", "lm3", "app1")
--- a/tests/gateway/cases/workers.py
+++ b/tests/gateway/cases/workers.py
@@ -10,7 +10,7 @@
 from swiftdeck.gateway.proxied_request import ProxiedRequest
 from swiftdeck.gateway.share import BudgetShare
 from swiftdeck.gateway.worker_registry import WorkerRegistry
-from swiftdeck.platform.speech import Workers
+from swiftdeck.platform.header_codec import WorkerHeaderCodec
 from tests.gateway.case import SiteCase
 
 TROUBLED = ("lm1", "lm2", "lm3", "lm4", "app1")
@@ -21,7 +21,7 @@
     return list(self.by_service.get(service, ()))
 
 
-def believes(self, request, status, headers, verdict=Workers.verdict):
+def believes(self, request, status, headers, verdict=WorkerHeaderCodec.verdict):
     """A reading of answers that looks at no id."""
     got = verdict(self, request, status, headers)
     return Verdict.ANSWER if got in (Verdict.FOREIGN, Verdict.BAD) and 200 <= status < 300 else got
@@ -79,7 +79,9 @@
 
         with mock.patch.object(WorkerConnection, "data_received", hears_idle_bytes):
             self.assert_kept(day())
-            self.assert_falls_without(mock.patch.object(Workers, "verdict", believes), day, "MIXED")
+            self.assert_falls_without(
+                mock.patch.object(WorkerHeaderCodec, "verdict", believes), day, "MIXED"
+            )
 
     def test_a_once_only_request_does_not_run_twice_and_the_budget_holds(self):
         def day():
--- a/tests/gateway/platform_cluster.py
+++ b/tests/gateway/platform_cluster.py
@@ -22,12 +22,12 @@
 from swiftdeck.gateway.gateway import Gateway
 from swiftdeck.gateway.swap import SwapCore
 from swiftdeck.platform.caches import PlatformCaches
+from swiftdeck.platform.header_codec import ClientHeaderCodec, WorkerHeaderCodec
 from swiftdeck.platform.lists import PlatformList
 from swiftdeck.platform.nodes import ready_door
 from swiftdeck.platform.operator_door import OperatorDoor
 from swiftdeck.platform.orders import PlatformOrders
 from swiftdeck.platform.settings import read_place
-from swiftdeck.platform.speech import Callers, Workers
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.late import LateMessages
 from swiftdeck.sim.world import World
@@ -216,7 +216,12 @@
         async def main():
             gateway = Gateway(
                 place.settings,
-                (Callers(), Workers(), PlatformList(place.list_addr), PlatformCaches()),
+                (
+                    ClientHeaderCodec(),
+                    WorkerHeaderCodec(),
+                    PlatformList(place.list_addr),
+                    PlatformCaches(),
+                ),
                 self.rng(),
             )
             gateway.ops.handler = ready_door(gateway)
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -11,13 +11,13 @@
 from swiftdeck.gateway.places import PlaceBooks, Wish
 from swiftdeck.gateway.share import BudgetShare
 from swiftdeck.gateway.worker_registry import WorkerRegistry
-from swiftdeck.platform.speech import Callers, Workers
+from swiftdeck.platform.header_codec import ClientHeaderCodec, WorkerHeaderCodec
 from tests.gateway.case import SiteCase
 from tests.gateway.parts import SimCase, listed
 from tests.gateway.platform_cluster import MODEL, STORE, PlatformCluster
 from tests.gateway.test_ledger import LOST, ledger
 from tests.gateway.test_pool import ANSWER, PoolTest
-from tests.platform.test_speech import ERRAND, SENT, exchange
+from tests.platform.test_header_codec import ERRAND, SENT, exchange
 
 
 class SwapsTest(SiteCase):
@@ -104,13 +104,20 @@
 class HeadersTest(SimCase):
     def test_headers_that_connection_names_concern_one_connection(self):
         sent = [*SENT, (b"Connection", b"keep-alive, X-Hop"), (b"X-Hop", b"1")]
-        names = [name.lower() for name, _ in Workers().head(Callers().read(exchange(sent)), ERRAND)]
+        names = [
+            name.lower()
+            for name, _ in WorkerHeaderCodec().head(
+                ClientHeaderCodec().read(exchange(sent)), ERRAND
+            )
+        ]
         self.assertNotIn(b"x-hop", names)
         self.assertNotIn(
             b"x-hop",
             [
                 name.lower()
-                for name, _ in Workers().passed_on([(b"Connection", b"X-Hop"), (b"X-Hop", b"1")])
+                for name, _ in WorkerHeaderCodec().passed_on(
+                    [(b"Connection", b"X-Hop"), (b"X-Hop", b"1")]
+                )
             ],
         )
 
--- a/tests/platform/test_speech.py
+++ b/tests/platform/test_header_codec.py
@@ -17,7 +17,12 @@
     is_fault,
 )
 from swiftdeck.gateway.interfaces import Part, UpstreamRequest, Verdict
-from swiftdeck.platform.speech import FOREVER_MS, Callers, Workers, parts_of
+from swiftdeck.platform.header_codec import (
+    FOREVER_MS,
+    ClientHeaderCodec,
+    WorkerHeaderCodec,
+    parse_parts,
+)
 
 SENT = [
     (b"Host", b"ficu95.example"),
@@ -54,7 +59,7 @@
 
 class CallersTest(unittest.TestCase):
     def read(self, *args, **more):
-        return Callers().read(exchange(*args, **more))
+        return ClientHeaderCodec().read(exchange(*args, **more))
 
     def test_a_request_as_the_page_shows_it(self):
         got = self.read()
@@ -106,12 +111,12 @@
             self.assertEqual(
                 getattr(self.read(changed(SENT, name, value)), field), wanted, (name, value)
             )
-        self.assertEqual(parts_of("a:b:3"), [Part("a:b", 3)])
+        self.assertEqual(parse_parts("a:b:3"), [Part("a:b", 3)])
 
     def test_a_refusal_promises_only_what_its_fault_does(self):
         request = self.read()
         for fault in FAULTS_BY_CODE.values():
-            status, headers, _ = Callers().refusal(fault, request)
+            status, headers, _ = ClientHeaderCodec().refusal(fault, request)
             if not fault.notRun:
                 self.assertNotIn(status, (408, 421, 429), fault)
         for fault, status in (
@@ -124,7 +129,7 @@
             (STREAM_BROKEN, 502),
             (WEIGHTS_MISMATCH, 502),
         ):
-            got, headers, body = Callers().refusal(fault, request)
+            got, headers, body = ClientHeaderCodec().refusal(fault, request)
             named = dict(headers)
             self.assertEqual(
                 (got, named["Swiftdeck-Request-Id"], "Retry-After" in named),
@@ -133,7 +138,7 @@
             )
             self.assertIn(b'"code":%d' % fault.code, body)
         self.assertEqual(
-            dict(Callers().refusal(NO_WORKER_CAPACITY.with_reason("", 1250), None)[1])[
+            dict(ClientHeaderCodec().refusal(NO_WORKER_CAPACITY.with_reason("", 1250), None)[1])[
                 "Retry-After"
             ],
             "1.250",
@@ -143,7 +148,9 @@
 class WorkersTest(unittest.TestCase):
     def head(self, headers=SENT, upstream_request=ERRAND, **more):
         """The headers of an attempt by their names in lower case, each of which is there once."""
-        got = Workers().head(Callers().read(exchange(headers, **more)), upstream_request)
+        got = WorkerHeaderCodec().head(
+            ClientHeaderCodec().read(exchange(headers, **more)), upstream_request
+        )
         names = [name.lower() for name, _ in got]
         self.assertEqual(sorted(names), sorted(set(names)))
         return {name.lower(): value for name, value in got}
@@ -172,8 +179,10 @@
 
     def test_the_key_is_never_passed_on(self):
         for name in (b"Authorization", b"authorization", b"AUTHORIZATION"):
-            got = Workers().head(
-                Callers().read(exchange([*SENT[:-1], (name, b"Bearer 3d3zji9n73hh2b9wu3fe")])),
+            got = WorkerHeaderCodec().head(
+                ClientHeaderCodec().read(
+                    exchange([*SENT[:-1], (name, b"Bearer 3d3zji9n73hh2b9wu3fe")])
+                ),
                 ERRAND,
             )
             self.assertFalse([each for each in got if b"3d3zji9n73hh2b9wu3fe" in each[1]])
@@ -237,7 +246,7 @@
             )
 
     def verdict(self, status, headers):
-        return Workers().verdict(Callers().read(exchange()), status, headers)
+        return WorkerHeaderCodec().verdict(ClientHeaderCodec().read(exchange()), status, headers)
 
     def test_verdicts(self):
         name, seal = SEALED[:2]
@@ -283,17 +292,17 @@
             )
 
     def test_an_answer_goes_on_with_its_seal_and_a_way_to_tell_its_end(self):
-        got = Workers().passed_on(
+        got = WorkerHeaderCodec().passed_on(
             [*SEALED, (b"Connection", b"close"), (b"Keep-Alive", b"timeout=3"), (b"X-Own", b"1")]
         )
         self.assertEqual(got, [*SEALED, (b"X-Own", b"1")])
         stream = [(b"Transfer-Encoding", b"chunked"), *SEALED[:2]]
         self.assertEqual(
-            Workers().passed_on(stream), [*SEALED[:2], (b"Transfer-Encoding", b"chunked")]
+            WorkerHeaderCodec().passed_on(stream), [*SEALED[:2], (b"Transfer-Encoding", b"chunked")]
         )
 
     def test_versions_and_lives_are_read_where_they_are_told(self):
-        workers = Workers()
+        workers = WorkerHeaderCodec()
         self.assertEqual(
             [
                 workers.version([(b"Swiftdeck-Weight-Versions", value)])
