--- a/swiftdeck/platform/nodes.py
+++ b/swiftdeck/platform/nodes.py
@@ -14,7 +14,7 @@
 LOOK_S, COUNTERS_S = 1.0, 10.0
 
 
-def ready_door(node):
+def ready_handler(node):
     """Answers whether new connections should come here; the rest goes to the node's own door."""
 
     async def handle(exchange):
@@ -83,7 +83,7 @@
         log,
     )
     if node.ops:
-        node.ops.handler = ready_door(node)
+        node.ops.handler = ready_handler(node)
     return node
 
 
@@ -92,7 +92,7 @@
     from swiftdeck.disk.folder import DataFolder
     from swiftdeck.gateway.swap import SwapCore
     from swiftdeck.platform.lists import PlatformList
-    from swiftdeck.platform.operator_door import OperatorDoor
+    from swiftdeck.platform.operator_api import OperatorApi
     from swiftdeck.platform.orders import PlatformOrders
 
     node = SwapCore(
@@ -103,7 +103,7 @@
         PlatformList(place.list_addr),
         PlatformOrders(),
     )
-    node.http.handler = OperatorDoor(node).handle
+    node.http.handler = OperatorApi(node).handle
     return node
 
 
--- a/swiftdeck/platform/operator_door.py
+++ b/swiftdeck/platform/operator_api.py
@@ -31,7 +31,7 @@
 WAIT_S = "0.3"
 
 
-class OperatorDoor:
+class OperatorApi:
     """Answers the platform's operator, and leaves all other paths to the operators' own API."""
 
     def __init__(self, core):
--- a/swiftdeck/sim/model/clients.py
+++ b/swiftdeck/sim/model/clients.py
@@ -9,7 +9,7 @@
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform import configs
-from swiftdeck.platform.operator_door import BASE_HEADER, CONFIG_PATH
+from swiftdeck.platform.operator_api import BASE_HEADER, CONFIG_PATH
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import ConfigChanged, LeaseAsk
 
--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -6,7 +6,7 @@
 from swiftdeck.chain.agreement import ids
 from swiftdeck.config.settings import Settings
 from swiftdeck.control.core import Core
-from swiftdeck.platform.operator_door import OperatorDoor
+from swiftdeck.platform.operator_api import OperatorApi
 from swiftdeck.sim.model.invariants import AGREEMENT_LOG, Invariant, Invariants
 from swiftdeck.sim.model.points import EventPoints, PointFolder, PointWorld
 from swiftdeck.sim.model.schedule import LOSES_DISK, Action, Kind, Schedule
@@ -20,7 +20,7 @@
 CLIENTS = {"operators": "10.9.0.1", "reader": "10.9.0.2", "router": "10.9.0.3"}
 
 
-class AckWatch(OperatorDoor):
+class AckWatch(OperatorApi):
     """An operator's door that tells of the changes that it acknowledges."""
 
     def __init__(self, core, on_acknowledged):
--- a/tests/gateway/cases/invalid_orders.py
+++ b/tests/gateway/cases/invalid_orders.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from swiftdeck.http.client import fetch_json
-from swiftdeck.platform import operator_door
-from swiftdeck.platform.operator_door import CONFIG_PATH, WEIGHTS_PATH
+from swiftdeck.platform import operator_api
+from swiftdeck.platform.operator_api import CONFIG_PATH, WEIGHTS_PATH
 from tests.gateway.orders import OrderCluster
 from tests.gateway.platform_cluster import KEYS, MODEL, document, route
 
@@ -125,6 +125,6 @@
             self.assertEqual(said, {400}, kind)
         for kind, said in self.said_cut_off(BY_WHAT_IS_CURRENT).items():
             self.assertTrue(said <= {503, 400, 412} and 503 in said, (kind, said))
-        with mock.patch.object(operator_door, "invalid_by_itself", lambda change: None):
+        with mock.patch.object(operator_api, "invalid_by_itself", lambda change: None):
             said = self.said_cut_off({"unknown service": BY_ITSELF["unknown service"]})
         self.assertIn(503, said["unknown service"])
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -12,7 +12,7 @@
 from swiftdeck.fault import BASE_VERSION_AHEAD, is_fault
 from swiftdeck.fault import VERSION_CONFLICT as VERSION_CONFLICT_FAULT
 from swiftdeck.http.client import fetch_json
-from swiftdeck.platform.operator_door import WEIGHTS_PATH
+from swiftdeck.platform.operator_api import WEIGHTS_PATH
 from tests.gateway.orders import INVALID, TAKEN, TRY_AGAIN, VERSION_CONFLICT, OrderCluster
 from tests.gateway.platform_cluster import MODEL
 
--- a/tests/gateway/orders.py
+++ b/tests/gateway/orders.py
@@ -7,7 +7,7 @@
 
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform import configs
-from swiftdeck.platform.operator_door import CONFIG_PATH
+from swiftdeck.platform.operator_api import CONFIG_PATH
 from tests.gateway.platform_cluster import PlatformCluster, document, route
 
 TAKEN, VERSION_CONFLICT, INVALID, TRY_AGAIN = 200, 412, 400, 503
--- a/tests/gateway/platform_cluster.py
+++ b/tests/gateway/platform_cluster.py
@@ -24,8 +24,8 @@
 from swiftdeck.platform.caches import PlatformCaches
 from swiftdeck.platform.header_codec import ClientHeaderCodec, WorkerHeaderCodec
 from swiftdeck.platform.lists import PlatformList
-from swiftdeck.platform.nodes import ready_door
-from swiftdeck.platform.operator_door import OperatorDoor
+from swiftdeck.platform.nodes import ready_handler
+from swiftdeck.platform.operator_api import OperatorApi
 from swiftdeck.platform.orders import PlatformOrders
 from swiftdeck.platform.settings import read_place
 from swiftdeck.sim.folder import SimFolder
@@ -201,7 +201,7 @@
                 PlatformList(place.list_addr),
                 PlatformOrders(),
             )
-            core.http.handler = OperatorDoor(core).handle
+            core.http.handler = OperatorApi(core).handle
             self._rose(name, core)
             await core.start()
 
@@ -224,7 +224,7 @@
                 ),
                 self.rng(),
             )
-            gateway.ops.handler = ready_door(gateway)
+            gateway.ops.handler = ready_handler(gateway)
             self._rose(name, gateway)
             await gateway.start()
 
--- a/tests/platform/test_operator_door.py
+++ b/tests/platform/test_operator_api.py
@@ -5,11 +5,11 @@
 
 from swiftdeck.control.core import Core
 from swiftdeck.http.client import fetch_json
-from swiftdeck.platform.operator_door import (
+from swiftdeck.platform.operator_api import (
     ANSWER_WITHIN_MS,
     CONFIG_PATH,
     WEIGHTS_PATH,
-    OperatorDoor,
+    OperatorApi,
 )
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.sim_cluster import SimCluster
@@ -27,7 +27,7 @@
             core = self.up[name] = self.all[len(self.all)] = Core(
                 self._settings(node), folder, random.Random(self.world.random.random())
             )
-            core.http.handler = OperatorDoor(core).handle
+            core.http.handler = OperatorApi(core).handle
             await core.start()
 
         self.world.start(name, node["inner"].rpartition(":")[0], main)
@@ -91,7 +91,7 @@
         )
 
 
-class OperatorDoorCase(unittest.TestCase):
+class OperatorApiCase(unittest.TestCase):
     def cluster(self, seed=1, **more):
         return OperatorCluster(
             seed, **({"routers": 2, "workers": 1, "ackWaitMs": 300} | more)
