--- a/swiftdeck/chain/agreement.py
+++ b/swiftdeck/chain/agreement.py
@@ -75,7 +75,7 @@
             (ViewAsk, self.on_view_ask),
             (ViewLeaseAsk, self.on_lease_ask),
         ):
-            mesh.on(kind, handler)
+            mesh.register(kind, handler)
 
     async def start(self):
         """Read what was kept; gives a fault when the disk cannot be trusted."""
@@ -374,7 +374,7 @@
             }[type(ask)]
             got = handler(ask, self.addr)
             return await self._bounded(got, timeoutMs) if asyncio.iscoroutine(got) else got
-        return await self.mesh.ask(ref.addr, ask, timeoutMs)
+        return await self.mesh.request(ref.addr, ask, timeoutMs)
 
     async def _bounded(self, work, timeoutMs):
         task = asyncio.ensure_future(work)
@@ -416,7 +416,7 @@
         await self.learn(chosen, wait_ms)
         for ref in {ref.addr: ref for ref in [*voters, *chosen.members, *chosen.voters]}.values():
             if ref.addr != self.addr:
-                self.mesh.tell(ref.addr, Decided(view=chosen, is_timed=True, wait_ms=wait_ms))
+                self.mesh.send(ref.addr, Decided(view=chosen, is_timed=True, wait_ms=wait_ms))
         return chosen
 
     async def _round(self, voters, ask, least):
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -105,7 +105,7 @@
             (LogAsk, self.transfer.on_log_ask),
             (CommitAsk, self.on_commit_ask),
         ):
-            mesh.on(kind, handler)
+            mesh.register(kind, handler)
         self.queries = TailQueries(self)
 
     async def start(self):
@@ -347,7 +347,7 @@
         if self.is_last():
             got = await self.on_commit_ask(ask, "")
         else:
-            got = await self.mesh.ask(view.members[-1].addr, ask, COMMIT_ASK_MS)
+            got = await self.mesh.request(view.members[-1].addr, ask, COMMIT_ASK_MS)
         if is_fault(got):
             return False
         if view is self.agreement.decided:
@@ -517,7 +517,7 @@
         ask = ReplicateAsk(
             view=view.number, entries=entries, last=last, must_copy=start < last and not entries
         )
-        got = await self.mesh.ask(after, ask, 1500)
+        got = await self.mesh.request(after, ask, 1500)
         if view is not self.agreement.decided:
             return True
         if is_fault(got):
@@ -586,7 +586,7 @@
         if self.is_last():
             version = self.durable.version
             for addr in self.leases.to_nudge(version):
-                self.mesh.tell(addr, ConfigChanged(version=version))
+                self.mesh.send(addr, ConfigChanged(version=version))
 
     async def _copy_from(self, addr, above=-1):
         return await self.transfer.take(addr, above)
--- a/swiftdeck/chain/change_writer.py
+++ b/swiftdeck/chain/change_writer.py
@@ -45,7 +45,7 @@
             got = (
                 NO_VIEW
                 if head is None
-                else await self.mesh.ask(
+                else await self.mesh.request(
                     head, Write(change_id=change_id, body=body), min(2000, left_ms)
                 )
             )
@@ -94,7 +94,7 @@
             got = (
                 NOT_TAIL
                 if tail is None
-                else await self.mesh.ask(
+                else await self.mesh.request(
                     tail,
                     OutcomeAsk(change_id=change_id, wait_ms=max(1, wait_ms - 100)),
                     wait_ms + 200,
@@ -118,7 +118,7 @@
         end_s, got = loop.time() + deadline_ms / 1000, NOT_TAIL
         while loop.time() < end_s:
             tail = self.cluster_map.tail()
-            got = NOT_TAIL if tail is None else await self.mesh.ask(tail, ask, 1000)
+            got = NOT_TAIL if tail is None else await self.mesh.request(tail, ask, 1000)
             if not is_fault(got) or got.code not in (
                 NOT_TAIL.code,
                 PEER_UNREACHABLE.code,
--- a/swiftdeck/chain/cluster_map.py
+++ b/swiftdeck/chain/cluster_map.py
@@ -57,7 +57,9 @@
         addrs = {each.addr for each in self.membership.alive("core")} | {
             ref.addr for ref in self.view.members
         }
-        got = await asyncio.gather(*(self.mesh.ask(addr, ViewAsk(), 500) for addr in sorted(addrs)))
+        got = await asyncio.gather(
+            *(self.mesh.request(addr, ViewAsk(), 500) for addr in sorted(addrs))
+        )
         for each in got:
             if not is_fault(each):
                 self.learn(each.view)
--- a/swiftdeck/chain/departure.py
+++ b/swiftdeck/chain/departure.py
@@ -15,7 +15,7 @@
     def __init__(self, mesh, agreement, chain, view_manager, telemetry, losses_borne=1):
         self.mesh, self.agreement, self.chain = mesh, agreement, chain
         self.view_manager, self.telemetry, self.losses_borne = view_manager, telemetry, losses_borne
-        mesh.on(LeaveAsk, self.on_leave)
+        mesh.register(LeaveAsk, self.on_leave)
 
     async def leave(self, limit_s) -> bool:
         """Leave within a time; gives whether the others agreed on a view without this core."""
@@ -76,7 +76,7 @@
     async def _ask_others(self, view):
         got = STALE_VIEW
         for ref in view.voters:
-            got = await self.mesh.ask(
+            got = await self.mesh.request(
                 ref.addr, LeaveAsk(core_id=self.agreement.core_id, view=view.number), 3000
             )
             if not is_fault(got):
--- a/swiftdeck/chain/state_transfer.py
+++ b/swiftdeck/chain/state_transfer.py
@@ -154,7 +154,7 @@
         chain = self.chain
         end_s = chain.loop.time() + TAKE_S
         while chain.loop.time() < end_s:
-            got = await chain.mesh.ask(addr, LogAsk(serial=chain.serial, view=view), ASK_MS)
+            got = await chain.mesh.request(addr, LogAsk(serial=chain.serial, view=view), ASK_MS)
             if is_fault(got):
                 return got
             fault = await chain.take_entries(got.entries)
@@ -202,7 +202,7 @@
         if held is not None:
             ask.digest, ask.offset = held.digest, len(held.data)
         begun_s = chain.loop.time()
-        got = await chain.mesh.ask(addr, ask, ASK_MS)
+        got = await chain.mesh.request(addr, ask, ASK_MS)
         if is_fault(got):
             self._adapt_batch(math.inf)
             return got
--- a/swiftdeck/chain/tail_queries.py
+++ b/swiftdeck/chain/tail_queries.py
@@ -26,7 +26,7 @@
             (DurableConfigAsk, self.on_peek_ask),
             (LeaseAsk, self.on_lease_ask),
         ):
-            chain.mesh.on(kind, handler)
+            chain.mesh.register(kind, handler)
 
     async def on_outcome_ask(self, ask, sender):
         """What became of a change, once this tail's disk has all that was applied when it was found."""
--- a/swiftdeck/chain/view_manager.py
+++ b/swiftdeck/chain/view_manager.py
@@ -41,7 +41,7 @@
         self.said, self.bad_since_s, self.silent_since_s, self.accepted_since_s = {}, {}, {}, None
         self.founders_since_s, self.is_leaving = None, False
         agreement.is_partial = chain.lacks_entries
-        mesh.on(JoinAsk, self.on_join)
+        mesh.register(JoinAsk, self.on_join)
 
     def start(self):
         """Go on mending."""
@@ -86,7 +86,7 @@
         addrs |= set() if view.number else set(self.agreement.founders)
         addrs, start_s = sorted(addrs - {self.me.addr}), self.loop.time()
         ask = ViewAsk(core_id=self.agreement.core_id, addr=self.me.addr)
-        got = await asyncio.gather(*(self.mesh.ask(addr, ask, ASK_MS) for addr in addrs))
+        got = await asyncio.gather(*(self.mesh.request(addr, ask, ASK_MS) for addr in addrs))
         if self.loop.time() - start_s > 2 * ASK_MS / 1000:
             self.silent_since_s = {}
             return False
@@ -289,7 +289,9 @@
         ask = JoinAsk(core_id=self.agreement.core_id, addr=self.me.addr, view=view.number)
         self.chain.must_compare = True
         for ref in view.members:
-            if ref.core_id in self.said and not is_fault(await self.mesh.ask(ref.addr, ask, 3000)):
+            if ref.core_id in self.said and not is_fault(
+                await self.mesh.request(ref.addr, ask, 3000)
+            ):
                 return
 
     async def on_join(self, ask, sender):
--- a/swiftdeck/duty/ballots.py
+++ b/swiftdeck/duty/ballots.py
@@ -28,7 +28,7 @@
         self.casts = {}
         self.released: dict[tuple[str, str], int] = {}
         agreement.watchers.append(self.on_view)
-        mesh.on(Nominate, self.on_nominate)
+        mesh.register(Nominate, self.on_nominate)
 
     def start(self):
         """Begin, voting for nobody yet."""
--- a/swiftdeck/duty/duty.py
+++ b/swiftdeck/duty/duty.py
@@ -74,7 +74,7 @@
             lease_ms=self.lease_ms,
             release=release,
         )
-        got = await asyncio.gather(*(self.mesh.ask(ref.addr, ask, 800) for ref in view.voters))
+        got = await asyncio.gather(*(self.mesh.request(ref.addr, ask, 800) for ref in view.voters))
         votes = [vote for vote in got if not is_fault(vote)]
         if any(is_fault(vote) for vote in got):
             self.cluster_map.refresh()
--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -37,8 +37,8 @@
         )
         self.memory_of, self.broadcast, self.on_read = memory_of, broadcast, on_read
         self.owners, self.asked, self.policy = Owners(), {}, policy
-        mesh.on(PlaceAsk, self.on_place_ask, True)
-        mesh.on(PlaceEnd, self.on_place_end)
+        mesh.register(PlaceAsk, self.on_place_ask, True)
+        mesh.register(PlaceEnd, self.on_place_end)
         broadcast.on(LoadNews, self.on_load_news)
 
     def start(self):
@@ -97,10 +97,10 @@
         """What the owner says; a grant that nobody waits for any more is given back."""
         got = None
         try:
-            got = await self.mesh.ask(owner, ask, wait_ms + PATIENCE_MS)
+            got = await self.mesh.request(owner, ask, wait_ms + PATIENCE_MS)
         finally:
             if not isinstance(got, PlaceReturn):
-                self.mesh.tell(owner, PlaceEnd(call=wish.call))
+                self.mesh.send(owner, PlaceEnd(call=wish.call))
         return got if isinstance(got, PlaceReturn) else PlaceReturn(granted=self._unasked(wish))
 
     def _unasked(self, wish):
@@ -135,7 +135,7 @@
         if owner == self.me.addr:
             self.books.ended(wish.call, first_event_ms=first_event_ms)
         elif owner:
-            self.mesh.tell(owner, PlaceEnd(call=wish.call, first_event_ms=first_event_ms))
+            self.mesh.send(owner, PlaceEnd(call=wish.call, first_event_ms=first_event_ms))
 
     async def on_place_ask(self, ask, sender):
         """Answer another router's question for a place in a book that is owned here."""
--- a/swiftdeck/gateway/broadcast.py
+++ b/swiftdeck/gateway/broadcast.py
@@ -63,7 +63,7 @@
         self.me, self.mesh, self.membership, self.telemetry = me, mesh, membership, telemetry
         self.handlers, self.own, self.tasks = {}, None, set()
         self.for_zone, self.for_relays = {}, {}
-        mesh.on(Bulletin, self.on_bulletin)
+        mesh.register(Bulletin, self.on_bulletin)
 
     def on(self, kind, handler):
         """Hand news of a kind from other routers to `handler(news, origin)`."""
@@ -97,7 +97,7 @@
         if self._relay() == self.me.addr:
             self._pass_on(sections, Reach.FLEET)
         elif not own.kept:
-            self.mesh.tell(self._relay(), Bulletin(sections=sections, reach=Reach.FLEET))
+            self.mesh.send(self._relay(), Bulletin(sections=sections, reach=Reach.FLEET))
         else:
             self._begin(self._tell_surely(self._relay, sections, Reach.FLEET))
 
@@ -115,7 +115,7 @@
             if relay == self.me.addr:
                 return self._pass_on(sections, reach)
             bulletin = Bulletin(sections=sections, reach=reach)
-            if not is_fault(await self.mesh.ask(relay, bulletin, ASK_MS)):
+            if not is_fault(await self.mesh.request(relay, bulletin, ASK_MS)):
                 return
             self.telemetry.count["bulletinsUnheard"] += 1
             await asyncio.sleep(PAUSE_S)
@@ -131,13 +131,13 @@
     def _tell_on(self):
         for_zone, self.for_zone = self.for_zone, {}
         for_relays, self.for_relays = self.for_relays, {}
-        self.mesh.tell_all(self._neighbours(), Bulletin(sections=_sections(for_zone)))
+        self.mesh.send_all(self._neighbours(), Bulletin(sections=_sections(for_zone)))
         if not for_relays:
             return
         sections = _sections(for_relays)
         if not any(each.kept for each in sections):
             bulletin = Bulletin(sections=sections, reach=Reach.ZONE)
-            return self.mesh.tell_all(self._other_relays(), bulletin)
+            return self.mesh.send_all(self._other_relays(), bulletin)
         for zone in self.membership.relays("router"):
             if zone != self.me.zone:
                 self._begin(self._tell_surely(self._relay_of(zone), sections, Reach.ZONE))
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -116,7 +116,7 @@
         self.requests, self.lost_cores_s = OpenRequests(self.drain), -math.inf
         self.worker_registry.watchers.append(lambda: self.pool.follow(self.worker_registry.workers))
         self.broadcast.on(WorkerNews, self.on_worker_news)
-        self.mesh.on(SwapNews, self.on_swap_news)
+        self.mesh.register(SwapNews, self.on_swap_news)
 
     async def start(self):
         """Join the fleet and serve."""
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -49,8 +49,8 @@
         self.every_ms, self.rank_ms, self.reads = every_ms, rank_ms, reads
         self.read_s, self.digest, self.entries = -1e9, b"", {}
         self.number = 0
-        mesh.on(ListNews, self.on_news)
-        mesh.on(FullListAsk, self.on_wish)
+        mesh.register(ListNews, self.on_news)
+        mesh.register(FullListAsk, self.on_wish)
 
     def start(self):
         """Go on reading, or standing by."""
@@ -104,7 +104,7 @@
         )
         if self.digest != before:
             news.base, news.body, news.gone = before, msgspec.json.encode(changed), gone
-        self.mesh.tell_all(self.membership.reachable(), news)
+        self.mesh.send_all(self.membership.reachable(), news)
 
     def _note_reading(self, asked_s, number):
         self.read_s, self.number = max(asked_s, self.read_s), max(number, self.number)
@@ -130,7 +130,7 @@
             self._follow(news, asked_s, sender)
 
     def _wish(self, addr):
-        self.mesh.tell(addr, FullListAsk(digest=self.digest, number=self.number))
+        self.mesh.send(addr, FullListAsk(digest=self.digest, number=self.number))
 
     def _follow(self, news, asked_s, sender):
         """Change the list held as told; one that doesn't come to the digest told is asked for whole."""
@@ -153,7 +153,7 @@
         """
         self.number = max(self.number, wish.number)
         if self.entries and wish.digest != self.digest:
-            self.mesh.tell(sender, self._whole())
+            self.mesh.send(sender, self._whole())
 
     def _whole(self):
         body = msgspec.json.encode(list(self.entries.values()))
--- a/swiftdeck/gateway/swap.py
+++ b/swiftdeck/gateway/swap.py
@@ -193,7 +193,7 @@
         routers = self.core.membership.addresses("router")
         for (model, version, for_ms), names in telling.items():
             news = SwapNews(workers=names, model=model, version=version, for_ms=for_ms)
-            self.core.mesh.tell_all(routers, news)
+            self.core.mesh.send_all(routers, news)
 
     async def _swap(self, move):
         try:
--- a/swiftdeck/member/membership.py
+++ b/swiftdeck/member/membership.py
@@ -42,9 +42,9 @@
         self.verified: dict[str, asyncio.Task] = {}
         self.watchers = []
         self.version, self.remembered = 0, {}
-        mesh.on(Probe, self.on_probe)
-        mesh.on(ProbeReturn, self.on_probe_return)
-        mesh.on(MemberList, self.on_member_list)
+        mesh.register(Probe, self.on_probe)
+        mesh.register(ProbeReturn, self.on_probe_return)
+        mesh.register(MemberList, self.on_member_list)
 
     def start(self):
         """Join and go on probing."""
@@ -213,14 +213,14 @@
         mine = self.known.get(probe.sender.incarnation)
         if mine and mine.member.state != ALIVE:
             about.append(mine.member)
-        self.mesh.cast(
+        self.mesh.send_datagram(
             sender,
             ProbeReturn(sender=self.me, target=self.me.addr, serial=probe.serial, about=about),
         )
 
     async def _second_opinion(self, probe, sender):
         if await self._reach(probe.target, self.probeMs * 0.4):
-            self.mesh.cast(
+            self.mesh.send_datagram(
                 sender, ProbeReturn(sender=self.me, target=probe.target, serial=probe.serial)
             )
 
@@ -253,7 +253,7 @@
         """Tell a process all that is known here; it answers the first in turn if need be."""
         digest = self.digest() if is_first else 0
         whole = MemberList(members=[self.me, *self._all()], digest=digest, is_told=True)
-        self.mesh.tell(addr, whole)
+        self.mesh.send(addr, whole)
 
     async def _reach(self, addr, wait_ms, through=None):
         self.serial += 1
@@ -261,7 +261,7 @@
         self.waiting[number] = done
         probe = Probe(sender=self.me, target=addr, serial=number, about=self._about())
         for each in through or [addr]:
-            self.mesh.cast(each, probe)
+            self.mesh.send_datagram(each, probe)
         try:
             async with asyncio.timeout(wait_ms / 1000):
                 return await done
@@ -328,7 +328,7 @@
         while not self.alive():
             for addr in self.seeds:
                 if addr != self.me.addr:
-                    self.mesh.cast(addr, Probe(sender=self.me, target=addr))
+                    self.mesh.send_datagram(addr, Probe(sender=self.me, target=addr))
             await asyncio.sleep(pause_s * self.random.uniform(0.8, 1.2))
             pause_s = min(KNOCK_MOST_S, pause_s * KNOCK_GROWTH)
         known = self.some(KNOCKED_JOINS)
@@ -339,7 +339,7 @@
 
     async def _join(self, addr):
         """Tell a process that isn't known all, and learn all that it knows."""
-        got = await self.mesh.ask(addr, MemberList(members=[self.me, *self.alive()]))
+        got = await self.mesh.request(addr, MemberList(members=[self.me, *self.alive()]))
         if not is_fault(got) and not isinstance(got, Done):
             for each in got.members:
                 self.learn(each)
@@ -348,14 +348,14 @@
         """Send the digest to one of the others; where it differs, all that is known follows."""
         for each in self.some(1):
             digest = MemberList(members=[self.me], digest=self.digest(), is_told=True)
-            self.mesh.cast(each.addr, digest)
+            self.mesh.send_datagram(each.addr, digest)
 
     def leave(self):
         """Say that this process ends, so that nobody has to find out."""
         gone = Member().parse(bytes(self.me))
         gone.state = GONE
         addrs = [each.addr for each in self.alive()]
-        self.mesh.cast_all(addrs, MemberList(members=[gone], is_told=True))
+        self.mesh.send_datagrams(addrs, MemberList(members=[gone], is_told=True))
 
     def set_seeds(self, seeds):
         """Exchange the seeds at run time."""
--- a/swiftdeck/member/news.py
+++ b/swiftdeck/member/news.py
@@ -16,8 +16,8 @@
             digest_ms,
         )
         self.items, self.watchers = {}, {}
-        mesh.on(News, self.on_news)
-        mesh.on(NewsDigest, self.on_digest)
+        mesh.register(News, self.on_news)
+        mesh.register(NewsDigest, self.on_digest)
 
     def start(self):
         """Go on mending gaps."""
@@ -40,7 +40,7 @@
         theirs = dict(zip(digest.keys, digest.stamps, strict=False))
         fresh = [item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)]
         if fresh:
-            self.mesh.tell(sender, News(items=fresh))
+            self.mesh.send(sender, News(items=fresh))
 
     def _take(self, items, sender=None):
         fresh = [
@@ -56,11 +56,11 @@
         if fresh:
             for each in self.membership.some(self.fan_out):
                 if each.addr != sender:
-                    self.mesh.tell(each.addr, News(items=fresh))
+                    self.mesh.send(each.addr, News(items=fresh))
 
     async def _mending(self):
         while True:
             await asyncio.sleep(self.digest_ms / 1000)
             stamps = [item.stamp for item in self.items.values()]
             for each in self.membership.some(1):
-                self.mesh.cast(each.addr, NewsDigest(keys=list(self.items), stamps=stamps))
+                self.mesh.send_datagram(each.addr, NewsDigest(keys=list(self.items), stamps=stamps))
--- a/swiftdeck/sim/late.py
+++ b/swiftdeck/sim/late.py
@@ -43,7 +43,7 @@
     def install(self, name: str, mesh: Mesh) -> None:
         """Stand before the handlers of a process's newest life."""
         self.meshes[name] = mesh
-        take = mesh.take
+        take = mesh.receive
 
         def taken(frame, link):
             if not self._is_late(frame):
@@ -52,8 +52,8 @@
             self.world.at(late_s, lambda: self._deliver(name, mesh, frame, link))
             return take(frame, link) if self.chance.random() < self.again_share else True
 
-        mesh.take = taken
-        mesh.take_now = take
+        mesh.receive = taken
+        mesh.receive_now = take
 
     def _is_late(self, frame: bytes) -> bool:
         if not self.share or self.chance.random() >= self.share or len(frame) < HEAD.size:
@@ -68,4 +68,4 @@
         if mesh is not addressed or link is not None and link.gone:
             link = None
         self.count[KINDS[HEAD.unpack_from(frame)[0]].kind_name] += 1
-        self.world.run_in(name, lambda: mesh.take_now(frame, link))
+        self.world.run_in(name, lambda: mesh.receive_now(frame, link))
--- a/swiftdeck/sim/model/clients.py
+++ b/swiftdeck/sim/model/clients.py
@@ -100,7 +100,7 @@
         """One life of a router: renew the lease now and then, and at once when the tail nudges."""
         mesh, nudged = Mesh(addr), asyncio.Event()
         self.held, self.lives = 0, self.lives + 1
-        mesh.on(ConfigChanged, lambda nudge, sender: nudged.set())
+        mesh.register(ConfigChanged, lambda nudge, sender: nudged.set())
         await mesh.start()
         while True:
             nudged.clear()
@@ -114,7 +114,7 @@
     async def _renew(self, mesh, core_addr):
         begin_s = self.now()
         ask = LeaseAsk(router=f"router1/{self.lives}", addr=mesh.addr, held=self.held)
-        got = await mesh.ask(core_addr, ask, LEASE_ASK_MS)
+        got = await mesh.request(core_addr, ask, LEASE_ASK_MS)
         if not is_fault(got):
             self.held = max(self.held, got.version)
             document = configs.shown(msgspec.json.decode(got.document or b"{}"))
--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -344,7 +344,7 @@
         if loop is None or loop.frozen or core is None or core.mesh.server is None:
             return
         link = far.protocol if far.loop is loop and not far.gone else None
-        self.world.run_in(name, lambda: core.mesh.take(frame, link))
+        self.world.run_in(name, lambda: core.mesh.receive(frame, link))
 
     def _reset(self, action):
         ip = self.ips[action.core]
--- a/swiftdeck/soak/link_filter.py
+++ b/swiftdeck/soak/link_filter.py
@@ -36,11 +36,11 @@
         self.mesh, self.control, self.cut = mesh, control, Cut()
         self.held, self.expiry, self.endpoint = {}, None, None
         self.chance = random.Random()
-        self.take, self.start_mesh, self.close_mesh = mesh.take, mesh.start, mesh.close
+        self.take, self.start_mesh, self.close_mesh = mesh.receive, mesh.start, mesh.close
 
     def install(self):
         """Put the filter before the handlers of the mesh."""
-        self.mesh.take, self.mesh.start, self.mesh.close = self.filter, self.start, self.close
+        self.mesh.receive, self.mesh.start, self.mesh.close = self.filter, self.start, self.close
         return self
 
     async def start(self):
--- a/swiftdeck/traffic/lease.py
+++ b/swiftdeck/traffic/lease.py
@@ -56,8 +56,8 @@
         self.waiting, self.stopping, self.must_have_whole = [], False, False
         self.failures, self.peeks, self.routers = 0, False, 0
         self.weight_ages, self.core_changed_s, self.core_seen_s = WeightAges(), -1e9, -1e9
-        mesh.on(ConfigChanged, self.on_nudge)
-        mesh.on(Relay, self.on_relay)
+        mesh.register(ConfigChanged, self.on_nudge)
+        mesh.register(Relay, self.on_relay)
 
     def start(self):
         """Go on renewing."""
@@ -98,7 +98,7 @@
 
     async def _renew(self):
         sentS, ask, tail = self.loop.time(), self._ask(), self.cluster_map.tail()
-        got = NO_LEASE if tail is None else await self.mesh.ask(tail, ask, ASK_MS, LONG_ASK_MS)
+        got = NO_LEASE if tail is None else await self.mesh.request(tail, ask, ASK_MS, LONG_ASK_MS)
         if is_fault(got):
             self.cluster_map.refresh()
             sentS = self.loop.time()
@@ -156,7 +156,7 @@
         }
         open_tasks = {
             asyncio.ensure_future(
-                self.mesh.ask(addr, DurableConfigAsk(takes_packed=True), PEEK_ASK_MS)
+                self.mesh.request(addr, DurableConfigAsk(takes_packed=True), PEEK_ASK_MS)
             )
             for addr in sorted(addrs)
         }
@@ -175,7 +175,8 @@
     async def _through_others(self, ask):
         some = self.membership.some(2, "router")
         asked = [
-            asyncio.ensure_future(self.mesh.ask(each.addr, Relay(ask=ask), 900)) for each in some
+            asyncio.ensure_future(self.mesh.request(each.addr, Relay(ask=ask), 900))
+            for each in some
         ]
         for each in asked:
             got = await each
@@ -239,7 +240,9 @@
     async def on_relay(self, relay, sender):
         tail = self.cluster_map.tail()
         return (
-            NO_LEASE if tail is None else await self.mesh.ask(tail, relay.ask, ASK_MS, LONG_ASK_MS)
+            NO_LEASE
+            if tail is None
+            else await self.mesh.request(tail, relay.ask, ASK_MS, LONG_ASK_MS)
         )
 
     async def wait(self, until_s):
@@ -257,4 +260,4 @@
         if self.peek_task is not None:
             self.peek_task.cancel()
         if self.cluster_map.tail():
-            await self.mesh.ask(self.cluster_map.tail(), self._ask(True), within_ms)
+            await self.mesh.request(self.cluster_map.tail(), self._ask(True), within_ms)
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -116,7 +116,7 @@
             (OpenAsk, self.on_open_ask, False),
             (CallRenewal, self.on_hold, False),
         ):
-            self.mesh.on(kind, handler, is_bound)
+            self.mesh.register(kind, handler, is_bound)
 
     async def start(self):
         """Join the fleet and serve."""
@@ -192,7 +192,7 @@
         """Ask a coordinator, which may be this process."""
         if coordinator[1] == self.me.addr:
             return await self.on_grant_ask(ask, self.me.addr)
-        return await self.mesh.ask(coordinator[1], ask, timeout_ms)
+        return await self.mesh.request(coordinator[1], ask, timeout_ms)
 
     def tell_coordinator(self, model, message):
         """Tell the coordinator of a model something."""
@@ -204,7 +204,7 @@
                 message, self.me.addr
             )
         else:
-            self.mesh.tell(coordinator[1], message)
+            self.mesh.send(coordinator[1], message)
 
     def take_grant(self, call, attempt, grant, asked_s):
         """Note a grant, unless a newer coordinator is known."""
@@ -353,7 +353,7 @@
         got = await (
             self.on_hold(hold, self.me.addr)
             if coordinator[1] == self.me.addr
-            else self.mesh.ask(coordinator[1], hold, 1000)
+            else self.mesh.request(coordinator[1], hold, 1000)
         )
         if not is_fault(got):
             lost = set(got.lost) if isinstance(got, CallRenewalReturn) else set()
--- a/swiftdeck/traffic/takeover.py
+++ b/swiftdeck/traffic/takeover.py
@@ -77,7 +77,7 @@
         if addr == me:
             report = self.router.on_open_ask(ask, addr)
         else:
-            report = await self.router.mesh.ask(addr, ask, REPORT_MS)
+            report = await self.router.mesh.request(addr, ask, REPORT_MS)
         if is_fault(report):
             return False
         for conversation in report.conversations:
--- a/swiftdeck/traffic/workers.py
+++ b/swiftdeck/traffic/workers.py
@@ -41,7 +41,7 @@
         self.list_ms, self.old_ms = list_ms, old_ms
         self.workers, self.read_s, self.body = {}, -1e9, b""
         self.watchers = []
-        mesh.on(ListAsk, self.on_list_ask)
+        mesh.register(ListAsk, self.on_list_ask)
 
     def start(self):
         """Go on reading."""
@@ -87,7 +87,9 @@
     async def _through_others(self):
         others = self.membership.alive("router")
         sent_s = self.loop.time()
-        got = await asyncio.gather(*(self.mesh.ask(each.addr, ListAsk(), 400) for each in others))
+        got = await asyncio.gather(
+            *(self.mesh.request(each.addr, ListAsk(), 400) for each in others)
+        )
         heard = [each for each in got if not is_fault(each)]
         for each in sorted(heard, key=lambda each: each.age_ms)[:1]:
             if each.body and sent_s - each.age_ms / 1000 > self.read_s:
--- a/swiftdeck/wire/mesh.py
+++ b/swiftdeck/wire/mesh.py
@@ -137,7 +137,7 @@
                 break
             frame = bytes(self.buffer[start : start + length])
             at = start + length
-            if not self.mesh.take(frame, self):
+            if not self.mesh.receive(frame, self):
                 return self.refuse("frame does not parse")
         del self.buffer[:at]
 
@@ -208,7 +208,7 @@
         for link in list(self.links):
             link.transport.abort()
 
-    def on(self, kind, handler, is_bound=False):
+    def register(self, kind, handler, is_bound=False):
         """Hand messages of a kind to `handler(message, sender_addr)`.
 
         What it returns, or its coroutine gives, is the return: a message, a fault, or None for
@@ -243,7 +243,7 @@
         head = HEAD.pack(NUMBERS[type(message)], exchange, is_return, len(self.sender))
         return b"".join((head, self.sender, bytes(message)))
 
-    async def ask(self, addr, message, timeoutMs=1000, while_heard_ms=0):
+    async def request(self, addr, message, timeoutMs=1000, while_heard_ms=0):
         """Send a message and give what comes back: a message or a fault.
 
         PEER_UNREACHABLE means that it was never sent. While part of a frame comes in on its link
@@ -293,11 +293,11 @@
             await asyncio.wait([asked.answer], timeout=min(PART_S, left_s))
         return asked.answer.done()
 
-    def tell(self, addr, message):
+    def send(self, addr, message):
         """Send a message without waiting for anything."""
-        self.tell_all((addr,), message)
+        self.send_all((addr,), message)
 
-    def tell_all(self, addrs, message):
+    def send_all(self, addrs, message):
         """Send a message to many without waiting for anything; it is written out once."""
         kind, data = message.kind_name, self._envelope(message)
         for addr in addrs:
@@ -313,11 +313,11 @@
         if not is_fault(link):
             link.send(data)
 
-    def cast(self, addr, message):
+    def send_datagram(self, addr, message):
         """Send a message as one datagram; it may be lost."""
-        self.cast_all((addr,), message)
+        self.send_datagrams((addr,), message)
 
-    def cast_all(self, addrs, message):
+    def send_datagrams(self, addrs, message):
         """Send a message to many as datagrams; it is written out once.
 
         Nothing is sent any more once the mesh is closed.
@@ -337,7 +337,7 @@
         self.sent[kind] += 1
         self.sent_bytes[kind] += len(data)
 
-    def take(self, frame, link):
+    def receive(self, frame, link):
         """Handle one arrived frame; false when it does not parse.
 
         `link` is None for a datagram.
@@ -434,7 +434,7 @@
 
     def datagram_received(self, data, addr):
         """Hand a datagram to the mesh; one that is malformed is counted."""
-        if not self.mesh.take(data, None):
+        if not self.mesh.receive(data, None):
             self.mesh.count[f"faults.{BAD_FRAME.code}"] += 1
 
     def error_received(self, error):
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -72,7 +72,7 @@
             router=router.me.name, model="screener", calls=["gone"], term=coordinator.term
         )
         returned = cluster.world.do(
-            router.me.name, lambda: router.mesh.ask(coordinator.router.me.addr, held)
+            router.me.name, lambda: router.mesh.request(coordinator.router.me.addr, held)
         )
         late.heard_ms = returned.stamp_ms
         cluster.spawn(lambda: cluster.caller.call("saga", "check", ["b", "x"], max_tokens=4000))
@@ -84,7 +84,9 @@
         self.assertEqual(len(running), 1)
         router.settings.holdMs = 60000
         cluster.world.run(1)
-        cluster.world.do(router.me.name, lambda: router.mesh.ask(coordinator.router.me.addr, late))
+        cluster.world.do(
+            router.me.name, lambda: router.mesh.request(coordinator.router.me.addr, late)
+        )
         still = {call for each in coordinator.books.conversations.values() for call in each.running}
         self.assertEqual((still, set(router.running)), (running, running))
         self.assertEqual(coordinator.telemetry.count["legEndsMended"], 0)
--- a/tests/cases/late_messages.py
+++ b/tests/cases/late_messages.py
@@ -22,13 +22,13 @@
         """Bring a message of the other router to the coordinator; gives what comes back."""
         addr = self.coordinator.router.me.addr
         return self.cluster.world.do(
-            self.router.me.name, lambda: self.router.mesh.ask(addr, message)
+            self.router.me.name, lambda: self.router.mesh.request(addr, message)
         )
 
     def tell(self, message):
         """Bring a message that nobody waits for."""
         addr = self.coordinator.router.me.addr
-        self.cluster.world.run_in(self.router.me.name, lambda: self.router.mesh.tell(addr, message))
+        self.cluster.world.run_in(self.router.me.name, lambda: self.router.mesh.send(addr, message))
         self.cluster.world.run(0.1)
 
     def grant_ask(self, call):
--- a/tests/chain/test_complete_in.py
+++ b/tests/chain/test_complete_in.py
@@ -189,7 +189,7 @@
             passed.append(message.last)
             return ReplicateReturn(last=message.last)
 
-        with mock.patch.object(chain.mesh, "ask", ask):
+        with mock.patch.object(chain.mesh, "request", ask):
             chain._append(1, msgspec.msgpack.encode(CHANGE))
             core.world.do(NAME, chain._pass_on)
             self.assertEqual(passed, [])
--- a/tests/chain/test_nudges.py
+++ b/tests/chain/test_nudges.py
@@ -11,8 +11,8 @@
         cluster = SimCluster(4, routers=6).start()
         told = []
         for name in cluster.core_names():
-            mesh, tell = cluster.up[name].mesh, cluster.up[name].mesh.tell
-            mesh.tell = lambda addr, message, tell=tell: (
+            mesh, tell = cluster.up[name].mesh, cluster.up[name].mesh.send
+            mesh.send = lambda addr, message, tell=tell: (
                 told.append((addr, message.version))
                 if isinstance(message, ConfigChanged)
                 else None,
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -82,7 +82,7 @@
         """Bring a message of one member to another; gives what comes back."""
         sender, target = self.cluster.member(from_position), self.core(position).me.addr
         return self.cluster.world.do(
-            sender, lambda: self.cluster.up[sender].mesh.ask(target, message)
+            sender, lambda: self.cluster.up[sender].mesh.request(target, message)
         )
 
     def number(self):
--- a/tests/gateway/test_listing.py
+++ b/tests/gateway/test_listing.py
@@ -175,7 +175,7 @@
     def heard(self, part):
         """What a part is told of the list from now on."""
         told, handle = [], part.on_news
-        part.mesh.on(ListNews, lambda news, sender: told.append(news) or handle(news, sender))
+        part.mesh.register(ListNews, lambda news, sender: told.append(news) or handle(news, sender))
         return told
 
     def test_of_a_long_list_only_what_changed_is_told(self):
--- a/tests/soak/test_link_filter.py
+++ b/tests/soak/test_link_filter.py
@@ -18,7 +18,7 @@
         self.heard = 0
         self.here = self.within(lambda: Mesh(HERE), "here")
         self.there = self.within(lambda: Mesh(THERE), "there")
-        self.there.on(ConfigAsk, self.on_ask)
+        self.there.register(ConfigAsk, self.on_ask)
         self.filter = LinkFilter(self.there, ("10.0.0.2", FILTER_PORT)).install()
         self.do(self.here.start, "here")
         self.do(self.there.start, "there")
@@ -29,7 +29,7 @@
         return Done()
 
     def is_answered(self):
-        return not is_fault(self.do(lambda: self.here.ask(THERE, ConfigAsk(), 300)))
+        return not is_fault(self.do(lambda: self.here.request(THERE, ConfigAsk(), 300)))
 
     def cut(self, *senders, is_late=False):
         self.within(lambda: self.filter.apply(Cut(list(senders), is_late)), "there")
@@ -53,8 +53,8 @@
 
     def test_what_was_held_back_comes_late_and_in_order(self):
         self.cut(HERE, is_late=True)
-        self.send(lambda: self.here.tell(THERE, ConfigAsk()))
-        self.send(lambda: self.here.tell(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send(THERE, ConfigAsk()))
         self.assertEqual(self.heard, 1)
         self.cut()
         self.assertEqual(self.heard, 3)
@@ -65,9 +65,9 @@
         self.filter.chance.random = lambda: 0.99 if self.here.serial % 2 else 0.0
         self.filter.chance.uniform = lambda least, most: most
         heard = self.heard
-        self.send(lambda: self.here.tell(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send(THERE, ConfigAsk()))
         self.here.serial += 1
-        self.send(lambda: self.here.tell(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send(THERE, ConfigAsk()))
         in_time = self.heard - heard
         self.within(lambda: self.filter.apply(Cut()), "there")
         self.world.run(LATE_MOST_S)
@@ -78,7 +78,7 @@
         self.within(lambda: self.filter.apply(Cut(late_share=1.0)), "there")
         self.filter.chance.random = lambda: 0.9
         heard = self.heard
-        self.send(lambda: self.here.tell(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send(THERE, ConfigAsk()))
         self.within(self.here.dialled[THERE].transport.abort, "here")
         self.within(lambda: self.filter.apply(Cut()), "there")
         self.world.run(LATE_MOST_S)
@@ -87,7 +87,7 @@
 
     def test_where_it_is_lost_the_stream_ends(self):
         self.cut(HERE)
-        self.send(lambda: self.here.tell(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send(THERE, ConfigAsk()))
         link = self.here.dialled[THERE]
         self.cut()
         self.assertTrue(link.gone)
@@ -96,10 +96,10 @@
 
     def test_datagrams_are_lost(self):
         self.cut(HERE, is_late=True)
-        self.send(lambda: self.here.cast(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send_datagram(THERE, ConfigAsk()))
         self.cut()
         self.assertEqual(self.heard, 1)
-        self.send(lambda: self.here.cast(THERE, ConfigAsk()))
+        self.send(lambda: self.here.send_datagram(THERE, ConfigAsk()))
         self.assertEqual(self.heard, 2)
 
     def test_a_cut_that_is_not_renewed_ends(self):
@@ -116,4 +116,4 @@
 
     def test_a_frame_without_a_sender_is_left_to_the_mesh(self):
         self.cut(HERE)
-        self.assertFalse(self.within(lambda: self.there.take(b"\x00", None), "there"))
+        self.assertFalse(self.within(lambda: self.there.receive(b"\x00", None), "there"))
--- a/tests/traffic/test_lease_peeks.py
+++ b/tests/traffic/test_lease_peeks.py
@@ -26,14 +26,14 @@
         config = Configuration.empty()
         self.whole = {"document": config.bytes(), "digest": config.digest()}
 
-    async def ask(self, addr, message, *_):
+    async def request(self, addr, message, *_):
         if isinstance(message, DurableConfigAsk) and addr in self.answers:
             return self.answers[addr]
         await asyncio.sleep(0.5 if isinstance(message, DurableConfigAsk) else 3.0)
         return PEER_TIMEOUT
 
     def lease(self):
-        mesh = SimpleNamespace(ask=self.ask, on=lambda *_: None)
+        mesh = SimpleNamespace(request=self.request, register=lambda *_: None)
         cores = [SimpleNamespace(addr=addr) for addr in CORES]
         membership = SimpleNamespace(alive=lambda role: cores, some=lambda count, role: [])
         view = SimpleNamespace(members=[])
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -17,7 +17,7 @@
 
         async def serve():
             mesh = meshes["a"] = Mesh("10.0.0.1:7000")
-            mesh.on(ListAsk, lambda message, sender: ListReturn(age_ms=5))
+            mesh.register(ListAsk, lambda message, sender: ListReturn(age_ms=5))
             await mesh.start()
 
         async def ask():
@@ -27,9 +27,9 @@
                 asyncio.Protocol, "10.0.0.1", 7000
             )
             transport.write(b"\x00\x00\x00\x05\xff\xff\xff\xff\xff")
-            first = await mesh.ask("10.0.0.1:7000", ListAsk())
-            second = await mesh.ask("10.0.0.1:7000", Done())
-            third = await mesh.ask("10.0.0.9:7000", ListAsk())
+            first = await mesh.request("10.0.0.1:7000", ListAsk())
+            second = await mesh.request("10.0.0.1:7000", Done())
+            third = await mesh.request("10.0.0.9:7000", ListAsk())
             return first.age_ms, second.code, third.code
 
         world.start("a", "10.0.0.1", serve)
@@ -46,7 +46,7 @@
 
         async def serve():
             mesh = Mesh("10.0.0.1:7000")
-            mesh.on(ListAsk, answer_late)
+            mesh.register(ListAsk, answer_late)
             await mesh.start()
 
         def foreign_return(exchange):
@@ -56,7 +56,7 @@
         async def ask():
             mesh = meshes["b"] = Mesh("10.0.0.2:7000")
             await mesh.start()
-            asking = asyncio.ensure_future(mesh.ask("10.0.0.1:7000", ListAsk()))
+            asking = asyncio.ensure_future(mesh.request("10.0.0.1:7000", ListAsk()))
             await asyncio.sleep(0.1)
             exchange = next(iter(mesh.asked))
             frame = foreign_return(exchange)
@@ -97,7 +97,7 @@
             mesh = Mesh("10.0.0.2:7000")
             await mesh.start()
             start_s = asyncio.get_running_loop().time()
-            got = await mesh.ask("10.0.0.1:7000", ListAsk(), 300, while_heard_ms)
+            got = await mesh.request("10.0.0.1:7000", ListAsk(), 300, while_heard_ms)
             return got, asyncio.get_running_loop().time() - start_s
 
         world.start("a", "10.0.0.1", serve)
@@ -122,7 +122,9 @@
         def listens(addr):
             async def main():
                 mesh = Mesh(addr)
-                mesh.on(ListReturn, lambda message, sender: heard.append((addr, message.age_ms)))
+                mesh.register(
+                    ListReturn, lambda message, sender: heard.append((addr, message.age_ms))
+                )
                 await mesh.start()
 
             return main
@@ -132,8 +134,8 @@
             write = mesh._envelope
             mesh._envelope = lambda *what: written.append(what) or write(*what)
             await mesh.start()
-            mesh.tell_all(addrs, ListReturn(age_ms=1))
-            mesh.cast_all(addrs, ListReturn(age_ms=2))
+            mesh.send_all(addrs, ListReturn(age_ms=1))
+            mesh.send_datagrams(addrs, ListReturn(age_ms=2))
             await asyncio.sleep(0.5)
             return dict(mesh.sent), mesh.sent_bytes["ListReturn"]
 
@@ -159,16 +161,16 @@
 
         async def serve():
             mesh = Mesh("10.0.0.1:7000")
-            mesh.on(ListAsk, lambda message, sender: ListReturn(body=b"x" * 9000))
+            mesh.register(ListAsk, lambda message, sender: ListReturn(body=b"x" * 9000))
             await mesh.start()
 
         async def ask():
             mesh = Mesh("10.0.0.2:7000")
             await mesh.start()
-            await mesh.ask("10.0.0.1:7000", Done())
+            await mesh.request("10.0.0.1:7000", Done())
             start_s = asyncio.get_running_loop().time()
             with mock.patch.object(Link, "send", patched):
-                got = await mesh.ask("10.0.0.1:7000", ListAsk(), 300, 2000)
+                got = await mesh.request("10.0.0.1:7000", ListAsk(), 300, 2000)
             return got, asyncio.get_running_loop().time() - start_s
 
         send = Link.send
@@ -199,7 +201,7 @@
         await mesh.start()
         mesh.close()
         await asyncio.sleep(0)
-        mesh.cast(addr, ListAsk())
+        mesh.send_datagram(addr, ListAsk())
         return mesh.count["castsFailed"], mesh.sent["ListAsk"]
 
     def test_a_cast_of_a_mesh_that_is_closed_is_nothing(self):
