--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -4,7 +4,7 @@
 import math
 
 from swiftdeck.config.policy import ALL_ON
-from swiftdeck.gateway.places import FILL, Owners, PlaceBooks, Wish
+from swiftdeck.gateway.places import FILL, Owners, PlaceTable, Wish
 from swiftdeck.runtime.ticks import next_tick
 from swiftdeck.wire.messages import LoadNews, PlaceAsk, PlaceEnd, PlaceReturn
 
@@ -44,11 +44,11 @@
     def start(self):
         """Keep books."""
         self.loop = asyncio.get_running_loop()
-        self.books = PlaceBooks(
+        self.place_table = PlaceTable(
             self.telemetry, None, self.memory_of, pace_of=self.pace_of, policy=self.policy
         )
-        self.books.on_load = self.tell_load
-        self.books.on_reading = self.on_reading
+        self.place_table.on_load = self.tell_load
+        self.place_table.on_reading = self.on_reading
         self.task = asyncio.ensure_future(self._ticking())
 
     def routers(self):
@@ -133,7 +133,7 @@
         """A call is over; its first event came so long after it was sent, 0 for never."""
         owner = self.asked.pop(wish.call, None)
         if owner == self.me.addr:
-            self.books.ended(wish.call, first_event_ms=first_event_ms)
+            self.place_table.ended(wish.call, first_event_ms=first_event_ms)
         elif owner:
             self.mesh.send(owner, PlaceEnd(call=wish.call, first_event_ms=first_event_ms))
 
@@ -152,12 +152,12 @@
 
     async def _take(self, wish, wait_ms, salt, shared, sizes, unread_most):
         """Let a call in at a book that is owned here, unless it begins where too much is to be read."""
-        unread = min(int(self.books.unread_at(wish.worker)), UNREAD_MOST)
-        is_start = not self.books.is_open(wish)
+        unread = min(int(self.place_table.unread_at(wish.worker)), UNREAD_MOST)
+        is_start = not self.place_table.is_open(wish)
         if self.policy.declines and is_start and unread > unread_most:
             self.telemetry.count["placesDeclined"] += 1
             return PlaceReturn(is_busy=True, unread=unread)
-        granted = await self.books.ask(wish, wait_ms)
+        granted = await self.place_table.ask(wish, wait_ms)
         if granted and salt:
             self.on_read(wish.worker, salt, shared, sizes, wish.missing > 0)
         return PlaceReturn(granted=granted, unread=unread)
@@ -189,13 +189,13 @@
 
     def on_place_end(self, end, sender):
         """Give a place back that another router held."""
-        self.books.ended(end.call, first_event_ms=end.first_event_ms)
+        self.place_table.ended(end.call, first_event_ms=end.first_event_ms)
 
     async def _ticking(self):
         while True:
             await next_tick(0.25)
             routers = self.routers()
-            self.books.tick(
+            self.place_table.tick(
                 {
                     name
                     for name in self.worker_registry.workers
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -403,7 +403,7 @@
                 }
                 for each in self.worker_registry.workers.values()
             },
-            "books": self.admission.books.status(),
+            "books": self.admission.place_table.status(),
             "keeps": [],
             "clockMs": self.clockMs(),
             "shared": self.settings.shared(),
--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -6,9 +6,9 @@
 
 from swiftdeck.config.policy import ALL_ON
 from swiftdeck.gateway.pace import PRIOR_TOKENS_PER_MS
-from swiftdeck.traffic.book import Book, Conversation
-from swiftdeck.traffic.line import Waiting
+from swiftdeck.traffic.fair_queue import QueuedCall
 from swiftdeck.traffic.ring import Ring
+from swiftdeck.traffic.worker_slots import Conversation, WorkerSlots
 
 FILL = 0.85
 ALONE_TOKENS = 512
@@ -29,7 +29,7 @@
     missing: int = 0
 
 
-class PlaceBooks:
+class PlaceTable:
     """Owner of the books; a later call of an open episode looks at no cap, and nothing admitted is taken back.
 
     K counts episodes by the tokens that they keep, against what the worker's memory holds; `cap` shows it in episodes as large as
@@ -50,7 +50,7 @@
         self.policy = policy
         self.telemetry, self.decisions, self.memory_of = telemetry, decisions, memory_of
         self.pause_ms, self.line_most = pause_ms, line_most
-        self.books, self.tokens, self.calls, self.waiting, self.left = {}, {}, {}, {}, {}
+        self.place_table, self.tokens, self.calls, self.waiting, self.left = {}, {}, {}, {}, {}
         self.sizes, self.unread, self.alone, self.pace_of = {}, {}, {}, pace_of
         self.on_load = lambda worker, backlog, running: None
         self.on_reading = lambda worker, tokens, elapsed_ms: None
@@ -58,11 +58,11 @@
     def _now(self):
         return asyncio.get_running_loop().time()
 
-    def of(self, worker) -> Book:
+    def of(self, worker) -> WorkerSlots:
         """The book of a worker."""
-        if worker not in self.books:
-            self.books[worker], self.tokens[worker] = Book(worker, 1), 0.0
-        return self.books[worker]
+        if worker not in self.place_table:
+            self.place_table[worker], self.tokens[worker] = WorkerSlots(worker, 1), 0.0
+        return self.place_table[worker]
 
     def _cap(self, book, tokens):
         mean = self.tokens[book.worker]
@@ -89,22 +89,22 @@
         self._cap(book, wish.tokens)
         if not self._has_room(book, wish.tokens):
             self._end_idle(book, 0)
-        if self._has_room(book, wish.tokens) and not len(book.line):
+        if self._has_room(book, wish.tokens) and not len(book.queue):
             self._begin(book, wish)
             return True
-        if len(book.line) >= self.line_most or wait_ms <= 0 or not self.policy.lines:
+        if len(book.queue) >= self.line_most or wait_ms <= 0 or not self.policy.lines:
             self.telemetry.count["linesFull"] += 1
             return False
         return await self._wait(book, wish, wait_ms)
 
     async def _wait(self, book, wish, wait_ms):
-        waiting = Waiting(
+        waiting = QueuedCall(
             wish.tenant if self.policy.turns else "",
             wish,
             asyncio.get_running_loop().create_future(),
             self._now(),
         )
-        book.line.add(waiting)
+        book.queue.add(waiting)
         self.waiting[wish.call] = waiting
         self.telemetry.count["waits"] += 1
         try:
@@ -112,7 +112,7 @@
         finally:
             self.waiting.pop(wish.call, None)
             if not waiting.done.done() or waiting.done.cancelled():
-                book.line.remove(waiting)
+                book.queue.remove(waiting)
                 waiting.done.cancel()
         self.telemetry.count["waitedOut"] += waiting.done.cancelled()
         return not waiting.done.cancelled()
@@ -146,12 +146,12 @@
 
     def is_open(self, wish: Wish) -> bool:
         """Whether a call belongs to an episode that was admitted and is not over."""
-        book = self.books.get(wish.worker)
+        book = self.place_table.get(wish.worker)
         return book is not None and wish.episode in book.open
 
     def unread_at(self, worker: str) -> float:
         """Tokens that calls let in at a worker still have to read there."""
-        book = self.books.get(worker)
+        book = self.place_table.get(worker)
         return self._unread(book) if book is not None else 0.0
 
     def _unread(self, book):
@@ -183,7 +183,7 @@
         read_alone = self.alone.pop(call, 0)
         if first_event_ms and read_alone:
             self.on_reading(worker, read_alone, first_event_ms)
-        book = self.books.get(worker)
+        book = self.place_table.get(worker)
         episode = book.open.get(name) if book else None
         if episode is None:
             return
@@ -206,7 +206,7 @@
                 self.alone.pop(call, None)
                 self.telemetry.count["placesReclaimed"] += 1
                 episode.idle_since_s = now_s
-        self._end_idle(book, 0 if len(book.line) else self.pause_ms)
+        self._end_idle(book, 0 if len(book.queue) else self.pause_ms)
 
     def _end_idle(self, book, pause_ms):
         for episode in book.ended(self._now(), pause_ms):
@@ -220,8 +220,8 @@
     def pump(self, book):
         """Let the next ones begin while there is room."""
         self._reclaim(book)
-        while len(book.line) and self._has_room(book, book.line.first().ask.tokens):
-            waiting = book.line.take()
+        while len(book.queue) and self._has_room(book, book.queue.first().ask.tokens):
+            waiting = book.queue.take()
             if waiting.is_asking():
                 self._begin(book, waiting.ask)
                 waiting.done.set_result(True)
@@ -229,17 +229,17 @@
     def tick(self, names):
         """Give back what lapsed, and forget workers that are gone or owned elsewhere and have nothing open."""
         self.left = {call: until_s for call, until_s in self.left.items() if until_s > self._now()}
-        for worker, book in list(self.books.items()):
+        for worker, book in list(self.place_table.items()):
             self.pump(book)
-            if worker not in names and not book.open and not len(book.line):
-                del self.books[worker], self.tokens[worker]
+            if worker not in names and not book.open and not len(book.queue):
+                del self.place_table[worker], self.tokens[worker]
                 self.unread.pop(worker, None)
 
     def status(self):
         """The books in their outward form."""
         return {
-            name: {"open": len(book.open), "cap": book.cap, "line": len(book.line)}
-            for name, book in sorted(self.books.items())
+            name: {"open": len(book.open), "cap": book.cap, "line": len(book.queue)}
+            for name, book in sorted(self.place_table.items())
         }
 
 
--- a/swiftdeck/sim/sim_cluster.py
+++ b/swiftdeck/sim/sim_cluster.py
@@ -218,9 +218,9 @@
             Counter({f"late.{kind}": count for kind, count in self.late.count.items()}),
         )
 
-    def books(self):
+    def slot_table(self):
         """The books of the present coordinator."""
-        return next(iter(self.up[self.coordinator()].coordinators.values())).books.table
+        return next(iter(self.up[self.coordinator()].coordinators.values())).slot_table.table
 
     def ask(self, method, path, body=None, name=None, headers=(), timeout_ms=15000):
         """An operator's exchange with a process."""
--- a/swiftdeck/traffic/coordinator.py
+++ b/swiftdeck/traffic/coordinator.py
@@ -13,13 +13,13 @@
     is_fault,
 )
 from swiftdeck.http.client import fetch_json
-from swiftdeck.traffic.books import Books
 from swiftdeck.traffic.budget import Budget
 from swiftdeck.traffic.fetches import FetchPlanner
 from swiftdeck.traffic.index import PrefixIndex
 from swiftdeck.traffic.lines import Lines
 from swiftdeck.traffic.moves import Moves
 from swiftdeck.traffic.placement import Placement
+from swiftdeck.traffic.slot_table import SlotTable
 from swiftdeck.traffic.takeover import Takeover
 from swiftdeck.wire.messages import CallRenewalReturn, GrantReturn
 
@@ -59,14 +59,14 @@
         """Stand for the duty, and keep the books while it is held."""
         self.loop, router, settings = asyncio.get_running_loop(), self.router, self.settings
         self.index = PrefixIndex(self.telemetry, self.on_workers)
-        self.books = Books(self, self.telemetry, router.decisions, settings.holdLicenceMs)
+        self.slot_table = SlotTable(self, self.telemetry, router.decisions, settings.holdLicenceMs)
         self.placement = Placement(
-            self, self.books, self.index, settings.virtualPlaces, settings.placesWeighed
+            self, self.slot_table, self.index, settings.virtualPlaces, settings.placesWeighed
         )
         self.fetches = FetchPlanner(self, self.index, router.workers, settings.store)
-        self.lines = Lines(self, self.books, self.placement, router, self._grant)
-        self.moves = Moves(self.books, self.placement, router)
-        self.takeover = Takeover(self, self.books, router, self.duty)
+        self.lines = Lines(self, self.slot_table, self.placement, router, self._grant)
+        self.moves = Moves(self.slot_table, self.placement, router)
+        self.takeover = Takeover(self, self.slot_table, router, self.duty)
         self.budget = self._new_budget()
         self.duty.start()
         router.workers.watchers.append(self.on_workers)
@@ -109,7 +109,7 @@
 
     def _resign(self):
         self.lines.clear(NOT_COORDINATOR)
-        for part in (self.books, self.placement, self.fetches, self.takeover):
+        for part in (self.slot_table, self.placement, self.fetches, self.takeover):
             part.clear()
         self.ready_term, self.loading, self.adapted_s = 0, set(), 0.0
         self.index.stop()
@@ -125,7 +125,7 @@
             self.telemetry.count["takeovers"] += 1
             self.takeover.release()
             self.router.decisions.add(
-                "keeper", model=self.model, term=term, open=len(self.books.conversations)
+                "keeper", model=self.model, term=term, open=len(self.slot_table.conversations)
             )
 
     def on_workers(self):
@@ -168,17 +168,17 @@
         config = self.config()
         if config is None:
             return
-        self.books.reclaim()
-        for book in self.books.all():
-            self.books.end_idle(book, config)
+        self.slot_table.reclaim()
+        for book in self.slot_table.all():
+            self.slot_table.end_idle(book, config)
             self.lines.pump(book)
         workers = self.listed_workers()
         self._load_weights(workers)
         if self.loop.time() - self.adapted_s > ADAPT_S:
             self.adapted_s = self.loop.time()
-            for book in self.books.all():
+            for book in self.slot_table.all():
                 book.adapt(config)
-        self.books.drop_unlisted({worker.name for worker in workers})
+        self.slot_table.drop_unlisted({worker.name for worker in workers})
 
     async def on_grant_ask(self, ask, sender: str):
         """Answer a GrantAsk: a GrantReturn now or after a wait in line, or a fault.
@@ -195,7 +195,9 @@
         if config is None or ask.weights != config.weights or not self.router.lease.is_held():
             self.router.lease.kick.set()
             return NO_LEASE.with_reason("keeper and router hold different configurations", 200)
-        conversation = self.books.conversations.get(ask.conversation) or self.books.continued(ask)
+        conversation = self.slot_table.conversations.get(
+            ask.conversation
+        ) or self.slot_table.continued(ask)
         if conversation is None:
             return await self.lines.wait(ask, sender, start_s)
         fault = self.moves.settle(conversation, ask)
@@ -210,7 +212,7 @@
             self.telemetry.count["budgetRefusals"] += 1
             return RETRY_BUDGET_EXHAUSTED
         earlier_parts = conversation.parts if conversation.weights == ask.weights else 0
-        if self.books.attempt_granted(conversation, ask, sender):
+        if self.slot_table.attempt_granted(conversation, ask, sender):
             self.budget.call(self.loop.time())
         self.telemetry.count["grants"] += 1
         source = self.fetches.source(conversation.worker, ask)
@@ -233,12 +235,14 @@
 
     def on_attempt_end(self, end, sender: str):
         """Take in that an attempt is over at its router."""
-        conversation = self.books.conversations.get(end.conversation) if self.is_ready() else None
+        conversation = (
+            self.slot_table.conversations.get(end.conversation) if self.is_ready() else None
+        )
         if conversation is None:
             return
         if end.slow_from:
             self.fetches.avoid(end.slow_from, conversation.worker)
-        self.lines.pump(self.books.attempt_ended(conversation, end))
+        self.lines.pump(self.slot_table.attempt_ended(conversation, end))
 
     def on_grant_drop(self, drop, sender: str):
         """Take a call out of its line, for its caller went away."""
@@ -256,9 +260,9 @@
             return NOT_COORDINATOR
         if hold.term > self.term:
             return STALE_VIEW.with_reason("router knows a newer keeper")
-        self.books.renew_router(sender)
+        self.slot_table.renew_router(sender)
         settled_s = (hold.heard_ms - 2 * self.settings.grantMs) / 1000
-        lost = self.books.reconcile(sender, set(hold.calls), settled_s)
+        lost = self.slot_table.reconcile(sender, set(hold.calls), settled_s)
         if lost:
             await self.takeover.gather(sender, self.term)
         return CallRenewalReturn(lost=sorted(lost), stamp_ms=int(self.loop.time() * 1000))
@@ -273,5 +277,5 @@
             "ready": self.is_ready(),
             "weights": config.weights if config else "",
             "lineMax": config.lineMax if config else 0,
-            "books": self.books.status(self.index) if self.duty.is_held() else {},
+            "books": self.slot_table.status(self.index) if self.duty.is_held() else {},
         }
--- a/swiftdeck/traffic/line.py
+++ b/swiftdeck/traffic/fair_queue.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define(eq=False)
-class Waiting:
+class QueuedCall:
     """A call that waits to begin a conversation.
 
     `ask` is the newest message that asked for it, `done` the future that takes the answer to it,
@@ -26,19 +26,19 @@
         return not self.done.done()
 
 
-class Line:
+class FairQueue:
     """Calls that wait for one worker."""
 
     def __init__(self):
-        self.tenants: dict[str, deque[Waiting]] = {}
+        self.tenants: dict[str, deque[QueuedCall]] = {}
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self.tenants.values())
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedCall]:
         return (waiting for queue in list(self.tenants.values()) for waiting in list(queue))
 
-    def add(self, waiting: Waiting):
+    def add(self, waiting: QueuedCall):
         """Stand in the tenant's queue, behind all that have waited as long."""
         queue = self.tenants.get(waiting.tenant)
         if queue is None:
@@ -48,7 +48,7 @@
             in_order = sorted(queue, key=lambda other: other.since_s)
             self.tenants[waiting.tenant] = deque(in_order)
 
-    def _add_tenant(self, waiting: Waiting):
+    def _add_tenant(self, waiting: QueuedCall):
         """Put a tenant before those whose first has waited less, as after a change of coordinator.
 
         There calls ask again in any order; who came early then must not pass who waited longer.
@@ -59,11 +59,11 @@
         order.insert(place, (waiting.tenant, deque([waiting])))
         self.tenants = dict(order)
 
-    def first(self) -> Waiting | None:
+    def first(self) -> QueuedCall | None:
         """Return the next to begin, or None."""
         return next((queue[0] for queue in self.tenants.values()), None)
 
-    def take(self) -> Waiting:
+    def take(self) -> QueuedCall:
         """Take the next out; its tenant then goes behind the others."""
         tenant = next(iter(self.tenants))
         queue = self.tenants.pop(tenant)
@@ -72,7 +72,7 @@
             self.tenants[tenant] = queue
         return first
 
-    def remove(self, waiting: Waiting):
+    def remove(self, waiting: QueuedCall):
         """Leave the line."""
         queue = self.tenants.get(waiting.tenant)
         if queue and waiting in queue:
--- a/swiftdeck/traffic/moves.py
+++ b/swiftdeck/traffic/moves.py
@@ -8,8 +8,8 @@
 class Moves:
     """A later call is not capped; its conversation moves when its worker can no longer serve it."""
 
-    def __init__(self, books, placement, router):
-        self.books, self.placement, self.router = books, placement, router
+    def __init__(self, slot_table, placement, router):
+        self.slot_table, self.placement, self.router = slot_table, placement, router
 
     def settle(self, conversation, ask):
         """Move the conversation if it must; returns a fault when it must and can't, or None."""
@@ -31,13 +31,13 @@
     def _is_good(self, worker: str, ask) -> bool:
         """Whether a worker that can be used is no worse than others."""
         now_s = asyncio.get_running_loop().time()
-        is_shunned = self.books.of(worker).shunned_until_s > now_s
+        is_shunned = self.slot_table.of(worker).shunned_until_s > now_s
         return not is_shunned and not self.placement.has_other_weights(worker, ask.weights)
 
     def _move(self, conversation, target: str):
         old = conversation.worker
-        self.books.move(conversation, target)
-        book = self.books.of(target)
+        self.slot_table.move(conversation, target)
+        book = self.slot_table.of(target)
         is_over_cap = len(book.open) > book.cap
         self.router.telemetry.count["moves"] += 1
         self.router.telemetry.count["movesOverCap"] += is_over_cap
--- a/swiftdeck/traffic/placement.py
+++ b/swiftdeck/traffic/placement.py
@@ -11,8 +11,8 @@
     `places_weighed` is how many of the first places of the ring are compared by what they keep.
     """
 
-    def __init__(self, coordinator, books, index, virtual_places=128, places_weighed=3):
-        self.coordinator, self.books, self.index = coordinator, books, index
+    def __init__(self, coordinator, slot_table, index, virtual_places=128, places_weighed=3):
+        self.coordinator, self.slot_table, self.index = coordinator, slot_table, index
         self.virtual_places, self.places_weighed = virtual_places, places_weighed
         self.ring = Ring([])
 
@@ -44,7 +44,7 @@
         good = [
             name
             for name in fit
-            if self.books.of(name).shunned_until_s <= now_s and self.index.is_up(name)
+            if self.slot_table.of(name).shunned_until_s <= now_s and self.index.is_up(name)
         ]
         return good or fit
 
@@ -62,8 +62,8 @@
         return max(places, key=lambda name: self.index.depth(name, ask.chain), default=None)
 
     def _is_free(self, worker: str) -> bool:
-        book = self.books.of(worker)
-        return book.has_room() and not len(book.line)
+        book = self.slot_table.of(worker)
+        return book.has_room() and not len(book.queue)
 
     def _may_queue(self, worker: str) -> bool:
-        return len(self.books.of(worker).line) < self.coordinator.config().lineMax
+        return len(self.slot_table.of(worker).queue) < self.coordinator.config().lineMax
--- a/swiftdeck/traffic/books.py
+++ b/swiftdeck/traffic/slot_table.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from swiftdeck.traffic.book import Book, Conversation, RunningAttempt
+from swiftdeck.traffic.worker_slots import Conversation, RunningAttempt, WorkerSlots
 
 SHUN_S = 2.0
 """How long a worker that could not be reached gets no starts."""
@@ -36,7 +36,7 @@
     attempt: RunningAttempt
 
 
-class Books:
+class SlotTable:
     """Owner of the books: the other parts read them, and change them only by its commands.
 
     `table` has the book of each worker by its name, `conversations` those that are open by their
@@ -52,15 +52,15 @@
 
     def clear(self):
         """Begin with empty books."""
-        self.table: dict[str, Book] = {}
+        self.table: dict[str, WorkerSlots] = {}
         self.conversations: dict[str, Conversation] = {}
         self.by_last: dict[tuple[str, bytes], set[str]] = {}
         self.routers: dict[str, float] = {}
 
-    def of(self, worker: str) -> Book:
+    def of(self, worker: str) -> WorkerSlots:
         """Return the book of a worker, a new one if it has none."""
         if worker not in self.table:
-            self.table[worker] = Book(worker, self._first_cap())
+            self.table[worker] = WorkerSlots(worker, self._first_cap())
         return self.table[worker]
 
     def _first_cap(self) -> int:
@@ -70,7 +70,7 @@
             return 1
         return config.capLeast if config.adapts else config.cap
 
-    def all(self) -> list[Book]:
+    def all(self) -> list[WorkerSlots]:
         """Return the books as they are now, safe to change meanwhile."""
         return list(self.table.values())
 
@@ -131,7 +131,7 @@
         self.renew_router(router)
         return is_new
 
-    def attempt_ended(self, conversation: Conversation, end) -> Book:
+    def attempt_ended(self, conversation: Conversation, end) -> WorkerSlots:
         """Take in an AttemptEnd, close its conversation if that ends too, and return its book.
 
         One that comes after its call's next attempt was granted changes nothing.
@@ -244,7 +244,7 @@
             if attempt.router == router
         ]
 
-    def end_idle(self, book: Book, config):
+    def end_idle(self, book: WorkerSlots, config):
         """Close what has been idle for long, and follow the configuration's cap."""
         for conversation in book.ended(self.loop.time(), config.idleMs):
             self.close(conversation, "over" if conversation.is_over else "idle")
@@ -254,7 +254,7 @@
     def drop_unlisted(self, listed: set[str]):
         """Forget the books of workers that are no longer listed and have nothing open."""
         for book in self.all():
-            if book.worker not in listed and not book.open and not len(book.line):
+            if book.worker not in listed and not book.open and not len(book.queue):
                 del self.table[book.worker]
 
     def status(self, index) -> dict:
@@ -265,7 +265,7 @@
             name: {
                 "open": len(book.open),
                 "cap": book.cap,
-                "line": len(book.line),
+                "line": len(book.queue),
                 "up": index.is_up(name),
                 "weights": index.weights(name),
                 "running": sum(len(conversation.running) for conversation in book.open.values()),
--- a/swiftdeck/traffic/takeover.py
+++ b/swiftdeck/traffic/takeover.py
@@ -31,8 +31,13 @@
     No reported conversation counts as idle since before `idle_floor_s`.
     """
 
-    def __init__(self, coordinator, books, router, duty):
-        self.coordinator, self.books, self.router, self.duty = coordinator, books, router, duty
+    def __init__(self, coordinator, slot_table, router, duty):
+        self.coordinator, self.slot_table, self.router, self.duty = (
+            coordinator,
+            slot_table,
+            router,
+            duty,
+        )
         self.loop = asyncio.get_running_loop()
         self.arrivals: list[Arrival] = []
         self.clear()
@@ -81,7 +86,7 @@
         if is_fault(report):
             return False
         for conversation in report.conversations:
-            self.books.adopt(conversation, addr, self.idle_floor_s)
+            self.slot_table.adopt(conversation, addr, self.idle_floor_s)
         return True
 
     def release(self):
--- a/swiftdeck/traffic/book.py
+++ b/swiftdeck/traffic/worker_slots.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from swiftdeck.traffic.line import Line
+from swiftdeck.traffic.fair_queue import FairQueue
 
 PROMPTS_REMEMBERED = 4
 RETURNS_FOR_SURVIVAL = 5
@@ -53,7 +53,7 @@
 
 
 @attrs.define(eq=False)
-class Book:
+class WorkerSlots:
     """Counts open conversations of one worker; only starts look at the cap.
 
     `returns` counts later calls of conversations since the cap was last adapted, and `hits` those
@@ -63,7 +63,7 @@
 
     worker: str
     cap: int
-    line: Line = attrs.Factory(Line)
+    queue: FairQueue = attrs.Factory(FairQueue)
     open: dict = attrs.Factory(dict)
     hits: int = 0
     returns: int = 0
@@ -116,5 +116,5 @@
             self.cap = model.cap
         elif survival is not None and survival < LOW_SURVIVAL:
             self.cap = max(model.capLeast, self.cap * 3 // 4)
-        elif survival is not None and survival > HIGH_SURVIVAL and len(self.line):
+        elif survival is not None and survival > HIGH_SURVIVAL and len(self.queue):
             self.cap = min(model.cap, self.cap + 1)
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -123,8 +123,8 @@
         cluster.world.run(0.2)
         place = next(
             (name, each)
-            for name, book in cluster.books().items()
-            for each in book.line
+            for name, book in cluster.slot_table().items()
+            for each in book.queue
             if each.tenant == "nagasaki"
         )
         ips = [cluster.addresses[name]["inner"].rpartition(":")[0] for name in (alone, coordinator)]
@@ -154,7 +154,7 @@
         talks = []
         for number in range(4):
             talks.append(cluster.call("saga", "check", ["b", f"case {number}"]))
-        self.assertEqual(sorted(len(book.open) for book in cluster.books().values()), [2, 2])
+        self.assertEqual(sorted(len(book.open) for book in cluster.slot_table().values()), [2, 2])
         stream = cluster.spawn(
             lambda: cluster.caller.call(
                 "saga", "check", [*talks[0]["parts"], "a", "b"], max_tokens=4000
@@ -252,7 +252,7 @@
         with mock.patch("swiftdeck.traffic.coordinator.ADAPT_S", 5.0):
             for _ in range(25):
                 cluster.world.run(2)
-                caps += [book.cap for book in cluster.books().values()]
+                caps += [book.cap for book in cluster.slot_table().values()]
         return caps
 
     def test_the_cap_rises_while_prefixes_survive_and_falls_when_they_do_not(self):
--- a/tests/cases/bases.py
+++ b/tests/cases/bases.py
@@ -87,7 +87,7 @@
         def look():
             nonlocal most
             if cluster.coordinator():
-                most = max([most, *(len(book.open) for book in cluster.books().values())])
+                most = max([most, *(len(book.open) for book in cluster.slot_table().values())])
             return until()
 
         for _ in range(int(limit_s / 0.05)):
@@ -97,7 +97,7 @@
         self.fail("not done in time")
 
     def open(self, cluster):
-        return sum(len(book.open) for book in cluster.books().values())
+        return sum(len(book.open) for book in cluster.slot_table().values())
 
 
 class CallsOfWorkersCase(SiteCase):
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -258,7 +258,7 @@
 
         cluster.world.do("callers", leave)
         cluster.world.run(2)
-        self.assertEqual(sum(len(book.open) for book in cluster.books().values()), 0)
+        self.assertEqual(sum(len(book.open) for book in cluster.slot_table().values()), 0)
         ended = [item for item in cluster.records if item["kind"] == "ran"]
         self.assertEqual([item["whole"] for item in ended], [False])
         self.assertTrue(all(not cluster.up[name].running for name in cluster.router_names()))
--- a/tests/cases/coordinators.py
+++ b/tests/cases/coordinators.py
@@ -265,7 +265,7 @@
         cluster.world.run(0.5)
         late = cluster.spawn(lambda: cluster.caller.call("oita", "check", ["b", "y"], door=frozen))
         cluster.world.run(
-            until=lambda: any(len(book.line) for book in cluster.books().values()), limit_s=5
+            until=lambda: any(len(book.queue) for book in cluster.slot_table().values()), limit_s=5
         )
         cluster.world.freeze(name)
         cluster.world.run(until=lambda: first, limit_s=60)
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -78,7 +78,7 @@
         cluster.spawn(lambda: cluster.caller.call("saga", "check", ["b", "x"], max_tokens=4000))
         cluster.world.run(6)
         running = {
-            call for each in coordinator.books.conversations.values() for call in each.running
+            call for each in coordinator.slot_table.conversations.values() for call in each.running
         }
         self.assertEqual(running, set(router.running))
         self.assertEqual(len(running), 1)
@@ -87,7 +87,9 @@
         cluster.world.do(
             router.me.name, lambda: router.mesh.request(coordinator.router.me.addr, late)
         )
-        still = {call for each in coordinator.books.conversations.values() for call in each.running}
+        still = {
+            call for each in coordinator.slot_table.conversations.values() for call in each.running
+        }
         self.assertEqual((still, set(router.running)), (running, running))
         self.assertEqual(coordinator.telemetry.count["legEndsMended"], 0)
 
@@ -156,7 +158,9 @@
 
         with mock.patch.object(Router, "take_grant", loses):
             self.assertTrue(cluster.call("saga", "check", ["book", "x"], max_tokens=16)["whole"])
-        self.assertEqual((lost, sum(len(book.open) for book in cluster.books().values())), ([], 1))
+        self.assertEqual(
+            (lost, sum(len(book.open) for book in cluster.slot_table().values())), ([], 1)
+        )
 
     def test_extra_tries_of_all_models_together_stay_within_one_allowance(self):
         cluster = self.cluster(workers=4)
--- a/tests/cases/late_messages.py
+++ b/tests/cases/late_messages.py
@@ -48,7 +48,7 @@
 
     def running(self):
         """Calls that have a place in the books."""
-        conversations = self.coordinator.books.conversations.values()
+        conversations = self.coordinator.slot_table.conversations.values()
         return {call for each in conversations for call in each.running}
 
     def test_a_late_question_for_a_place_takes_one_for_no_longer_than_a_lease(self):
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -16,17 +16,17 @@
 from swiftdeck.fault import HANDLER_FAILED, NO_LEASE
 from swiftdeck.http.server import HttpConversation
 from swiftdeck.sim.sim_cluster import SimCluster
-from swiftdeck.traffic.book import Book
-from swiftdeck.traffic.books import Books
 from swiftdeck.traffic.budget import Budget
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
 from swiftdeck.traffic.coordinator import AdmissionCoordinator
+from swiftdeck.traffic.fair_queue import FairQueue
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.ledger import Ledger
-from swiftdeck.traffic.line import Line
 from swiftdeck.traffic.moves import Moves
+from swiftdeck.traffic.slot_table import SlotTable
 from swiftdeck.traffic.takeover import Takeover
+from swiftdeck.traffic.worker_slots import WorkerSlots
 from swiftdeck.traffic.workers import WorkerList
 from tests.cases import (
     admission,
@@ -164,7 +164,10 @@
         "who waited longest before a new keeper",
         coordinators.CoordinatorsCase,
         "test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting",
-        [(Takeover, "gathered", replacements.polls), (Line, "_add_tenant", replacements.adds_last)],
+        [
+            (Takeover, "gathered", replacements.polls),
+            (FairQueue, "_add_tenant", replacements.adds_last),
+        ],
     ),
     (
         "age of a grant",
@@ -188,7 +191,7 @@
         "later calls pass the line",
         admission.AdmissionCase,
         "test_a_later_call_of_an_admitted_conversation_never_waits_behind_the_line",
-        [(Books, "continued", lambda self, ask: None)],
+        [(SlotTable, "continued", lambda self, ask: None)],
     ),
     (
         "conversations known without their weights",
@@ -239,7 +242,7 @@
         "test_a_conversation_whose_grant_is_handed_back_after_a_change_of_keeper_stays_open",
         [
             (
-                "swiftdeck.traffic.book.Conversation",
+                "swiftdeck.traffic.worker_slots.Conversation",
                 "is_served",
                 property(lambda self: False, lambda self, value: None),
             )
@@ -255,7 +258,7 @@
         "cap",
         admission.AdmissionCase,
         "test_starts_from_many_routers_at_once_never_pass_the_cap",
-        [(Book, "has_room", lambda self: True)],
+        [(WorkerSlots, "has_room", lambda self: True)],
     ),
     (
         "open conversations gathered",
@@ -268,15 +271,19 @@
         admission.AdmissionCase,
         "test_the_line_serves_tenants_in_turn",
         [
-            (Line, "take", replacements.takes_first_tenant),
-            (Line, "first", lambda self: next((line[0] for line in self.tenants.values()), None)),
+            (FairQueue, "take", replacements.takes_first_tenant),
+            (
+                FairQueue,
+                "first",
+                lambda self: next((line[0] for line in self.tenants.values()), None),
+            ),
         ],
     ),
     (
         "silent routers' slots",
         coordinators.CoordinatorsCase,
         "test_slots_of_a_dead_router_come_back_once_its_lease_has_run_out",
-        [(Books, "renew_router", lambda self, router: None)],
+        [(SlotTable, "renew_router", lambda self, router: None)],
     ),
     (
         "budget",
--- a/tests/gateway/cases/routers.py
+++ b/tests/gateway/cases/routers.py
@@ -27,12 +27,12 @@
         cluster.kill("router2", silent=True)
         cluster.world.run(10)
         self.assert_kept(cluster, 0.93)
-        books = [
+        place_table = [
             book
             for name in cluster.routers()
-            for book in cluster.up[name].admission.books.status().values()
+            for book in cluster.up[name].admission.place_table.status().values()
         ]
-        self.assertEqual(sum(book["open"] + book["line"] for book in books), 0, books)
+        self.assertEqual(sum(book["open"] + book["line"] for book in place_table), 0, place_table)
 
     def test_a_frozen_router_wakes_with_what_came_meanwhile(self):
         cluster = self.cluster(3)
@@ -166,12 +166,12 @@
             ),
             0,
         )
-        books = [
+        place_table = [
             book
             for name in cluster.routers()
-            for book in cluster.up[name].admission.books.status().values()
+            for book in cluster.up[name].admission.place_table.status().values()
         ]
-        self.assertEqual(sum(book["open"] + book["line"] for book in books), 0, books)
+        self.assertEqual(sum(book["open"] + book["line"] for book in place_table), 0, place_table)
         self.assertEqual(cluster.breaches(), {})
         self.assertTrue(
             all(item["host"] == HOST for item in cluster.records if item["kind"] == "try")
--- a/tests/gateway/storm.py
+++ b/tests/gateway/storm.py
@@ -76,12 +76,12 @@
     @staticmethod
     def _wrong(gateway):
         """What is wrong with a gateway that has been calm for a while."""
-        books = gateway.admission.books.status()
+        place_table = gateway.admission.place_table.status()
         states = {
             "not ready": not gateway.is_ready(),
             "without lease": not gateway.lease.is_held(),
             "requests open": gateway.open,
-            "places taken": sum(book["open"] + book["line"] for book in books.values()),
+            "places taken": sum(book["open"] + book["line"] for book in place_table.values()),
             "calls counted": sum(
                 each.running or each.running_long
                 for each in gateway.worker_registry.workers.values()
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -8,7 +8,7 @@
 from swiftdeck.bench.outer.worker import PlatformWorker
 from swiftdeck.fault import WORKER_LOST
 from swiftdeck.gateway.ledger import Move, next_move
-from swiftdeck.gateway.places import PlaceBooks, Wish
+from swiftdeck.gateway.places import PlaceTable, Wish
 from swiftdeck.gateway.share import BudgetShare
 from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.platform.header_codec import ClientHeaderCodec, WorkerHeaderCodec
@@ -68,14 +68,20 @@
             return Wish(name, f"e-{name}", "t", "w1", 17000, self.world.now + 1e6)
 
         async def go():
-            books = PlaceBooks(mock.Mock(count=mock.MagicMock()), None, lambda worker: 20000)
-            books.ended("c1")
-            left = await books.ask(wish("c1"), 0)
-            first = await books.ask(wish("c2"), 0)
-            waits = asyncio.ensure_future(books.ask(wish("c3"), 1000))
+            place_table = PlaceTable(mock.Mock(count=mock.MagicMock()), None, lambda worker: 20000)
+            place_table.ended("c1")
+            left = await place_table.ask(wish("c1"), 0)
+            first = await place_table.ask(wish("c2"), 0)
+            waits = asyncio.ensure_future(place_table.ask(wish("c3"), 1000))
             await asyncio.sleep(0.01)
-            books.ended("c3")
-            return left, first, await waits, len(books.of("w1").line), len(books.of("w1").open)
+            place_table.ended("c3")
+            return (
+                left,
+                first,
+                await waits,
+                len(place_table.of("w1").queue),
+                len(place_table.of("w1").open),
+            )
 
         self.assertEqual(self.do(go), (False, True, False, 0, 1))
 
--- a/tests/gateway/test_places.py
+++ b/tests/gateway/test_places.py
@@ -1,7 +1,7 @@
 """Tests of the admission books."""
 
 from swiftdeck.gateway.pace import PRIOR_TOKENS_PER_MS
-from swiftdeck.gateway.places import FILL, GRACE_S, Owners, PlaceBooks, Wish
+from swiftdeck.gateway.places import FILL, GRACE_S, Owners, PlaceTable, Wish
 from tests.gateway.parts import SimCase
 
 ROOM = 100000
@@ -11,7 +11,7 @@
 class PlacesTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.books = PlaceBooks(self.telemetry, None, lambda worker: ROOM)
+        self.place_table = PlaceTable(self.telemetry, None, lambda worker: ROOM)
 
     def wish(self, call, episode=None, tenant="t", tokens=17000, worker="w", left_s=6.0):
         return Wish(
@@ -24,34 +24,34 @@
         )
 
     def ask(self, call, wait_ms=0, **more):
-        return self.do(lambda: self.books.ask(self.wish(call, **more), wait_ms))
+        return self.do(lambda: self.place_table.ask(self.wish(call, **more), wait_ms))
 
     def fill(self):
         return [self.ask(f"c{at}") for at in range(FITS)]
 
     def end(self, call, **more):
-        self.within(lambda: self.books.ended(call, **more))
+        self.within(lambda: self.place_table.ended(call, **more))
 
     def tick(self, names=("w",)):
-        self.within(lambda: self.books.tick(set(names)))
+        self.within(lambda: self.place_table.tick(set(names)))
 
     def test_as_many_are_open_as_the_memory_holds_of_their_tokens(self):
         for tokens, most in ((17000, 5), (8000, 10), (42000, 2), (300000, 1)):
-            books = self.books = PlaceBooks(self.telemetry, None, lambda worker: ROOM)
+            place_table = self.place_table = PlaceTable(self.telemetry, None, lambda worker: ROOM)
             self.assertEqual(
                 [self.ask(f"c{at}", tokens=tokens) for at in range(most + 3)],
                 [True] * most + [False] * 3,
                 tokens,
             )
-            self.assertEqual(books.status(), {"w": {"open": most, "cap": most, "line": 0}})
+            self.assertEqual(place_table.status(), {"w": {"open": most, "cap": most, "line": 0}})
 
     def test_what_is_told_to_be_read_runs_down_with_time_whichever_calls_run(self):
         told = []
-        self.books.on_load = lambda worker, backlog, running: told.append((backlog, running))
+        self.place_table.on_load = lambda worker, backlog, running: told.append((backlog, running))
         for call in ("c1", "c2"):
             wish = self.wish(call)
             self.do(
-                lambda: self.books.ask(
+                lambda: self.place_table.ask(
                     Wish(
                         *[
                             *(
@@ -86,7 +86,7 @@
     def test_a_later_call_of_an_open_episode_looks_at_no_cap(self):
         self.fill()
         self.assertEqual([self.ask(f"again{at}", episode="e/c0") for at in range(5)], [True] * 5)
-        self.assertEqual((self.ask("other"), len(self.books.of("w").open)), (False, FITS))
+        self.assertEqual((self.ask("other"), len(self.place_table.of("w").open)), (False, FITS))
 
     def test_a_place_is_given_back_with_the_last_call_of_an_episode(self):
         self.fill()
@@ -102,15 +102,15 @@
         self.end("c0")
         self.world.run(0.3)
         self.tick()
-        self.assertIn("e", self.books.of("w").open)
+        self.assertIn("e", self.place_table.of("w").open)
         self.world.run(0.2)
         self.tick()
-        self.assertEqual(self.books.books, {"w": self.books.of("w")})
-        self.assertEqual(self.books.of("w").open, {})
+        self.assertEqual(self.place_table.place_table, {"w": self.place_table.of("w")})
+        self.assertEqual(self.place_table.of("w").open, {})
 
     def test_who_waits_is_let_in_when_a_place_comes_free_and_no_sooner(self):
         self.fill()
-        waiting = self.beside(lambda: self.books.ask(self.wish("late"), 2000))
+        waiting = self.beside(lambda: self.place_table.ask(self.wish("late"), 2000))
         self.world.run(0.5)
         self.assertFalse(waiting.done())
         self.end("c1")
@@ -118,21 +118,21 @@
         self.tick()
         self.world.run(0.01)
         self.assertTrue(waiting.result())
-        self.assertEqual(self.books.status()["w"], {"open": FITS, "cap": FITS, "line": 0})
+        self.assertEqual(self.place_table.status()["w"], {"open": FITS, "cap": FITS, "line": 0})
 
     def test_the_line_serves_tenants_in_turn_and_each_first_come_first_served(self):
         self.fill()
         got = []
 
         async def stand(call, tenant):
-            if await self.books.ask(self.wish(call, tenant=tenant), 5000):
+            if await self.place_table.ask(self.wish(call, tenant=tenant), 5000):
                 got.append(call)
 
         for call in ("x1", "x2", "x3", "x4", "y1", "z1", "y2"):
             self.beside(lambda: stand(call, call[0]))
             self.world.run(0.01)
         for _ in range(7):
-            self.end(next(iter(next(iter(self.books.of("w").open.values())).running)))
+            self.end(next(iter(next(iter(self.place_table.of("w").open.values())).running)))
             self.world.run(0.01)
             self.tick()
             self.world.run(0.01)
@@ -140,9 +140,9 @@
 
     def test_a_start_does_not_pass_those_who_wait(self):
         self.fill()
-        waiting = self.beside(lambda: self.books.ask(self.wish("first"), 2000))
+        waiting = self.beside(lambda: self.place_table.ask(self.wish("first"), 2000))
         self.world.run(0.1)
-        book = self.books.of("w")
+        book = self.place_table.of("w")
         book.leave(next(iter(book.open.values())))
         self.assertFalse(self.ask("second"))
         self.tick()
@@ -151,29 +151,29 @@
 
     def test_waits_are_bounded_in_time_and_in_number(self):
         self.fill()
-        waiting = self.beside(lambda: self.books.ask(self.wish("late"), 300))
+        waiting = self.beside(lambda: self.place_table.ask(self.wish("late"), 300))
         self.world.run(0.29)
         self.assertFalse(waiting.done())
         self.world.run(0.02)
         self.assertFalse(waiting.result())
-        self.assertEqual(self.books.status()["w"]["line"], 0)
+        self.assertEqual(self.place_table.status()["w"]["line"], 0)
         more = [
-            self.beside(lambda: self.books.ask(self.wish(f"x{at}"), 5000))
-            for at in range(self.books.line_most + 2)
+            self.beside(lambda: self.place_table.ask(self.wish(f"x{at}"), 5000))
+            for at in range(self.place_table.line_most + 2)
         ]
         self.world.run(0.01)
         self.assertEqual([each.result() for each in more if each.done()], [False, False])
 
     def test_who_gives_up_leaves_the_line(self):
         self.fill()
-        waiting = self.beside(lambda: self.books.ask(self.wish("late"), 5000))
+        waiting = self.beside(lambda: self.place_table.ask(self.wish("late"), 5000))
         self.world.run(0.01)
         waiting.cancel()
         self.world.run(0.01)
         self.end("c0")
         self.world.run(0.5)
         self.tick()
-        self.assertEqual(self.books.status()["w"], {"open": FITS - 1, "cap": FITS, "line": 0})
+        self.assertEqual(self.place_table.status()["w"], {"open": FITS - 1, "cap": FITS, "line": 0})
 
     def test_places_of_a_router_that_is_gone_come_back_at_their_calls_deadlines(self):
         self.fill()
@@ -185,15 +185,17 @@
         self.assertTrue(self.ask("late"))
         self.assertEqual(self.telemetry.count["placesReclaimed"], FITS)
         self.end("c0")
-        self.assertEqual(list(self.books.calls), ["late"])
+        self.assertEqual(list(self.place_table.calls), ["late"])
 
     def test_nothing_admitted_is_taken_back_when_there_is_less_room(self):
         self.fill()
         self.assertFalse(self.ask("large", tokens=90000))
-        self.books.memory_of = lambda worker: ROOM / 4
+        self.place_table.memory_of = lambda worker: ROOM / 4
         self.assertFalse(self.ask("x"))
         self.tick()
-        self.assertEqual((len(self.books.of("w").open), self.books.of("w").cap), (FITS, 1))
+        self.assertEqual(
+            (len(self.place_table.of("w").open), self.place_table.of("w").cap), (FITS, 1)
+        )
         self.assertTrue(self.ask("again", episode="e/c0"))
         for at in range(FITS - 1):
             self.end(f"c{at}")
@@ -203,29 +205,34 @@
     def test_books_of_workers_that_are_gone_are_forgotten_once_nothing_is_open(self):
         self.ask("c0")
         self.tick(())
-        self.assertIn("w", self.books.books)
+        self.assertIn("w", self.place_table.place_table)
         self.end("c0")
         self.world.run(0.5)
         self.tick(())
-        self.assertEqual((self.books.books, self.books.tokens, self.books.calls), ({}, {}, {}))
+        self.assertEqual(
+            (self.place_table.place_table, self.place_table.tokens, self.place_table.calls),
+            ({}, {}, {}),
+        )
 
     def test_an_end_that_nobody_knows_does_nothing(self):
         self.end("never")
         self.ask("c0")
         self.end("c0")
         self.end("c0")
-        self.assertEqual(len(self.books.of("w").open), 1)
+        self.assertEqual(len(self.place_table.of("w").open), 1)
 
     def read(self, call, worker="w", tokens=17000):
         wish = self.wish(call, worker=worker)
         asked = Wish(
             wish.call, wish.episode, wish.tenant, worker, tokens, wish.deadline_s, missing=tokens
         )
-        self.assertTrue(self.do(lambda: self.books.ask(asked, 0)))
+        self.assertTrue(self.do(lambda: self.place_table.ask(asked, 0)))
 
     def test_the_pace_is_told_by_prompts_that_were_read_alone(self):
         told = []
-        self.books.on_reading = lambda worker, tokens, elapsed_ms: told.append((worker, tokens))
+        self.place_table.on_reading = lambda worker, tokens, elapsed_ms: told.append(
+            (worker, tokens)
+        )
         self.read("alone")
         self.end("alone", first_event_ms=400)
         self.world.run(2)
--- a/tests/traffic/test_books.py
+++ b/tests/traffic/test_slot_table.py
@@ -1,9 +1,9 @@
-"""Tests of `traffic/books.py`."""
+"""Tests of `traffic/slot_table.py`."""
 
 import unittest
 
-from swiftdeck.traffic.book import Conversation
-from swiftdeck.traffic.books import Books
+from swiftdeck.traffic.slot_table import SlotTable
+from swiftdeck.traffic.worker_slots import Conversation
 from swiftdeck.wire.messages import AttemptEnd, GrantAsk
 
 
@@ -20,14 +20,14 @@
                 return None
 
         async def main():
-            books = Books(Alone(), Telemetry(), Decisions(lambda: 0.0))
+            slot_table = SlotTable(Alone(), Telemetry(), Decisions(lambda: 0.0))
             conversation = Conversation("c", "t", "shared", "w", "w1")
-            books.open(conversation)
+            slot_table.open(conversation)
             for turn in range(20):
-                books.remember(conversation, b"%d" % turn)
-            seen.append(len(books.by_last))
-            books.close(conversation, "idle")
-            seen.append((books.by_last, books.conversations, books.of("w").open))
+                slot_table.remember(conversation, b"%d" % turn)
+            seen.append(len(slot_table.by_last))
+            slot_table.close(conversation, "idle")
+            seen.append((slot_table.by_last, slot_table.conversations, slot_table.of("w").open))
 
         world.start("a", "10.0.0.1", main)
         world.run(1)
@@ -51,14 +51,14 @@
             return AttemptEnd(call="a", attempt=attempt, conversation="c", never_sent=True)
 
         async def main():
-            books = Books(Alone(), Telemetry(), Decisions(lambda: 0.0))
+            slot_table = SlotTable(Alone(), Telemetry(), Decisions(lambda: 0.0))
             conversation = Conversation("c", "t", "shared", "w", "w1")
-            books.open(conversation)
+            slot_table.open(conversation)
             for attempt in (1, 2):
-                books.attempt_granted(conversation, asked(attempt), "10.2.0.1:7000")
+                slot_table.attempt_granted(conversation, asked(attempt), "10.2.0.1:7000")
             for attempt in (1, 2):
-                books.attempt_ended(conversation, ended(attempt))
-                seen.append((sorted(conversation.running), sorted(books.conversations)))
+                slot_table.attempt_ended(conversation, ended(attempt))
+                seen.append((sorted(conversation.running), sorted(slot_table.conversations)))
 
         world.start("a", "10.0.0.1", main)
         world.run(1)
--- a/tests/traffic/test_book.py
+++ b/tests/traffic/test_worker_slots.py
@@ -1,13 +1,13 @@
-"""Tests of `traffic/book.py`."""
+"""Tests of `traffic/worker_slots.py`."""
 
 import unittest
 
-from swiftdeck.traffic.book import Book, Conversation
+from swiftdeck.traffic.worker_slots import Conversation, WorkerSlots
 
 
 class BookTest(unittest.TestCase):
     def test_slots_come_back_from_the_paused_only_when_due(self):
-        book = Book("w", 2)
+        book = WorkerSlots("w", 2)
         first, second = (Conversation(name, "t", "shared", "w", "w1") for name in "ab")
         for each in (first, second):
             book.entry(each)
@@ -20,11 +20,11 @@
     def test_the_cap_follows_survival(self):
         from swiftdeck.config.document import Model
 
-        model, book = Model(weights="w", adapts=True, cap=16), Book("w", 16)
+        model, book = Model(weights="w", adapts=True, cap=16), WorkerSlots("w", 16)
         book.returns, book.hits = 10, 5
         book.adapt(model)
         self.assertEqual(book.cap, 12)
-        book.line.add(type("W", (), {"tenant": "t"})())
+        book.queue.add(type("W", (), {"tenant": "t"})())
         book.returns, book.hits = 10, 10
         book.adapt(model)
         self.assertEqual(book.cap, 13)
