--- a/swiftdeck/bench/history.py
+++ b/swiftdeck/bench/history.py
@@ -17,7 +17,7 @@
 NEVER = math.inf
 
 
-class Clause(Enum):
+class ConsistencyRule(Enum):
     """What a history may break."""
 
     UNEXPLAINED = "no order of the operations explains the answers"
@@ -81,7 +81,7 @@
 class Violation:
     """A clause that a history breaks, and where."""
 
-    clause: Clause
+    clause: ConsistencyRule
     detail: str
 
 
@@ -150,9 +150,9 @@
     early = [each for each in operations if _has_rival(each, operations)]
     others = [each for each in operations if each not in early]
     if early and _is_explained(others, history.initial):
-        yield Violation(Clause.REFUSED_EARLY, ", ".join(str(each.order) for each in early))
+        yield Violation(ConsistencyRule.REFUSED_EARLY, ", ".join(str(each.order) for each in early))
     else:
-        yield Violation(Clause.UNEXPLAINED, f"{len(history.attempts)} attempts")
+        yield Violation(ConsistencyRule.UNEXPLAINED, f"{len(history.attempts)} attempts")
 
 
 def _has_rival(refusal, operations):
@@ -168,8 +168,8 @@
 def _doubles(history):
     """Different orders that were acknowledged under one number or on one base."""
     for clause, key in (
-        (Clause.SAME_NUMBER, lambda order: order.number),
-        (Clause.SAME_BASE, lambda order: order.base),
+        (ConsistencyRule.SAME_NUMBER, lambda order: order.number),
+        (ConsistencyRule.SAME_BASE, lambda order: order.base),
     ):
         groups = defaultdict(set)
         for order in history.acknowledgements():
@@ -195,13 +195,13 @@
     for each in history.attempts:
         if each.is_refused() and each.order in taken:
             yield Violation(
-                Clause.REFUSED_AFTER_TAKEN,
+                ConsistencyRule.REFUSED_AFTER_TAKEN,
                 f"{each.order} refused with {each.status} at {each.end_s:.4f}",
             )
 
 
 def _stale(history):
-    clauses = {Source.READ: Clause.STALE_READ, Source.LEASE: Clause.STALE_LEASE}
+    clauses = {Source.READ: ConsistencyRule.STALE_READ, Source.LEASE: ConsistencyRule.STALE_LEASE}
     acknowledged = history.acknowledgements()
     for each in history.observations:
         if each.source not in clauses or not each.in_touch:
@@ -220,12 +220,14 @@
         return
     finals = [each for each in history.observations if each.source is Source.FINAL]
     if not finals:
-        yield Violation(Clause.LOST, "the configuration does not come")
+        yield Violation(ConsistencyRule.LOST, "the configuration does not come")
         return
     last, newest = finals[-1], max(acknowledged, key=lambda order: order.number)
     is_other = last.number == newest.number and last.body != newest.body
     if last.number < newest.number or is_other:
-        yield Violation(Clause.LOST, f"{newest} acknowledged, {last.number} {last.body} read back")
+        yield Violation(
+            ConsistencyRule.LOST, f"{newest} acknowledged, {last.number} {last.body} read back"
+        )
 
 
 def _operations(history):
--- a/swiftdeck/gateway/interfaces.py
+++ b/swiftdeck/gateway/interfaces.py
@@ -67,7 +67,7 @@
 
 
 @attrs.frozen
-class Listed:
+class WorkerListing:
     """One worker as the platform's list has it."""
 
     name: str
@@ -81,7 +81,7 @@
 
 
 @attrs.frozen
-class Kept:
+class CacheReport:
     """One report of a cache: a part that is kept under a salt, or no longer."""
 
     number: int
@@ -98,7 +98,7 @@
     epoch: int
     next_number: int
     lost: bool
-    reports: list[Kept]
+    reports: list[CacheReport]
 
 
 class ClientCodec(typing.Protocol):
--- a/swiftdeck/gateway/ledger.py
+++ b/swiftdeck/gateway/ledger.py
@@ -7,7 +7,7 @@
 from swiftdeck.fault import DEADLINE_PASSED, STREAM_BROKEN, WORKER_LOST, WORKER_UNREACHABLE, Fault
 
 
-class Move(enum.Enum):
+class NextAction(enum.Enum):
     """What a request does next."""
 
     PLACE = "place"
@@ -65,22 +65,28 @@
         )
 
 
-def next_move(ledger: Ledger, now_s: float):
+def next_action(ledger: Ledger, now_s: float):
     """The next move and, when it ends the request, the fault to give; a pure function of the ledger and the time."""
     last = ledger.attempts[-1] if ledger.attempts else None
     if last is None:
-        return Move.PLACE, None
+        return NextAction.PLACE, None
     if last.is_whole:
-        return Move.FINISH, None
+        return NextAction.FINISH, None
     if last.worker is None and last.fault is not None:
-        return (Move.BREAK if ledger.has_begun else Move.GIVE_UP), ledger.verdict(last.fault)
+        return (NextAction.BREAK if ledger.has_begun else NextAction.GIVE_UP), ledger.verdict(
+            last.fault
+        )
     if last.fault is None and not last.was_sent:
-        return Move.SEND, None
+        return NextAction.SEND, None
     if ledger.has_begun and not ledger.resumable:
-        return Move.BREAK, ledger.verdict(STREAM_BROKEN if last.fault is None else last.fault)
+        return NextAction.BREAK, ledger.verdict(STREAM_BROKEN if last.fault is None else last.fault)
     is_spent = len(ledger.sent()) >= ledger.tries or len(ledger.attempts) >= ledger.tries + 3
     if not ledger.repeatable and any(each.may_have_run() for each in ledger.attempts) or is_spent:
-        return (Move.BREAK if ledger.has_begun else Move.GIVE_UP), ledger.verdict(last.fault)
+        return (NextAction.BREAK if ledger.has_begun else NextAction.GIVE_UP), ledger.verdict(
+            last.fault
+        )
     if now_s >= ledger.deadline_s:
-        return (Move.BREAK if ledger.has_begun else Move.GIVE_UP), ledger.verdict(DEADLINE_PASSED)
-    return Move.PLACE, None
+        return (NextAction.BREAK if ledger.has_begun else NextAction.GIVE_UP), ledger.verdict(
+            DEADLINE_PASSED
+        )
+    return NextAction.PLACE, None
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from swiftdeck.fault import is_fault
-from swiftdeck.gateway.interfaces import Listed
+from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.wire.messages import FullListAsk, ListNews
 
 LOOK_MS = 200
@@ -136,7 +136,7 @@
         """Change the list held as told; one that doesn't come to the digest told is asked for whole."""
         is_whole = not news.base
         if news.body and (is_whole or news.base == self.digest):
-            changed = msgspec.json.decode(news.body, type=list[Listed])
+            changed = msgspec.json.decode(news.body, type=list[WorkerListing])
             entries = {} if is_whole else dict(self.entries)
             for name in news.gone:
                 entries.pop(name, None)
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -23,7 +23,7 @@
 )
 from swiftdeck.gateway.call_trace import CallTrace
 from swiftdeck.gateway.interfaces import PROMISES, UpstreamRequest, Verdict
-from swiftdeck.gateway.ledger import Attempt, Ledger, Move, next_move
+from swiftdeck.gateway.ledger import Attempt, Ledger, NextAction, next_action
 from swiftdeck.gateway.patience import silence_limit_s
 from swiftdeck.gateway.place_search import PlaceSearch
 from swiftdeck.gateway.places import Wish
@@ -111,12 +111,12 @@
                 )
 
     async def _move_on(self):
-        acts = {Move.PLACE: self._place, Move.SEND: self._send}
+        acts = {NextAction.PLACE: self._place, NextAction.SEND: self._send}
         self.exchange.watch_client(self._client_ended)
         while True:
             if self._is_abandoned():
                 return await self._end_early()
-            move, fault = next_move(self.ledger, self.loop.time())
+            move, fault = next_action(self.ledger, self.loop.time())
             if move not in acts:
                 return await self._end(move, fault)
             await acts[move]()
@@ -538,11 +538,11 @@
 
     async def _end(self, move, fault):
         count = self.gateway.telemetry.count
-        if move is Move.FINISH:
+        if move is NextAction.FINISH:
             count["callsServed"] += 1
             return self.exchange.finish()
         count[f"faults.{fault.code}"] += 1
-        if move is Move.BREAK:
+        if move is NextAction.BREAK:
             count["streamsBroken"] += 1
             is_late = fault.code == DEADLINE_PASSED.code
             return self.exchange.abort(
--- a/swiftdeck/gateway/worker_registry.py
+++ b/swiftdeck/gateway/worker_registry.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from swiftdeck.gateway.interfaces import Listed
+from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.gateway.pace import PRIOR_TOKENS_PER_MS, Pace
 
 USUAL_GAIN = 0.05
@@ -12,7 +12,7 @@
 class Worker:
     """One life of a worker."""
 
-    listed: Listed
+    listed: WorkerListing
     weights: dict[str, int]
     running: int = 0
     running_long: int = 0
--- a/swiftdeck/platform/caches.py
+++ b/swiftdeck/platform/caches.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
-from swiftdeck.gateway.interfaces import Kept, Reports
+from swiftdeck.gateway.interfaces import CacheReport, Reports
 from swiftdeck.http.kept import KeptJson
 
 PATH, WAIT, NEXT = "/swiftdeck/kv-events", "Wait-Ms", "next-token"
@@ -57,7 +57,7 @@
             told.next,
             told.lost,
             [
-                Kept(number, salt, part, tokens, sign == "+")
+                CacheReport(number, salt, part, tokens, sign == "+")
                 for number, sign, salt, part, tokens, _ in told.events
             ],
         )
--- a/swiftdeck/platform/lists.py
+++ b/swiftdeck/platform/lists.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
-from swiftdeck.gateway.interfaces import Listed
+from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.http.client import fetch_json
 
 PATH, WORKERS, NEXT, PAGE = "/workers", "app-servers", "next-token", "page-token"
@@ -65,7 +65,7 @@
             token = page.next
             if token is None:
                 return [
-                    Listed(
+                    WorkerListing(
                         each.id,
                         each.address,
                         each.backend,
--- a/swiftdeck/sim/model/command.py
+++ b/swiftdeck/sim/model/command.py
@@ -9,7 +9,7 @@
 
 from swiftdeck.sim.model.explore import explore
 from swiftdeck.sim.model.run import play
-from swiftdeck.sim.model.schedule import BadStrikeError, Kind, Schedule, read_strike
+from swiftdeck.sim.model.schedule import BadFaultPointError, Kind, Schedule, parse_fault_point
 
 ORDERS = (0.0, 0.0)
 SHOWN = 20
@@ -89,8 +89,8 @@
 ):
     """Check the control side under schedules of faults; the status is 1 when something broke."""
     try:
-        strikes = tuple(read_strike(each) for each in strike or ())
-    except BadStrikeError as error:
+        strikes = tuple(parse_fault_point(each) for each in strike or ())
+    except BadFaultPointError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from error
     schedule = Schedule(cores, seed, tuple(order or ORDERS), strikes, cold, router)
--- a/swiftdeck/sim/model/draw.py
+++ b/swiftdeck/sim/model/draw.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as draws
 
 from swiftdeck.sim.model.explore import Played, play_briefly
-from swiftdeck.sim.model.schedule import Action, Kind, Schedule, Strike
+from swiftdeck.sim.model.schedule import Action, FaultPoint, Kind, Schedule
 
 GAP_MOST, SEEDS_MOST, STRIKES_MOST, ORDERS_MOST = 60, 1000, 5, 4
 OFFSETS_S = (0.0, 0.01, 0.3, 1.5, 3.0)
@@ -44,7 +44,7 @@
 def _strikes(steps):
     """Strikes from actions and the points between them, so that most come before the end."""
     points = itertools.accumulate(gap for gap, _ in steps)
-    return tuple(Strike(point, each) for point, (_, each) in zip(points, steps, strict=True))
+    return tuple(FaultPoint(point, each) for point, (_, each) in zip(points, steps, strict=True))
 
 
 def schedules(cores):
--- a/swiftdeck/sim/model/explore.py
+++ b/swiftdeck/sim/model/explore.py
@@ -11,7 +11,7 @@
 import attrs
 
 from swiftdeck.sim.model.run import play
-from swiftdeck.sim.model.schedule import CRASHES, REPLACEMENTS, Kind, Schedule, Strike, action
+from swiftdeck.sim.model.schedule import CRASHES, REPLACEMENTS, FaultPoint, Kind, Schedule, action
 
 DIGEST_BYTES = 12
 
@@ -94,7 +94,7 @@
                 key = (played.states[point], *sorted(each.value for each in used), kind, core)
                 if key not in seen:
                     seen.add(key)
-                    strikes = (*schedule.strikes, Strike(point, action(kind, core)))
+                    strikes = (*schedule.strikes, FaultPoint(point, action(kind, core)))
                     found.append(attrs.evolve(schedule, strikes=strikes))
     return found
 
--- a/swiftdeck/sim/model/schedule.py
+++ b/swiftdeck/sim/model/schedule.py
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen
-class Strike:
+class FaultPoint:
     """An action and the number of the event point at which it comes."""
 
     point: int
@@ -81,17 +81,17 @@
         return f"{self.point}:{self.action}"
 
 
-class BadStrikeError(ValueError):
+class BadFaultPointError(ValueError):
     """A text that is not a strike."""
 
 
-def read_strike(text: str) -> Strike:
+def parse_fault_point(text: str) -> FaultPoint:
     """The strike that a text names, as POINT:KIND:CORE:SECONDS."""
     try:
         point, kind, core, for_s = text.split(":")
-        return Strike(int(point), Action(Kind(kind), core, float(for_s)))
+        return FaultPoint(int(point), Action(Kind(kind), core, float(for_s)))
     except ValueError as error:
-        raise BadStrikeError(f"{text}: {error}; expected POINT:KIND:CORE:SECONDS") from error
+        raise BadFaultPointError(f"{text}: {error}; expected POINT:KIND:CORE:SECONDS") from error
 
 
 @attrs.frozen
@@ -106,7 +106,7 @@
     cores: int = 3
     seed: int = 1
     orders: tuple[float, ...] = (0.0, 0.0)
-    strikes: tuple[Strike, ...] = ()
+    strikes: tuple[FaultPoint, ...] = ()
     is_cold: bool = False
     has_router: bool = True
 
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -28,7 +28,7 @@
     is_fault,
 )
 from swiftdeck.http.client import connect, fetch_json
-from swiftdeck.traffic.ledger import Attempt, Ledger, Move, next_move
+from swiftdeck.traffic.ledger import Attempt, Ledger, NextAction, next_action
 from swiftdeck.traffic.prefix import chain_of, group_of
 from swiftdeck.wire.messages import GrantAsk, GrantDrop
 
@@ -78,10 +78,14 @@
 
     async def serve(self):
         """Make moves until the call has its final return."""
-        acts = {Move.CLAIM: self._claim, Move.NOMINATE: self._nominate, Move.SEND: self._send}
+        acts = {
+            NextAction.CLAIM: self._claim,
+            NextAction.NOMINATE: self._nominate,
+            NextAction.SEND: self._send,
+        }
         try:
             while True:
-                move, fault = next_move(self.ledger, self.now_ms())
+                move, fault = next_action(self.ledger, self.now_ms())
                 if move in acts:
                     await acts[move]()
                 else:
@@ -435,12 +439,12 @@
 
     async def end_with_work(self):
         """Give the final return that what was done allows, as the router has no more time."""
-        return await self._end(Move.GIVE_UP, self.ledger.verdict(ROUTER_STOPPING))
+        return await self._end(NextAction.GIVE_UP, self.ledger.verdict(ROUTER_STOPPING))
 
     async def _end(self, move, fault):
         attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
         self._close_attempt()
-        if move is Move.FINISH:
+        if move is NextAction.FINISH:
             self.router.telemetry.count["callsServed"] += 1
             body = {
                 "call": self.name,
--- a/swiftdeck/traffic/ledger.py
+++ b/swiftdeck/traffic/ledger.py
@@ -44,7 +44,7 @@
 }
 
 
-class Move(enum.Enum):
+class NextAction(enum.Enum):
     """What an exchange does next."""
 
     CLAIM = "claim"
@@ -110,20 +110,20 @@
         return WORKER_LOST.with_reason(fault.reason)
 
 
-def next_move(ledger: Ledger, now_ms: float) -> tuple[Move, Fault | None]:
+def next_action(ledger: Ledger, now_ms: float) -> tuple[NextAction, Fault | None]:
     """Return the next move and, when it ends the call, the fault to give.
 
     A pure function of the ledger and the time.
     """
     if isinstance(ledger.claim, Fault):
-        return Move.GIVE_UP, ledger.claim
+        return NextAction.GIVE_UP, ledger.claim
     if not ledger.attempts:
-        return Move.NOMINATE, None
+        return NextAction.NOMINATE, None
     last = ledger.attempts[-1]
     if last.is_whole:
-        return Move.FINISH, None
+        return NextAction.FINISH, None
     if last.delivered:
-        return Move.BREAK, last.fault
+        return NextAction.BREAK, last.fault
     if last.grant is not None and last.fault is None and not last.was_sent:
         return _move_with_grant(ledger, now_ms)
     return _move_after_fault(ledger, last, now_ms)
@@ -132,18 +132,18 @@
 def _move_with_grant(ledger: Ledger, now_ms: float):
     """Return the move of a call that holds a grant: claim its key, then send."""
     if now_ms >= ledger.horizonMs:
-        return Move.GIVE_UP, ledger.verdict(QUEUE_TIMEOUT)
+        return NextAction.GIVE_UP, ledger.verdict(QUEUE_TIMEOUT)
     is_claim_due = ledger.needsClaim and ledger.claim is None
-    return (Move.CLAIM if is_claim_due else Move.SEND), None
+    return (NextAction.CLAIM if is_claim_due else NextAction.SEND), None
 
 
 def _move_after_fault(ledger: Ledger, last: Attempt, now_ms: float):
     """Return the move after an attempt that was refused or failed: try again, or give up."""
     is_refused_for_good = last.grant is None and last.fault.code not in RETRYABLE
     if is_refused_for_good or (last.was_sent and not ledger.repeatable):
-        return Move.GIVE_UP, ledger.verdict(last.fault)
+        return NextAction.GIVE_UP, ledger.verdict(last.fault)
     is_waiting = last.grant is None or not last.was_sent
     is_wait_over = is_waiting and now_ms >= ledger.waitUntilMs
     if now_ms >= ledger.horizonMs or is_wait_over:
-        return Move.GIVE_UP, ledger.verdict(HORIZON_REACHED if ledger.sent() else last.fault)
-    return Move.NOMINATE, None
+        return NextAction.GIVE_UP, ledger.verdict(HORIZON_REACHED if ledger.sent() else last.fault)
+    return NextAction.NOMINATE, None
--- a/tests/bench/test_history.py
+++ b/tests/bench/test_history.py
@@ -4,7 +4,7 @@
 
 from swiftdeck.bench.history import (
     Attempt,
-    Clause,
+    ConsistencyRule,
     History,
     Observation,
     Order,
@@ -81,15 +81,15 @@
         """On different bases, so that the number alone tells."""
         other = Order(4, 5, "x")
         got = broken(sent(FIRST, 1), sent(SECOND, 2), sent(other, 3), final(SECOND))
-        self.assertIn(Clause.SAME_NUMBER, got)
-        self.assertNotIn(Clause.SAME_BASE, got)
+        self.assertIn(ConsistencyRule.SAME_NUMBER, got)
+        self.assertNotIn(ConsistencyRule.SAME_BASE, got)
 
     def test_two_orders_on_one_base(self):
         """With different numbers, so that the base alone tells."""
         other = Order(3, 6, "x")
         got = broken(sent(FIRST, 1), sent(SECOND, 2), sent(other, 2), final(other))
-        self.assertIn(Clause.SAME_BASE, got)
-        self.assertNotIn(Clause.SAME_NUMBER, got)
+        self.assertIn(ConsistencyRule.SAME_BASE, got)
+        self.assertNotIn(ConsistencyRule.SAME_NUMBER, got)
 
     def test_a_taken_order_that_is_refused_when_sent_again(self):
         """After its acknowledgement, and after it was only seen in force."""
@@ -101,32 +101,32 @@
                 sent(SECOND, 4, 412),
                 final(SECOND),
             )
-            self.assertIn(Clause.REFUSED_AFTER_TAKEN, got, first)
+            self.assertIn(ConsistencyRule.REFUSED_AFTER_TAKEN, got, first)
 
     def test_an_old_read_and_an_old_lease(self):
         """Begun after the acknowledgement of a newer one."""
         for source, clause in (
-            (Source.READ, Clause.STALE_READ),
-            (Source.LEASE, Clause.STALE_LEASE),
+            (Source.READ, ConsistencyRule.STALE_READ),
+            (Source.LEASE, ConsistencyRule.STALE_LEASE),
         ):
             got = broken(sent(FIRST, 1), sent(SECOND, 2), seen(FIRST, 3, source), final(SECOND))
-            self.assertEqual(got, {clause, Clause.UNEXPLAINED})
+            self.assertEqual(got, {clause, ConsistencyRule.UNEXPLAINED})
 
     def test_an_acknowledged_order_that_is_gone_at_the_end(self):
         """Older, of another body, or not coming at all."""
         for ends in ([final(FIRST)], [final(RIVAL)], []):
             got = broken(sent(FIRST, 1), sent(SECOND, 2), *ends)
-            self.assertIn(Clause.LOST, got, ends)
+            self.assertIn(ConsistencyRule.LOST, got, ends)
 
     def test_a_read_of_what_nobody_sent(self):
         """Nothing else is wrong with it."""
         got = broken(sent(FIRST, 1), seen(Order(0, 4, "x"), 3), final(FIRST))
-        self.assertEqual(got, {Clause.UNEXPLAINED})
+        self.assertEqual(got, {ConsistencyRule.UNEXPLAINED})
 
     def test_reads_that_go_back_without_any_acknowledgement(self):
         """An unclear order was seen, and then the one before it."""
         events = [sent(FIRST, 1), sent(SECOND, 2, 0), seen(SECOND, 3), seen(FIRST, 4)]
-        self.assertEqual(broken(*events, final(SECOND)), {Clause.UNEXPLAINED})
+        self.assertEqual(broken(*events, final(SECOND)), {ConsistencyRule.UNEXPLAINED})
 
     def test_a_refusal_for_the_sake_of_a_rival_that_is_not_in_force_yet(self):
         """The base is read after the refusal; the rival takes effect later, or never."""
@@ -138,9 +138,9 @@
                 seen(FIRST, 3),
                 final(last),
             )
-            self.assertEqual(got, {Clause.REFUSED_EARLY}, status)
+            self.assertEqual(got, {ConsistencyRule.REFUSED_EARLY}, status)
 
     def test_a_refusal_while_nothing_stood_against_the_order(self):
         """The base was in force all along and no other order was sent."""
         got = broken(sent(FIRST, 1), sent(SECOND, 2, 412), final(FIRST))
-        self.assertEqual(got, {Clause.UNEXPLAINED})
+        self.assertEqual(got, {ConsistencyRule.UNEXPLAINED})
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -50,7 +50,7 @@
         "once-only legs",
         calls.CallsCase,
         "test_a_hanging_worker_is_given_up_at_the_bound_without_a_promise",
-        [("swiftdeck.traffic.call", "next_move", replacements.again)],
+        [("swiftdeck.traffic.call", "next_action", replacements.again)],
     ),
     (
         "promise only when nothing was sent",
@@ -228,7 +228,7 @@
         "given up at once",
         admission.AdmissionCase,
         "test_a_full_line_and_a_long_wait_end_at_once_with_a_time_to_come_back",
-        [("swiftdeck.traffic.call", "next_move", replacements.until_the_deadline)],
+        [("swiftdeck.traffic.call", "next_action", replacements.until_the_deadline)],
     ),
     (
         "a worker's refusal is no run",
--- a/tests/cases/replacements.py
+++ b/tests/cases/replacements.py
@@ -11,7 +11,7 @@
 from swiftdeck.fault import NO_LEASE, QUEUE_TIMEOUT, STALE_VIEW
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.lease import ConfigLease
-from swiftdeck.traffic.ledger import Move, next_move
+from swiftdeck.traffic.ledger import NextAction, next_action
 from swiftdeck.wire.messages import CallRenewalReturn, GrantAsk
 
 
@@ -91,10 +91,10 @@
 
 
 def until_the_deadline(ledger, now_ms):
-    move, fault = next_move(ledger, now_ms)
+    move, fault = next_action(ledger, now_ms)
     return (
-        (Move.NOMINATE, None)
-        if move is Move.GIVE_UP and fault.notRun and now_ms < ledger.horizonMs
+        (NextAction.NOMINATE, None)
+        if move is NextAction.GIVE_UP and fault.notRun and now_ms < ledger.horizonMs
         else (move, fault)
     )
 
@@ -134,10 +134,10 @@
 
 
 def again(ledger, now_ms):
-    move, fault = next_move(ledger, now_ms)
+    move, fault = next_action(ledger, now_ms)
     last = ledger.attempts[-1] if ledger.attempts else None
     return (
-        (Move.NOMINATE, None)
-        if move is Move.GIVE_UP and last and last.was_sent and len(ledger.attempts) < 3
+        (NextAction.NOMINATE, None)
+        if move is NextAction.GIVE_UP and last and last.was_sent and len(ledger.attempts) < 3
         else (move, fault)
     )
--- a/tests/gateway/parts.py
+++ b/tests/gateway/parts.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from swiftdeck.gateway.interfaces import Listed, Part, Request
+from swiftdeck.gateway.interfaces import Part, Request, WorkerListing
 from swiftdeck.gateway.worker_registry import WorkerRegistry
 from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.sim.world import World
@@ -41,7 +41,7 @@
 
 def listed(name, service="s", zone="z1", slots=4, draining=False, weights=None, at=1, **more):
     """A worker of the list."""
-    return Listed(
+    return WorkerListing(
         name,
         f"10.1.0.{at}:8080",
         service,
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -5,7 +5,7 @@
 
 from swiftdeck.fault import PEER_TIMEOUT
 from swiftdeck.gateway.following import OWNED_S, Following
-from swiftdeck.gateway.interfaces import Kept, Part, Reports
+from swiftdeck.gateway.interfaces import CacheReport, Part, Reports
 from swiftdeck.gateway.kept import KeptTable
 from tests.gateway.parts import SimCase, worker_registry
 
@@ -58,7 +58,7 @@
     def told(self, *reports, number=9, epoch=1, lost=False, addr=None):
         """Let a cache answer with reports of (part, tokens, is kept)."""
         self.source.answers.setdefault(addr or self.addr, []).append(
-            Reports(epoch, number, lost, [Kept(1, "1", *report) for report in reports])
+            Reports(epoch, number, lost, [CacheReport(1, "1", *report) for report in reports])
         )
         self.world.run(1.5)
 
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -7,7 +7,7 @@
 
 from swiftdeck.bench.outer.worker import PlatformWorker
 from swiftdeck.fault import WORKER_LOST
-from swiftdeck.gateway.ledger import Move, next_move
+from swiftdeck.gateway.ledger import NextAction, next_action
 from swiftdeck.gateway.places import PlaceTable, Wish
 from swiftdeck.gateway.share import BudgetShare
 from swiftdeck.gateway.worker_registry import WorkerRegistry
@@ -50,7 +50,9 @@
 
 class LedgerTest(SimCase):
     def test_a_break_keeps_its_cause(self):
-        self.assertEqual(next_move(ledger(LOST, has_begun=True), 1.0), (Move.BREAK, WORKER_LOST))
+        self.assertEqual(
+            next_action(ledger(LOST, has_begun=True), 1.0), (NextAction.BREAK, WORKER_LOST)
+        )
 
 
 class WorkerRegistryTest(SimCase):
--- a/tests/gateway/test_swap.py
+++ b/tests/gateway/test_swap.py
@@ -3,7 +3,7 @@
 import unittest
 from types import SimpleNamespace
 
-from swiftdeck.gateway.interfaces import Listed
+from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.gateway.swap import RESTART_S, SLOT_S, Swap, Swaps
 from swiftdeck.gateway.worker_registry import WorkerRegistry
 
@@ -90,7 +90,9 @@
 
     def workers(self, *versions, leaving=()):
         listed = [
-            Listed(f"w{at}", f"10.0.0.{at}:80", "lm", "z", 4, at in leaving, {MODEL: version}, 0)
+            WorkerListing(
+                f"w{at}", f"10.0.0.{at}:80", "lm", "z", 4, at in leaving, {MODEL: version}, 0
+            )
             for at, version in enumerate(versions)
         ]
         self.registry.take(listed)
--- a/tests/platform/test_caches.py
+++ b/tests/platform/test_caches.py
@@ -4,7 +4,7 @@
 import unittest
 
 from swiftdeck.fault import is_fault
-from swiftdeck.gateway.interfaces import Kept, Reports
+from swiftdeck.gateway.interfaces import CacheReport, Reports
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.caches import PlatformCaches
 from swiftdeck.sim.world import World
@@ -50,7 +50,10 @@
                 77120,
                 120,
                 False,
-                [Kept(119, "s1", "5c1e07a2", 800, True), Kept(120, "s1", "91bd3f06", 128, False)],
+                [
+                    CacheReport(119, "s1", "5c1e07a2", 800, True),
+                    CacheReport(120, "s1", "91bd3f06", 128, False),
+                ],
             ),
         )
         self.assertEqual(self.asked, [("GET", b"/swiftdeck/kv-events?since=118", "800")])
--- a/tests/platform/test_lists.py
+++ b/tests/platform/test_lists.py
@@ -4,7 +4,7 @@
 import unittest
 
 from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
-from swiftdeck.gateway.interfaces import Listed
+from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.lists import PlatformList
 from swiftdeck.sim.world import World
@@ -57,7 +57,7 @@
         self.assertEqual(
             self.read([ENTRY]),
             [
-                Listed(
+                WorkerListing(
                     "i-7f3a91c2",
                     "10.128.0.9:8080",
                     "huvo11a",
@@ -82,7 +82,7 @@
     def test_fields_that_are_missing_or_new(self):
         bare = {"id": "i-1", "backend": "b", "address": "10.1.1.1:80"}
         self.assertEqual(
-            self.read([bare]), [Listed("i-1", "10.1.1.1:80", "b", "", 1, False, {}, 0)]
+            self.read([bare]), [WorkerListing("i-1", "10.1.1.1:80", "b", "", 1, False, {}, 0)]
         )
         self.assertEqual(
             self.read(
@@ -97,7 +97,7 @@
                     }
                 ]
             ),
-            [Listed("i-1", "10.1.1.1:80", "b", "", 1, True, {}, 12)],
+            [WorkerListing("i-1", "10.1.1.1:80", "b", "", 1, True, {}, 12)],
         )
         for name in bare:
             self.assert_fault({each: bare[each] for each in bare if each != name})
--- a/tests/sim/model/test_finds.py
+++ b/tests/sim/model/test_finds.py
@@ -3,7 +3,7 @@
 import unittest
 
 from swiftdeck.sim.model.run import play
-from swiftdeck.sim.model.schedule import Schedule, read_strike
+from swiftdeck.sim.model.schedule import Schedule, parse_fault_point
 
 
 class FindsTest(unittest.TestCase):
@@ -11,7 +11,7 @@
 
     def assert_stands(self, *strikes, **more):
         """A schedule, of two rival orders if no others are told, breaks nothing."""
-        found = Schedule(strikes=tuple(read_strike(each) for each in strikes), **more)
+        found = Schedule(strikes=tuple(parse_fault_point(each) for each in strikes), **more)
         self.assertEqual(play(found).told(), [], found.command())
 
     def test_a_refusal_rests_on_an_order_in_force(self):
--- a/tests/sim/model/test_model.py
+++ b/tests/sim/model/test_model.py
@@ -5,7 +5,7 @@
 from swiftdeck.sim.model.draw import search
 from swiftdeck.sim.model.explore import explore
 from swiftdeck.sim.model.run import play
-from swiftdeck.sim.model.schedule import BadStrikeError, Kind, Schedule, read_strike
+from swiftdeck.sim.model.schedule import BadFaultPointError, Kind, Schedule, parse_fault_point
 
 ONE_ORDER = (0.0,)
 
@@ -16,17 +16,17 @@
     def test_a_strike_is_read_as_it_is_written(self):
         """In both directions."""
         for text in ("17:wipe:core2:0.3", "0:cut:core1:2.5"):
-            self.assertEqual(str(read_strike(text)), text)
+            self.assertEqual(str(parse_fault_point(text)), text)
 
     def test_what_is_no_strike_is_refused(self):
         """With what was expected."""
         for text in ("", "x:wipe:core1:1", "1:burn:core1:1", "1:wipe:core1"):
-            with self.assertRaisesRegex(BadStrikeError, "POINT:KIND:CORE:SECONDS"):
-                read_strike(text)
+            with self.assertRaisesRegex(BadFaultPointError, "POINT:KIND:CORE:SECONDS"):
+                parse_fault_point(text)
 
     def test_the_command_names_the_whole_schedule(self):
         """So that one line replays it."""
-        found = Schedule(5, 7, (0.0, 1.5), (read_strike("4:kill:core3:0.3"),), True)
+        found = Schedule(5, 7, (0.0, 1.5), (parse_fault_point("4:kill:core3:0.3"),), True)
         self.assertEqual(
             found.command(),
             "swiftdeck-bench model play --cores 5 --seed 7 --order 0 --order 1.5 --cold"
@@ -39,7 +39,7 @@
 
     def test_the_same_schedule_gives_the_same_run(self):
         """Event for event."""
-        found = Schedule(strikes=(read_strike("12:wipe:core3:0.3"),))
+        found = Schedule(strikes=(parse_fault_point("12:wipe:core3:0.3"),))
         one, two = play(found), play(found)
         self.assertEqual((one.labels, one.states), (two.labels, two.states))
         self.assertEqual(one.told(), [])
@@ -47,12 +47,14 @@
     def test_each_kind_of_fault_strikes(self):
         """None of them is skipped, and the cores come back from each."""
         for kind in Kind:
-            outcome = play(Schedule(strikes=(read_strike(f"10:{kind.value}:core2:0.6"),)))
+            outcome = play(Schedule(strikes=(parse_fault_point(f"10:{kind.value}:core2:0.6"),)))
             self.assertEqual((len(outcome.applied), outcome.told()), (1, []), kind)
 
     def test_two_disks_are_not_lost_at_once(self):
         """The second loss is skipped while the first core may still be copying."""
-        strikes = tuple(read_strike(each) for each in ("5:wipe:core1:0.3", "9:wipe:core2:0.3"))
+        strikes = tuple(
+            parse_fault_point(each) for each in ("5:wipe:core1:0.3", "9:wipe:core2:0.3")
+        )
         outcome = play(Schedule(orders=ONE_ORDER, strikes=strikes))
         self.assertEqual(len(outcome.skipped), 1)
         self.assertEqual(outcome.told(), [])
--- a/tests/sim/model/test_removals.py
+++ b/tests/sim/model/test_removals.py
@@ -5,21 +5,21 @@
 
 import attrs
 
-from swiftdeck.bench.history import Clause, Violation
+from swiftdeck.bench.history import ConsistencyRule, Violation
 from swiftdeck.chain.agreement import Agreement
 from swiftdeck.chain.chain import Chain
 from swiftdeck.chain.state_transfer import StateTransfer
 from swiftdeck.chain.view_manager import ViewManager
 from swiftdeck.sim.model.invariants import Invariant
 from swiftdeck.sim.model.run import play
-from swiftdeck.sim.model.schedule import Schedule, read_strike
+from swiftdeck.sim.model.schedule import Schedule, parse_fault_point
 
 ONE_ORDER = (0.0,)
 
 
 def schedule(*strikes, orders=ONE_ORDER, seed=1, cores=3):
     """A schedule, for three cores if no other count is told."""
-    return Schedule(cores, seed, orders, tuple(read_strike(each) for each in strikes))
+    return Schedule(cores, seed, orders, tuple(parse_fault_point(each) for each in strikes))
 
 
 def broken(found):
@@ -64,7 +64,7 @@
             self.assertEqual(broken(each), set(), each.command())
         with mock.patch.object(Chain, "_sync", unsynced):
             caught = set().union(*map(broken, found))
-        self.assertIn(Clause.LOST, caught)
+        self.assertIn(ConsistencyRule.LOST, caught)
 
     def test_an_acknowledgement_before_the_tails_own_sync(self):
         """With two members left and no router, whose confirmation would come after the sync."""
@@ -102,7 +102,9 @@
         for cores, strike in ((3, "5:split:core3:8"), (5, "5:split:core3:8")):
             found = schedule(strike, orders=(0.0, 2.5), cores=cores)
             self.assert_caught(removal, found, Invariant.ONE_SERVES)
-            self.assert_caught(removal, found, Clause.STALE_READ, Clause.STALE_LEASE)
+            self.assert_caught(
+                removal, found, ConsistencyRule.STALE_READ, ConsistencyRule.STALE_LEASE
+            )
 
     def test_a_new_view_that_does_not_wait_out_the_old_lease(self):
         """The tail's disk hangs, so that it hears of the next view late."""
@@ -116,7 +118,7 @@
         """A view of one member is formed while the others are silent; it loses its disk."""
         strikes = ("24:kill:core1:1.6", "64:kill:core2:1.6", "99:wipe:core3:0.05")
         found = Schedule(
-            strikes=tuple(read_strike(each) for each in strikes),
+            strikes=tuple(parse_fault_point(each) for each in strikes),
             orders=ONE_ORDER,
             is_cold=True,
             has_router=False,
@@ -136,7 +138,7 @@
             mock.patch.object(StateTransfer, "_install", uninstalled),
             schedule("5:wipe:core1:0.3"),
             Invariant.COPIES,
-            Clause.LOST,
+            ConsistencyRule.LOST,
         )
 
     def test_proposing_without_a_majority(self):
