--- a/swiftdeck/bench/measures/faults.py
+++ b/swiftdeck/bench/measures/faults.py
@@ -98,7 +98,7 @@
     async def take_away():
         leave(worker)
 
-    cluster.world.do("platform", take_away)
+    cluster.world.run_task("platform", take_away)
 
 
 def outage(seed):
--- a/swiftdeck/bench/outer/listing.py
+++ b/swiftdeck/bench/outer/listing.py
@@ -51,12 +51,12 @@
             return NOT_FOUND
         if len(self.calls) >= self.rate_per_s:
             self.over += 1
-            return await exchange.give(429, {})
+            return await exchange.send_json(429, {})
         self.calls.append(now_s)
         at = int(exchange.query.get("page-token", "p-0").removeprefix("p-"))
         entries = list(self.shown.values())
         after = at + self.page
-        return await exchange.give(
+        return await exchange.send_json(
             200,
             {
                 "app-servers": entries[at:after],
--- a/swiftdeck/bench/outer/store.py
+++ b/swiftdeck/bench/outer/store.py
@@ -17,14 +17,14 @@
         got = await cache.reports(
             int(exchange.query.get("since", "0")), int(exchange.headers.get("wait-ms", "0"))
         )
-        await exchange.give(200, got)
+        await exchange.send_json(200, got)
     elif exchange.path == "/swiftdeck/kv-list":
-        await exchange.give(200, cache.listed())
+        await exchange.send_json(200, cache.listed())
     elif exchange.path == PARTS and exchange.method == "POST":
         asked = exchange.json()
         found = cache.first(asked["salt"], asked["model"], asked["names"])
         await asyncio.sleep(0.001 + 1e-6 * sum(each.tokens for each in found[asked["above"] :]))
-        await exchange.give(
+        await exchange.send_json(
             200, [[each.tokens, each.model, each.tenant, each.version] for each in found]
         )
     else:
@@ -54,4 +54,4 @@
         sent = msgspec.json.decode(exchange.body)
         for name, kept in sent["parts"]:
             self.cache.keep(sent["salt"], name, KeptPart(*kept))
-        return await exchange.give(200, {})
+        return await exchange.send_json(200, {})
--- a/swiftdeck/bench/outer/worker.py
+++ b/swiftdeck/bench/outer/worker.py
@@ -88,7 +88,7 @@
         if await give_reports(self.cache, exchange):
             return None
         if exchange.path == "/swiftdeck/report":
-            return await exchange.give(
+            return await exchange.send_json(
                 200,
                 {
                     "phase": "both",
@@ -105,7 +105,7 @@
         if exchange.path == "/swiftdeck/order":
             return await self._order(exchange)
         if exchange.path == "/health":
-            return await exchange.whole(
+            return await exchange.send_response(
                 503 if self.is_leaving else 200, [("Swiftdeck-Worker-Id", self.name)], b""
             )
         return await self._request(exchange)
@@ -116,7 +116,7 @@
             exchange.watch_client(exchange.abort)
             asyncio.get_running_loop().call_later(delay_s, self._take_order, exchange, delay_s)
             return await asyncio.Event().wait()
-        return await exchange.give(self._take_order(exchange), {})
+        return await exchange.send_json(self._take_order(exchange), {})
 
     def _take_order(self, exchange, held_s=0.0):
         """The status of an order that was held up so long on its way; it is begun where that is 202."""
@@ -181,7 +181,7 @@
             refusal = await self._wait(exchange, head, model)
         if refusal is not None:
             self.record("refused", worker=self.name, id=name, status=refusal)
-            return await exchange.whole(
+            return await exchange.send_response(
                 refusal, [("Swiftdeck-Request-Id", name), ("Swiftdeck-Not-Run", "1")], b""
             )
         run = f"{self.name}#{next(self.runs)}"
@@ -383,13 +383,13 @@
             )
             return False
         exchange.begin(status, self._head(status, name, seal, version, length, quirk))
-        await exchange.piece(body[:40])
+        await exchange.send_chunk(body[:40])
         if quirk == "stall":
             await asyncio.sleep(max(0, end_s - asyncio.get_running_loop().time()) + 1)
         if quirk == "cut":
             exchange.abort()
             return False
-        await exchange.piece(body[40:])
+        await exchange.send_chunk(body[40:])
         exchange.finish()
         return True
 
@@ -425,10 +425,10 @@
                 exchange.conversation.transport.write(b"zz\r\nmore\r\n0\r\n\r\n")
                 return False
             if quirk in ("cut", "back") and number > (after + count) // 2:
-                await exchange.piece(f"id: {number}\nda".encode())
+                await exchange.send_chunk(f"id: {number}\nda".encode())
                 exchange.abort()
                 return False
-            await exchange.piece(f"id: {number}\ndata: {name} {number} {run}\n\n".encode())
+            await exchange.send_chunk(f"id: {number}\ndata: {name} {number} {run}\n\n".encode())
         exchange.finish()
         return True
 
--- a/swiftdeck/bench/platform.py
+++ b/swiftdeck/bench/platform.py
@@ -45,7 +45,7 @@
         """One exchange of the platform's protocol, and of the bench with it."""
         if exchange.path == "/v1/workers" and exchange.method == "GET":
             self._show()
-            return await exchange.give(200, {"workers": list(self.workers.values())})
+            return await exchange.send_json(200, {"workers": list(self.workers.values())})
         body = exchange.json()
         if is_fault(body) or not isinstance(body, dict):
             return BAD_REQUEST
@@ -57,4 +57,4 @@
             self.add(body)
         else:
             return NOT_FOUND
-        return await exchange.give(200, {})
+        return await exchange.send_json(200, {})
--- a/swiftdeck/bench/store.py
+++ b/swiftdeck/bench/store.py
@@ -31,7 +31,7 @@
             }
             while len(self.entries) > self.most:
                 del self.entries[next(iter(self.entries))]
-            return await exchange.give(200, {})
+            return await exchange.send_json(200, {})
         if exchange.path == "/v1/lookup":
             chain = body["chain"]
             depth = next(
@@ -39,5 +39,5 @@
             )
             entries = [self.entries[link] for link in chain[:depth]]
             await asyncio.sleep(self.link_s + sum(each[0] for each in entries) * 4e-6)
-            return await exchange.give(200, {"entries": entries})
+            return await exchange.send_json(200, {"entries": entries})
         return NOT_FOUND
--- a/swiftdeck/bench/worker.py
+++ b/swiftdeck/bench/worker.py
@@ -62,7 +62,7 @@
         """One exchange of the workers' protocol."""
         path = exchange.path
         if path == "/v1/kept":
-            return await exchange.give(
+            return await exchange.send_json(
                 200,
                 {
                     "n": self.number,
@@ -86,7 +86,7 @@
         if path == "/v1/quirk":
             self.quirk, self.link_s = body.get("quirk", ""), body.get("link_s", 0.0)
             self.record("quirk", quirk=self.quirk)
-            return await exchange.give(200, {})
+            return await exchange.send_json(200, {})
         return NOT_FOUND
 
     async def _events(self, exchange, at):
@@ -101,7 +101,7 @@
                 if self.quirk == "lose reports" and self.random.random() < 0.3:
                     continue
                 for _ in range(2 if self.quirk == "double reports" else 1):
-                    await exchange.piece(json.dumps(item).encode() + b"\n")
+                    await exchange.send_chunk(json.dumps(item).encode() + b"\n")
             at = items[-1]["n"] if items else at
             done = asyncio.get_running_loop().create_future()
             self.watching.append(done)
@@ -109,7 +109,7 @@
             if self.quirk == "late reports":
                 await asyncio.sleep(2.0)
             if not done.done():
-                await exchange.piece(json.dumps({"n": at, "kind": "beat"}).encode() + b"\n")
+                await exchange.send_chunk(json.dumps({"n": at, "kind": "beat"}).encode() + b"\n")
 
     async def _load(self, exchange, weights):
         if weights != self.weights:
@@ -118,7 +118,7 @@
             self.cache.clear()
             self._report("weights", weights=weights)
             self.record("weights", weights=weights)
-        await exchange.give(200, {"weights": self.weights})
+        await exchange.send_json(200, {"weights": self.weights})
 
     async def _fetch(self, exchange, body):
         chain = [bytes.fromhex(link) for link in body["chain"]]
@@ -137,7 +137,7 @@
         if entries and body["weights"] == self.weights:
             self.cache.keep(chain[: len(entries)], entries)
         self.record("fetch", call=body.get("call", ""), source=body["from"], parts=len(entries))
-        await exchange.give(200, {"parts": len(entries)})
+        await exchange.send_json(200, {"parts": len(entries)})
 
     async def _lookup(self, exchange, body):
         chain = [bytes.fromhex(link) for link in body["chain"]]
@@ -145,7 +145,7 @@
         entries = [self.cache.entries[link] for link in chain[:depth]]
         tokens = sum(entry.tokens for entry in entries[body.get("above", 0) :])
         await asyncio.sleep(self.link_s + tokens * 2e-6 * self.speed)
-        await exchange.give(
+        await exchange.send_json(
             200, {"entries": [[each.tokens, each.tenant, each.weights] for each in entries]}
         )
 
@@ -208,10 +208,10 @@
                 exchange.conversation.abort()
                 return False
             if quirk == "malformed":
-                await exchange.piece(b"data: {nonsense\n\n")
+                await exchange.send_chunk(b"data: {nonsense\n\n")
             if quirk == "endless line":
                 for _ in range(40):
-                    await exchange.piece(b"data: " + b"x" * 20000)
+                    await exchange.send_chunk(b"data: " + b"x" * 20000)
             named = "foreign-1" if quirk == "foreign" else run
             piece = {"run": named, "seq": seq, "text": f"[[{marker}]]{seq} "}
             for _ in range(2 if quirk == "repeat" else 1):
@@ -222,7 +222,7 @@
 
     @staticmethod
     async def _send_event(exchange, value):
-        await exchange.piece(b"data: " + json.dumps(value).encode() + b"\n\n")
+        await exchange.send_chunk(b"data: " + json.dumps(value).encode() + b"\n\n")
 
     async def _save(self, chain, tokens, body):
         await fetch_json(
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -26,9 +26,9 @@
         if path.startswith("/v1/changes/") and method == "GET":
             return await self._outcome(exchange, path.rsplit("/", 1)[1])
         if path == "/v1/status" and method == "GET":
-            return await exchange.give(200, self.core.status())
+            return await exchange.send_json(200, self.core.status())
         if path == "/v1/counters" and method == "GET":
-            return await exchange.give(200, self.core.counters())
+            return await exchange.send_json(200, self.core.counters())
         if path.startswith("/v1/history") and method == "GET":
             return await self._history(exchange, path.removeprefix("/v1/history").strip("/"))
         if path == "/v1/seeds" and method == "PUT":
@@ -44,7 +44,7 @@
             got = await self.core.change_writer.read_tail(ConfigAsk())
             if is_fault(got):
                 return got
-            return await exchange.give(
+            return await exchange.send_json(
                 200, {"version": got.version, "document": msgspec.Raw(got.document or b"{}")}
             )
         if method not in ("PUT", "PATCH"):
@@ -60,7 +60,7 @@
             "document": body,
         }
         status, told, headers = await self.change(change)
-        return await exchange.give(status, told, headers)
+        return await exchange.send_json(status, told, headers)
 
     def _new_id(self):
         return f"{self.core.random.getrandbits(80):020x}"
@@ -119,14 +119,16 @@
                     )
                 except (msgspec.DecodeError, RecursionError) as error:
                     told = BAD_REQUEST.with_reason(f"line is not JSON: {error}").as_body()
-                await exchange.piece(msgspec.json.encode(told) + b"\n")
+                await exchange.send_chunk(msgspec.json.encode(told) + b"\n")
         exchange.finish()
 
     async def _outcome(self, exchange, change_id):
         got = await self.core.change_writer.outcome(change_id, 1500)
         if is_fault(got):
             return got
-        return await exchange.give(200, {"code": 0, "changeId": change_id, "version": got.version})
+        return await exchange.send_json(
+            200, {"code": 0, "changeId": change_id, "version": got.version}
+        )
 
     async def _history(self, exchange, version):
         archive = self.core.archive
@@ -137,7 +139,7 @@
         )
         if got is None or is_fault(got):
             return NOT_FOUND.with_reason("the archive of this core does not have it")
-        return await exchange.give(
+        return await exchange.send_json(
             200, {"version": int(version), "text": got} if version else {"versions": got}
         )
 
@@ -150,4 +152,4 @@
         ):
             return BAD_REQUEST.with_reason("seeds are a list of IP:PORT")
         self.core.membership.set_seeds(body)
-        return await exchange.give(200, {"seeds": body})
+        return await exchange.send_json(200, {"seeds": body})
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -360,13 +360,13 @@
         told = {"/v1/status": self.status, "/v1/counters": self.counters}.get(
             exchange.path.rstrip("/")
         )
-        return NOT_FOUND if told is None else await exchange.give(200, told())
+        return NOT_FOUND if told is None else await exchange.send_json(200, told())
 
     async def refuse(self, exchange, fault, request):
         """The final answer of a request that is given up."""
         self.telemetry.count[f"refused.{fault.code}"] += 1
         status, headers, body = self.client_codec.refusal(fault, request)
-        await exchange.whole(status, headers, body)
+        await exchange.send_response(status, headers, body)
 
     def counters(self):
         """All counters of the process by name."""
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -509,7 +509,7 @@
 
     async def _give(self, data):
         self.is_passing_on = True
-        await self.exchange.piece(data)
+        await self.exchange.send_chunk(data)
         self.is_passing_on = False
 
     def _give_back(self):
--- a/swiftdeck/http/server.py
+++ b/swiftdeck/http/server.py
@@ -114,7 +114,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             return BAD_REQUEST.with_reason(f"body is not JSON: {error}")
 
-    async def give(self, status, body, headers=()):
+    async def send_json(self, status, body, headers=()):
         """A whole return with a JSON body."""
         if self.begun:
             return
@@ -124,15 +124,15 @@
             [("content-type", "application/json"), ("content-length", str(len(data))), *headers],
         )
         if self.method != HEAD:
-            await self.piece(data)
+            await self.send_chunk(data)
         self.finish()
 
-    async def whole(self, status, headers, body: bytes):
+    async def send_response(self, status, headers, body: bytes):
         """A whole return of bytes."""
         if not self.begun:
             self.begin(status, [*headers, ("content-length", str(len(body)))])
             if body and status != 204 and self.method != HEAD:
-                await self.piece(body)
+                await self.send_chunk(body)
             self.finish()
 
     def abort(self, reason=CutReason.HANDLER_FAILED):
@@ -141,7 +141,7 @@
 
     async def give_fault(self, fault: Fault, headers=(), **more):
         """A fault as the return, with Retry-After where it says when to come back."""
-        await self.give(fault.status, fault.as_body() | more, [*retry_after(fault), *headers])
+        await self.send_json(fault.status, fault.as_body() | more, [*retry_after(fault), *headers])
 
     def begin(self, status, headers):
         """Start a return; its pieces follow."""
@@ -149,7 +149,7 @@
         close = [("Connection", "close")] if self.conversation.closes_after_this() else []
         self.conversation.send(h11.Response(status_code=status, headers=[*headers, *close]))
 
-    async def piece(self, data: bytes):
+    async def send_chunk(self, data: bytes):
         """One piece of the body; waits while the other side is slow."""
         self.conversation.send(h11.Data(data=data))
         await self.conversation.writable()
--- a/swiftdeck/platform/nodes.py
+++ b/swiftdeck/platform/nodes.py
@@ -20,7 +20,7 @@
     async def handle(exchange):
         if exchange.path != READY:
             return await node.operate(exchange)
-        return await exchange.whole(200 if node.is_ready() else 503, [], b"")
+        return await exchange.send_response(200 if node.is_ready() else 503, [], b"")
 
     return handle
 
--- a/swiftdeck/platform/operator_api.py
+++ b/swiftdeck/platform/operator_api.py
@@ -52,7 +52,7 @@
         if is_fault(got):
             return await self._refuse(exchange, got)
         self.core.telemetry.count["changesTaken"] += 1
-        return await exchange.give(200, {"code": 0, "changeId": asked[0]})
+        return await exchange.send_json(200, {"code": 0, "changeId": asked[0]})
 
     def _asked(self, exchange):
         base = exchange.headers.get(BASE_HEADER, "").strip().strip('"')
@@ -87,11 +87,13 @@
             got = PEER_TIMEOUT
         if is_fault(got):
             return await self._refuse(exchange, got)
-        return await exchange.give(200, configs.shown(msgspec.json.decode(got.document or b"{}")))
+        return await exchange.send_json(
+            200, configs.shown(msgspec.json.decode(got.document or b"{}"))
+        )
 
     async def _refuse(self, exchange, fault):
         self.core.telemetry.count[f"faults.{fault.code}"] += 1
         status = STATUSES.get(fault.code, NO_VIEW.status)
-        await exchange.give(
+        await exchange.send_json(
             status, fault.as_body(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)]
         )
--- a/swiftdeck/sim/faults/disks.py
+++ b/swiftdeck/sim/faults/disks.py
@@ -80,7 +80,7 @@
                 self.injector.kill(name, least_s=0.3, most_s=3.0)
 
         self.operator.patch(
-            self.operator.line_change(), lambda: self.cluster.world.at(0.0, lose_power)
+            self.operator.line_change(), lambda: self.cluster.world.call_after(0.0, lose_power)
         )
 
     def power_before_sync(self):
--- a/swiftdeck/sim/faults/injector.py
+++ b/swiftdeck/sim/faults/injector.py
@@ -39,7 +39,7 @@
 
     def later(self, action, least_s=1.0, most_s=12.0):
         """Run an action after a random time between two bounds."""
-        self.cluster.world.at(self.random.uniform(least_s, most_s), action)
+        self.cluster.world.call_after(self.random.uniform(least_s, most_s), action)
 
     def pick(self, names):
         """One of some names at random; None when there are none."""
--- a/swiftdeck/sim/faults/processes.py
+++ b/swiftdeck/sim/faults/processes.py
@@ -68,7 +68,7 @@
                 if name != self.cluster.coordinator() and self._holds_unused_grant(name):
                     return self.injector.freeze(name, least_s=LONGER_THAN_A_GRANT_S)
             if world.now < end_s:
-                world.at(0.001, look)
+                world.call_after(0.001, look)
 
         look()
 
--- a/swiftdeck/sim/late.py
+++ b/swiftdeck/sim/late.py
@@ -49,7 +49,7 @@
             if not self._is_late(frame):
                 return take(frame, link)
             late_s = self.chance.uniform(LEAST_S, MOST_S)
-            self.world.at(late_s, lambda: self._deliver(name, mesh, frame, link))
+            self.world.call_after(late_s, lambda: self._deliver(name, mesh, frame, link))
             return take(frame, link) if self.chance.random() < self.again_share else True
 
         mesh.receive = taken
--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -177,7 +177,7 @@
             detail = f"no service at {now_s:.1f}, all well since {self.last_change_s:.1f}"
             self.invariants.broke(Invariant.RECOVERS, detail)
             return
-        self.world.at(LOOK_S, self.watch_service)
+        self.world.call_after(LOOK_S, self.watch_service)
 
     def step(self):
         """After each event: strike where that is due, and look at the invariants."""
@@ -239,7 +239,7 @@
             self.last_change_s = self.world.now
             work()
 
-        self.world.at(delay_s, act)
+        self.world.call_after(delay_s, act)
 
     def _lose(self, name, is_power, is_wiped):
         self.world.kill(name, silent=is_power)
@@ -266,7 +266,9 @@
 
         async def stop():
             await core.stop()
-            self.world.at(0, lambda: self.world.loops.get(name) is loop and self.world.kill(name))
+            self.world.call_after(
+                0, lambda: self.world.loops.get(name) is loop and self.world.kill(name)
+            )
             self._later(action.for_s, lambda: self.start(name))
 
         self.world._within(loop, lambda: setattr(loop, "leaving", loop.create_task(stop())))
--- a/swiftdeck/sim/model/run.py
+++ b/swiftdeck/sim/model/run.py
@@ -74,7 +74,7 @@
     def _restart_router(self, after_s):
         """The router loses power with what it held."""
         self.cluster.world.kill("router", silent=True)
-        self.cluster.world.at(after_s, self._start_router)
+        self.cluster.world.call_after(after_s, self._start_router)
 
     async def _order(self, order):
         return await self.clients.insist(order, ORDER_S)
--- a/swiftdeck/sim/net.py
+++ b/swiftdeck/sim/net.py
@@ -128,7 +128,7 @@
         """
         wanted = Connecting(loop, factory, host, port, loop.create_future())
         if not self.is_cut(loop.ip, host):
-            self.world.at(self.delay_s(loop.ip, host), lambda: self._reach(wanted))
+            self.world.call_after(self.delay_s(loop.ip, host), lambda: self._reach(wanted))
         return await wanted.done
 
     def _reach(self, wanted: Connecting):
@@ -145,7 +145,7 @@
             return
         near, far = self._new_stream(wanted, listener)
         listener.loop.call_soon(lambda: far.begin(listener.factory()))
-        self.world.at(
+        self.world.call_after(
             self.delay_s(wanted.host, loop.ip),
             lambda: None if loop.dead else loop.call_soon(self._connected, wanted, near),
         )
@@ -190,7 +190,7 @@
             return
         arrives_s = max(transport.ready_at, self.world.now + self.delay_s(a, b)) + sending_s
         transport.ready_at = arrives_s
-        self.world.at(arrives_s - self.world.now, lambda: self._land(transport, item))
+        self.world.call_after(arrives_s - self.world.now, lambda: self._land(transport, item))
 
     def _land(self, transport: SimTransport, item: StreamItem):
         """Let an item arrive at the other end; an end that is gone resets the stream."""
@@ -201,7 +201,7 @@
             other.loop.call_soon(self._arrive, other, item)
         elif isinstance(item, bytes) and not transport.gone and not transport.loop.dead:
             delay_s = self.delay_s(transport.remote[0], transport.local[0])
-            self.world.at(delay_s, lambda: self._reset(transport))
+            self.world.call_after(delay_s, lambda: self._reset(transport))
 
     def _reset(self, transport: SimTransport):
         if not transport.loop.dead:
@@ -230,7 +230,7 @@
                 receive = endpoint.protocol.datagram_received
                 endpoint.loop.call_soon(receive, data, transport.local)
 
-        self.world.at(self.delay_s(a, b), land)
+        self.world.call_after(self.delay_s(a, b), land)
 
     def drop(self, loop, silent):
         """Take all ends of a dead process away.
--- a/swiftdeck/sim/sim_cluster.py
+++ b/swiftdeck/sim/sim_cluster.py
@@ -225,7 +225,7 @@
     def ask(self, method, path, body=None, name=None, headers=(), timeout_ms=15000):
         """An operator's exchange with a process."""
         name = name or self.core_names()[0]
-        return self.world.do(
+        return self.world.run_task(
             "operator",
             lambda: fetch_json(
                 self.addresses[name]["http"], method, path, body, headers, timeout_ms
@@ -254,7 +254,7 @@
 
     def call(self, tenant, route, parts, **more):
         """One call, to its return."""
-        return self.world.do(
+        return self.world.run_task(
             "callers", lambda: self.caller.call(tenant, route, parts, **more), limit_s=200
         )
 
--- a/swiftdeck/sim/storm.py
+++ b/swiftdeck/sim/storm.py
@@ -147,7 +147,7 @@
         cluster = self.cluster
         for at in range(seconds):
             for route in sorted(cluster.caller.book):
-                cluster.world.at(at, lambda route=route: self._ask(route))
+                cluster.world.call_after(at, lambda route=route: self._ask(route))
 
     def _ask(self, route):
         caller, tenant = self.cluster.caller, self.injector.pick(self.cluster.site.keys)
--- a/swiftdeck/sim/world.py
+++ b/swiftdeck/sim/world.py
@@ -137,7 +137,7 @@
         for handle in held:
             self.push(self.now, loop, handle)
 
-    def at(self, delay_s, action):
+    def call_after(self, delay_s, action):
         """Run a plain function later, outside any process."""
         self.push(self.now + delay_s, None, action)
 
@@ -162,7 +162,7 @@
         self.now = max(self.now, end)
         return until is None
 
-    def do(self, name, make, limit_s=60.0):
+    def run_task(self, name, make, limit_s=60.0):
         """Run a coroutine inside a process until it is done and give its result."""
         loop, box = self.loops[name], []
         self._within(loop, lambda: box.append(loop.create_task(make())))
--- a/swiftdeck/soak/stand_ins.py
+++ b/swiftdeck/soak/stand_ins.py
@@ -25,11 +25,11 @@
     async def _order(self, exchange):
         if self.random.random() >= self.lost_answers_share:
             return await super()._order(exchange)
-        give, exchange.give = exchange.give, self._give_nothing
+        give, exchange.send_json = exchange.send_json, self._give_nothing
         try:
             await super()._order(exchange)
         finally:
-            exchange.give = give
+            exchange.send_json = give
         exchange.abort()
 
     @staticmethod
--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -423,7 +423,7 @@
 
     async def _event(self, body, name=""):
         lead = f"event: {name}\n".encode() if name else b""
-        await self.exchange.piece(lead + b"data: " + msgspec.json.encode(body) + b"\n\n")
+        await self.exchange.send_chunk(lead + b"data: " + msgspec.json.encode(body) + b"\n\n")
 
     async def _promised(self, fault):
         """A call that comes back with its key must find it free, or no promise is given; at once, either way."""
@@ -457,7 +457,7 @@
             }
             if not self.body.stream:
                 text = {"text": "".join(self.pieces)}
-                return await self.exchange.give(200, body | text, [("call-id", self.name)])
+                return await self.exchange.send_json(200, body | text, [("call-id", self.name)])
             self._begin()
             await self._event(body)
             return self.exchange.finish()
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -380,13 +380,13 @@
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
             return BAD_OPERATOR_KEY
         if path == "/v1/status":
-            return await exchange.give(200, self.status())
+            return await exchange.send_json(200, self.status())
         if path == "/v1/counters":
-            return await exchange.give(200, self.counters())
+            return await exchange.send_json(200, self.counters())
         if path == "/v1/decisions":
             return await self._decisions(exchange)
         if path.startswith("/v1/explain/"):
-            return await exchange.give(
+            return await exchange.send_json(
                 200, {"decisions": self.decisions.about(path.rsplit("/", 1)[1])}
             )
         return NOT_FOUND
@@ -469,7 +469,7 @@
         exchange.begin(
             200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")]
         )
-        await exchange.piece(
+        await exchange.send_chunk(
             msgspec.json.encode({"kind": "process", "process": process, "name": self.me.name})
             + b"\n"
         )
@@ -477,13 +477,13 @@
             lost, items = self.decisions.since(at)
             lead = [{"kind": "dropped", "count": lost}] if lost else []
             for item in [*lead, *items]:
-                await exchange.piece(msgspec.json.encode(item) + b"\n")
+                await exchange.send_chunk(msgspec.json.encode(item) + b"\n")
             at = items[-1]["n"] if items else at
             if exchange.query.get("follow", "1") == "0":
                 break
             await self.decisions.more(5.0)
             if not self.decisions.since(at)[1]:
-                await exchange.piece(b"\n")
+                await exchange.send_chunk(b"\n")
         exchange.finish()
 
     def status(self):
--- a/tests/bench/outer/test_listing.py
+++ b/tests/bench/outer/test_listing.py
@@ -32,7 +32,7 @@
         self.world._within(self.world.loops["list"], lambda: self.list.show(entries))
 
     def read(self):
-        return self.world.do("here", PlatformList("10.0.0.9:80").read)
+        return self.world.run_task("here", PlatformList("10.0.0.9:80").read)
 
     def names(self):
         return [each.name for each in self.read()]
--- a/tests/bench/outer/test_parts.py
+++ b/tests/bench/outer/test_parts.py
@@ -18,7 +18,7 @@
             self.cache.keep(salt, name, KeptPart(tokens, "m", "t", 1))
 
     def reports(self, since, wait_ms=0):
-        return self.world.do("here", lambda: self.cache.reports(since, wait_ms))
+        return self.world.run_task("here", lambda: self.cache.reports(since, wait_ms))
 
     def first(self, *names, salt="s", model="m"):
         return len(self.cache.first(salt, model, names))
@@ -52,7 +52,7 @@
         self.assertEqual((self.reports(2)["events"], self.cache.listed()["held"]), ([], []))
 
     def test_a_call_is_held_until_there_is_something(self):
-        self.world.at(
+        self.world.call_after(
             0.3, lambda: self.world._within(self.world.loops["here"], lambda: self.keep("a"))
         )
         self.assertEqual(len(self.reports(0, 800)["events"]), 1)
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -134,7 +134,7 @@
         async def leave():
             cluster.up["platform"].remove(place[0])
 
-        cluster.world.do("platform", leave)
+        cluster.world.run_task("platform", leave)
         cluster.world.run(0.7)
         cluster.world.net.heal()
         for talk in talks:
@@ -166,7 +166,7 @@
         async def drain():
             cluster.up["platform"].drain(leaving)
 
-        cluster.world.do("platform", drain)
+        cluster.world.run_task("platform", drain)
         cluster.world.run(4)
         again = [
             cluster.call("saga", "check", [*talk["parts"], "said", "more"]) for talk in talks[1:]
@@ -193,7 +193,7 @@
         async def drain():
             cluster.up["platform"].drain(first["worker"])
 
-        cluster.world.do("platform", drain)
+        cluster.world.run_task("platform", drain)
         cluster.world.run(2)
         moved = cluster.call("saga", "check", [*first["parts"], "said", "x"])
         self.assertEqual((moved["usage"]["hitParts"], moved["whole"]), (2, True))
@@ -207,7 +207,7 @@
             cluster.up["platform"].drain(first["worker"], False)
             cluster.up["platform"].drain(moved["worker"])
 
-        cluster.world.do("platform", swap)
+        cluster.world.run_task("platform", swap)
         cluster.world.run(2)
         cluster.up[moved["worker"]].link_s = 30.0
         at_s = cluster.world.now
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -150,14 +150,14 @@
             transport.write_eof()
             await asyncio.sleep(5)
 
-        cluster.world.do(
+        cluster.world.run_task(
             "callers", lambda: talk(b'{"model": "check", "parts": ["book", "x"], "stream": false}')
         )
         self.assertIn(b'"end":true', got)
         self.assertTrue(got.endswith(b"<end>"))
         self.assertTrue(all(not cluster.up[name].http.open for name in cluster.router_names()))
         got.clear()
-        cluster.world.do("callers", lambda: talk(b'{"model": '))
+        cluster.world.run_task("callers", lambda: talk(b'{"model": '))
         self.assertIn(b'"code":100', got)
         self.sound(cluster)
 
@@ -232,7 +232,7 @@
             link.transport.close()
 
         open_before = sum(cluster.up[name].open for name in cluster.router_names())
-        cluster.world.do("callers", leave)
+        cluster.world.run_task("callers", leave)
         cluster.world.run(0.5)
         self.assertEqual(sum(cluster.up[name].open for name in cluster.router_names()), open_before)
         self.assertFalse(busy)
@@ -256,7 +256,7 @@
             getattr(link.transport, way)()
             work.cancel()
 
-        cluster.world.do("callers", leave)
+        cluster.world.run_task("callers", leave)
         cluster.world.run(2)
         self.assertEqual(sum(len(book.open) for book in cluster.slot_table().values()), 0)
         ended = [item for item in cluster.records if item["kind"] == "ran"]
@@ -287,7 +287,7 @@
             await asyncio.sleep(0.01)
             link.transport.pause_reading()
 
-        cluster.world.do("callers", slow)
+        cluster.world.run_task("callers", slow)
         for _ in range(60):
             held[0][0].transport.pause_reading()
             cluster.world.run(1)
@@ -316,7 +316,7 @@
             (b'{"model":"tag","parts":[' + b",".join([b'"a"'] * 11) + b"]}", 103),
             (b"\xff\xfe", 100),
         ]:
-            status, answer = cluster.world.do("callers", functools.partial(send, body))
+            status, answer = cluster.world.run_task("callers", functools.partial(send, body))
             self.assertIn(b'"code":%d' % code, answer)
             self.assertGreaterEqual(status, 400)
         got = cluster.call("saga", "tag", ["a", "b"], key="wrong")
--- a/tests/cases/config.py
+++ b/tests/cases/config.py
@@ -51,7 +51,7 @@
             got = await link.exchange("POST", "/v1/changes", body=body)
             return [msgspec.json.decode(line)["code"] async for line in got.lines()]
 
-        self.assertEqual(cluster.world.do("operator", send), [0, 100, 200, 100])
+        self.assertEqual(cluster.world.run_task("operator", send), [0, 100, 200, 100])
 
     def test_changes_go_in_and_answers_come_out_of_one_open_stream(self):
         cluster, got = self.cluster(), bytearray()
@@ -79,7 +79,7 @@
             transport.write(b"0\r\n\r\nGET /v1/counters HTTP/1.1\r\nHost: x\r\n\r\n")
             await asyncio.sleep(1)
 
-        cluster.world.do("operator", talk, limit_s=30)
+        cluster.world.run_task("operator", talk, limit_s=30)
         self.assertEqual((got.count(b'"code":0'), got.count(b"HTTP/1.1 200")), (3, 2))
         self.assertEqual(cluster.ask("GET", "/v1/config")[1]["version"], 4)
 
--- a/tests/cases/cores.py
+++ b/tests/cases/cores.py
@@ -431,7 +431,7 @@
             )
             near = next(other for other in cluster.core_names() if other != name)
             cluster.world.freeze(name)
-            cluster.world.at(3.0, functools.partial(cluster.world.thaw, name))
+            cluster.world.call_after(3.0, functools.partial(cluster.world.thaw, name))
             self.assertLess(self.insist(cluster, 5, near), 6.5 if place == 2 else 2.5)
             self.settle(cluster)
             self.assertEqual(check(cluster.records), {})
--- a/tests/cases/doctor.py
+++ b/tests/cases/doctor.py
@@ -18,7 +18,7 @@
         client = OperatorClient(cluster.addresses[core]["http"])
         return {
             each["code"]
-            for each in cluster.world.do(
+            for each in cluster.world.run_task(
                 "operator", lambda: examine(client, seeds, folder), limit_s=60
             )
         }
@@ -105,13 +105,13 @@
         cluster.call("saga", "check", ["b", "x"])
         got = cluster.call("oita", "check", ["b", "y"])
         client = OperatorClient(cluster.addresses["core2"]["http"])
-        status, told = cluster.world.do("operator", lambda: client.explain(got["call"]))
+        status, told = cluster.world.run_task("operator", lambda: client.explain(got["call"]))
         kinds = [item["kind"] for item in told["decisions"]]
         self.assertEqual((status, told["silent"]), (200, []))
         self.assertLessEqual({"start"}, set(kinds))
         self.assertEqual(
-            cluster.world.do("operator", lambda: client.watch(lines.append, follow=False)), 0
+            cluster.world.run_task("operator", lambda: client.watch(lines.append, follow=False)), 0
         )
         self.assertTrue(any('"kind":"start"' in line for line in lines))
-        fleet = cluster.world.do("operator", lambda: client.fleet())
+        fleet = cluster.world.run_task("operator", lambda: client.fleet())
         self.assertEqual(fleet[1]["counters"]["callsServed"], 2)
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -71,7 +71,7 @@
         late = CallRenewal(
             router=router.me.name, model="screener", calls=["gone"], term=coordinator.term
         )
-        returned = cluster.world.do(
+        returned = cluster.world.run_task(
             router.me.name, lambda: router.mesh.request(coordinator.router.me.addr, held)
         )
         late.heard_ms = returned.stamp_ms
@@ -84,7 +84,7 @@
         self.assertEqual(len(running), 1)
         router.settings.holdMs = 60000
         cluster.world.run(1)
-        cluster.world.do(
+        cluster.world.run_task(
             router.me.name, lambda: router.mesh.request(coordinator.router.me.addr, late)
         )
         still = {
@@ -242,7 +242,7 @@
             for worker in cluster.site.workers:
                 cluster.up["platform"].drain(worker["name"])
 
-        cluster.world.do("platform", drain)
+        cluster.world.run_task("platform", drain)
         cluster.world.run(5)
         got = cluster.call("saga", "tag", ["a", "b"], door=cluster.addresses[coordinator]["http"])
         self.assertEqual(
@@ -272,7 +272,7 @@
             async def drain():
                 cluster.up["platform"].drain(frozen[0])
 
-            cluster.world.do("platform", drain)
+            cluster.world.run_task("platform", drain)
             cluster.world.run(8)
             cluster.world.thaw(name)
             cluster.world.run(until=lambda: late, limit_s=30)
--- a/tests/cases/input.py
+++ b/tests/cases/input.py
@@ -149,7 +149,7 @@
                 if rng.random() < 0.7:
                     link.close()
 
-        cluster.world.do("operator", throw, limit_s=120)
+        cluster.world.run_task("operator", throw, limit_s=120)
         cluster.world.run(20)
         self.assertEqual(cluster.world.faults, [])
         failed = {
@@ -166,7 +166,7 @@
 
         def garbage(part):
             async def handle(exchange):
-                await exchange.give(
+                await exchange.send_json(
                     rng.choice([200, 200, 500]),
                     rng.choice(
                         [
--- a/tests/cases/late_messages.py
+++ b/tests/cases/late_messages.py
@@ -21,7 +21,7 @@
     def ask(self, message):
         """Bring a message of the other router to the coordinator; gives what comes back."""
         addr = self.coordinator.router.me.addr
-        return self.cluster.world.do(
+        return self.cluster.world.run_task(
             self.router.me.name, lambda: self.router.mesh.request(addr, message)
         )
 
--- a/tests/chain/test_batches.py
+++ b/tests/chain/test_batches.py
@@ -46,7 +46,7 @@
                 *(writer.write(f"batch{at}", claim) for at, claim in enumerate(claims))
             )
 
-        outcomes = cluster.world.do("core1", claim_many)
+        outcomes = cluster.world.run_task("core1", claim_many)
         self.assertEqual([outcome.results for outcome in outcomes], [[""]] * 8)
         self.assertEqual(
             {name: count.most for name, count in counts.items()}, dict.fromkeys(counts, 1)
--- a/tests/chain/test_complete_in.py
+++ b/tests/chain/test_complete_in.py
@@ -58,16 +58,16 @@
             chain.is_partial = True
             await chain.replace_state(chain.state, 3, chain.state.to_bytes())
 
-        self.world.do(NAME, take)
+        self.world.run_task(NAME, take)
 
     def expect_join(self):
         """Do what stands before the wish to join the present view."""
-        return self.world.do(NAME, lambda: self.chain.expect_join(self.agreement.decided))
+        return self.world.run_task(NAME, lambda: self.chain.expect_join(self.agreement.decided))
 
     def learn(self, number, members):
         """Learn a view, and let what follows come to its end."""
         view = View(number=number, members=members, voters=OTHERS)
-        self.world.do(NAME, lambda: self.agreement.learn(view))
+        self.world.run_task(NAME, lambda: self.agreement.learn(view))
         self.world.run(0.1)
 
     def own(self):
@@ -111,13 +111,13 @@
             agreed.append({"k": "decided", "view": bytes(view)})
             await agreed.sync()
 
-        core.world.do(NAME, decide)
+        core.world.run_task(NAME, decide)
         core.restart()
         self.assert_partial(core, False)
 
     def test_so_it_does_after_the_log_was_written_anew(self):
         core = self.joining()
-        core.world.do(NAME, core.chain._rewrite)
+        core.world.run_task(NAME, core.chain._rewrite)
         core.restart()
         core.learn(JOINED, [*OTHERS[:1], core.own()])
         self.assert_partial(core, False)
@@ -168,7 +168,7 @@
                 agreement.wait_until_s, agreement.lease_until_s = now_s, now_s + 9
                 self.assertTrue(chain._may_write())
                 chain.incoming.append((CHANGE, core.world.loops[NAME].create_future()))
-                core.world.do(NAME, chain._take_incoming)
+                core.world.run_task(NAME, chain._take_incoming)
                 self.assertEqual(chain.serial, taken)
 
     def test_the_log_of_such_a_view_is_given_once_all_of_it_is_synced(self):
@@ -177,7 +177,7 @@
         chain, ask = core.chain, LogAsk(serial=0, view=JOINED)
         chain._append(1, msgspec.msgpack.encode(CHANGE))
         self.assertEqual(chain.transfer.on_log_ask(ask, "").code, NOT_TAIL.code)
-        core.world.do(NAME, chain._sync)
+        core.world.run_task(NAME, chain._sync)
         self.assertEqual(chain.transfer.on_log_ask(ask, "").last, 1)
 
     def test_such_a_view_passes_nothing_before_all_of_it_is_synced(self):
@@ -191,10 +191,10 @@
 
         with mock.patch.object(chain.mesh, "request", ask):
             chain._append(1, msgspec.msgpack.encode(CHANGE))
-            core.world.do(NAME, chain._pass_on)
+            core.world.run_task(NAME, chain._pass_on)
             self.assertEqual(passed, [])
-            core.world.do(NAME, chain._sync)
-            core.world.do(NAME, chain._pass_on)
+            core.world.run_task(NAME, chain._sync)
+            core.world.run_task(NAME, chain._pass_on)
         self.assertEqual(passed[0], 1)
 
     def test_the_records_read_back_in_their_form_on_the_disk(self):
--- a/tests/chain/test_state_transfer.py
+++ b/tests/chain/test_state_transfer.py
@@ -23,7 +23,7 @@
                 copied = await transfer.on_ask(CopyAsk(core_id=OUTSIDER), "10.9.9.9:1")
                 return copied, transfer.on_log_ask(LogAsk(serial=0), "10.9.9.9:1")
 
-            copied, log = cluster.world.do(name, ask)
+            copied, log = cluster.world.run_task(name, ask)
             is_tail = core is cores[-1]
             self.assertEqual(is_fault(copied), not is_tail, name)
             self.assertEqual(is_fault(log) and log.code == NOT_TAIL.code, not is_tail, name)
@@ -44,5 +44,5 @@
                 CopyAsk(core_id=OUTSIDER, digest=old.digest), "10.9.9.9:1"
             )
 
-        old, new = cluster.world.do(name, ask)
+        old, new = cluster.world.run_task(name, ask)
         self.assertEqual(new.serial, old.serial + 1)
--- a/tests/gateway/cases/catch_up.py
+++ b/tests/gateway/cases/catch_up.py
@@ -109,7 +109,7 @@
         (name,) = cluster.replace_lost(lost)
         cluster.world.net.bytes_per_s[cluster.machines[name]] = NARROW_BYTES_PER_S
         for at in range(6):
-            cluster.world.at(3.0 * at, lambda: cluster.kill(flapping, back_s=1.5))
+            cluster.world.call_after(3.0 * at, lambda: cluster.kill(flapping, back_s=1.5))
         return cluster, self.whole_after(cluster, name, 18.0)
 
     def test_a_copy_over_a_narrow_link_goes_on_where_it_was_though_views_change(self):
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -81,7 +81,7 @@
     def bring(self, message, position, from_position):
         """Bring a message of one member to another; gives what comes back."""
         sender, target = self.cluster.member(from_position), self.core(position).me.addr
-        return self.cluster.world.do(
+        return self.cluster.world.run_task(
             sender, lambda: self.cluster.up[sender].mesh.request(target, message)
         )
 
--- a/tests/gateway/cases/membership.py
+++ b/tests/gateway/cases/membership.py
@@ -101,7 +101,7 @@
         cluster.world.run(until=lambda: cluster.up[wiped].chain.is_partial, limit_s=5)
         cluster.world.run(until=lambda: cluster.up[wiped].agreement.position() >= 0, limit_s=5)
         cluster.lose(other, wiped=True)
-        cluster.world.at(1.0, lambda: cluster.start_core(other))
+        cluster.world.call_after(1.0, lambda: cluster.start_core(other))
         cluster.terminate(leaver)
         cluster.remove(leaver)
         cluster.world.run(1.0)
--- a/tests/gateway/cases/old_weights.py
+++ b/tests/gateway/cases/old_weights.py
@@ -56,7 +56,7 @@
         def stall(cluster):
             folder = cluster.folders[cluster.head()]
             folder.stall_s = 4.0
-            cluster.world.at(4.0, lambda: setattr(folder, "stall_s", 0.0))
+            cluster.world.call_after(4.0, lambda: setattr(folder, "stall_s", 0.0))
             put = {"routes": [route("r-more", "/more/", "app")]}
             cluster.beside(lambda: cluster.operator.patch(5, put=put))
 
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -44,7 +44,7 @@
             number = base + self.rng.randint(1, 3)
             make = cluster.patch if self.rng.random() < 0.8 else self.whole
             orders.append(make(number, base))
-        cluster.world.at(self.rng.uniform(0.0, 0.02), self.break_something)
+        cluster.world.call_after(self.rng.uniform(0.0, 0.02), self.break_something)
         task = cluster.beside(lambda: self.together(orders))
         cluster.world.run(until=task.done, limit_s=90)
         cluster.world.run(self.rng.uniform(0, 3))
@@ -87,12 +87,16 @@
         way = self.rng.choice(("both", "in", "out"))
         others = self.rng.choice(("all", "core", "router"))
         pairs = self.cluster.cut(name, others, way)
-        self.cluster.world.at(self.rng.uniform(0.5, 20), lambda: self.cluster.world.net.heal(pairs))
+        self.cluster.world.call_after(
+            self.rng.uniform(0.5, 20), lambda: self.cluster.world.net.heal(pairs)
+        )
 
     def mute(self, name):
         """What a core says to the others is lost, and after a moment its power, before its disk has any use."""
         pairs = self.cluster.cut(name, "core", "out")
-        self.cluster.world.at(self.rng.uniform(0.2, 1.2), lambda: self._mute_end(name, pairs))
+        self.cluster.world.call_after(
+            self.rng.uniform(0.2, 1.2), lambda: self._mute_end(name, pairs)
+        )
 
     def _mute_end(self, name, pairs):
         if name in self.cluster.world.loops:
@@ -209,7 +213,7 @@
         tasks = [
             cluster.beside(lambda order=order: cluster.insisting(order, 40)) for order in orders
         ]
-        cluster.world.at(3, lambda: cluster.world.net.heal(pairs))
+        cluster.world.call_after(3, lambda: cluster.world.net.heal(pairs))
         cluster.world.run(until=lambda: all(task.done() for task in tasks), limit_s=45)
         cluster.settle()
         return [
--- a/tests/gateway/cases/stopping_routers.py
+++ b/tests/gateway/cases/stopping_routers.py
@@ -26,9 +26,9 @@
         """Let the day pass; gives the changes that were acknowledged, and the longest time that one took in a calm core."""
         world, end_s = self.world, self.world.now + seconds
         self.keep_changing(PER_S)
-        world.at(1.0, lambda: self._stop_router(0, end_s))
+        world.call_after(1.0, lambda: self._stop_router(0, end_s))
         if has_core_troubles:
-            world.at(3.0, lambda: self._trouble_core(0, end_s))
+            world.call_after(3.0, lambda: self._trouble_core(0, end_s))
         world.run(seconds)
         assert self.stop_changing()
         calm = [took_s for sent_s, took_s in self.acks if self._is_calm(sent_s, took_s)]
@@ -49,14 +49,14 @@
                 self.kill(name, silent=True)
             else:
                 self.terminate_router(name)
-            self.world.at(BOUNDS["grace_s"], lambda: self._again(name))
-        self.world.at(ROUTER_EVERY_S, lambda: self._stop_router(at + 1, end_s))
+            self.world.call_after(BOUNDS["grace_s"], lambda: self._again(name))
+        self.world.call_after(ROUTER_EVERY_S, lambda: self._stop_router(at + 1, end_s))
 
     def terminate_router(self, name):
         """SIGTERM to a router, which ends by itself."""
         loop, task = self.world.loops[name], PlatformCluster.terminate(self, name)
         task.add_done_callback(
-            lambda _: self.world.at(0, lambda: loop.dead or self.world.kill(name))
+            lambda _: self.world.call_after(0, lambda: loop.dead or self.world.kill(name))
         )
 
     def _again(self, name):
@@ -70,7 +70,7 @@
         name = f"core{at % 3 + 1}"
         self.core_troubles_s.append(self.world.now)
         self.kill(name, silent=at % 2 == 0, back_s=1.0)
-        self.world.at(CORE_EVERY_S, lambda: self._trouble_core(at + 1, end_s))
+        self.world.call_after(CORE_EVERY_S, lambda: self._trouble_core(at + 1, end_s))
 
 
 class StoppingRoutersCase(unittest.TestCase):
--- a/tests/gateway/loss_storm.py
+++ b/tests/gateway/loss_storm.py
@@ -64,7 +64,7 @@
             if await cluster.insisting(order, ORDER_S) == TAKEN:
                 known, self.acknowledged = order.number, self.acknowledged + 1
                 if self.rng.random() < 0.1 and not self._has_end():
-                    cluster.world.at(self.rng.uniform(0, 0.003), self._strike)
+                    cluster.world.call_after(self.rng.uniform(0, 0.003), self._strike)
             await asyncio.sleep(self.rng.uniform(0, 0.5))
 
     async def _names(self):
@@ -82,7 +82,7 @@
         return [name for name in self._cores() if name in loops and not loops[name].frozen]
 
     def _strike_later(self):
-        self.cluster.world.at(self.rng.expovariate(1 / self.mean_s), self._strike_in_turn)
+        self.cluster.world.call_after(self.rng.expovariate(1 / self.mean_s), self._strike_in_turn)
 
     def _strike_in_turn(self):
         if not self._has_end():
@@ -104,7 +104,7 @@
             self.calm_since_s = self.cluster.world.now
             work()
 
-        self.cluster.world.at(for_s, act)
+        self.cluster.world.call_after(for_s, act)
 
     def _may_wipe(self, names):
         """Whether no more disks are lost at once: one is lost until all was calm for as long as a core takes to catch up."""
@@ -171,7 +171,7 @@
             return
         task = self.cluster.beside(self.cluster.up[name].stop, name)
         loop = self.cluster.world.loops[name]
-        task.add_done_callback(lambda _: self.cluster.world.at(0, lambda: self._left(loop)))
+        task.add_done_callback(lambda _: self.cluster.world.call_after(0, lambda: self._left(loop)))
         self._later(BOUNDS["grace_s"], lambda: self._left(loop))
         self._later(BOUNDS["grace_s"] + for_s, lambda: self.cluster.back(name))
 
--- a/tests/gateway/parts.py
+++ b/tests/gateway/parts.py
@@ -21,7 +21,7 @@
 
     def do(self, make, name="here"):
         """Run a coroutine function to its end inside a process."""
-        return self.world.do(name, make)
+        return self.world.run_task(name, make)
 
     def within(self, action, name="here"):
         """Call a plain function inside a process."""
--- a/tests/gateway/platform_cluster.py
+++ b/tests/gateway/platform_cluster.py
@@ -378,7 +378,7 @@
 
     def operate(self, make, limit_s=60):
         """One call of the operator, to its end."""
-        return self.world.do("operator", make, limit_s=limit_s)
+        return self.world.run_task("operator", make, limit_s=limit_s)
 
     def beside(self, make, name="operator"):
         """Begin a coroutine beside all else; gives its task."""
@@ -388,7 +388,7 @@
 
     def ask(self, name="r-safe", path="1", tenant="nowu640", door=None, **more):
         """One request of a client to a route, to its end."""
-        return self.world.do(
+        return self.world.run_task(
             "clients", lambda: self._asking(name, path, tenant, door, **more), limit_s=60
         )
 
@@ -478,7 +478,7 @@
         self.world.kill(name, silent)
         if back_s is not None:
             start = self.start_core if name.startswith("core") else self.start_router
-            self.world.at(back_s, lambda: start(name))
+            self.world.call_after(back_s, lambda: start(name))
 
     def terminate(self, name):
         """Tell a router to stop, as planned work does; gives the task of its stopping."""
@@ -496,7 +496,7 @@
         """Stop a process in its tracks for a while."""
         self.note_down(name, for_s)
         self.world.freeze(name)
-        self.world.at(for_s, lambda: name in self.world.loops and self.world.thaw(name))
+        self.world.call_after(for_s, lambda: name in self.world.loops and self.world.thaw(name))
 
     def results(self):
         """Last results by root, of all requests so far."""
--- a/tests/gateway/storm.py
+++ b/tests/gateway/storm.py
@@ -93,7 +93,7 @@
         return [f"{name} ({state})" for name, state in states.items() if state]
 
     def _later(self):
-        self.cluster.world.at(self.rng.expovariate(1 / self.mean_s), self._act)
+        self.cluster.world.call_after(self.rng.expovariate(1 / self.mean_s), self._act)
 
     def _act(self):
         if not self.has_end:
@@ -141,7 +141,7 @@
             pairs = cluster.trouble(
                 name, lambda: cluster.world.net.cut([cluster.machines[name]], others), for_s
             )
-            cluster.world.at(for_s, lambda: cluster.world.net.heal(pairs))
+            cluster.world.call_after(for_s, lambda: cluster.world.net.heal(pairs))
         return name
 
     def on_all_cores(self):
@@ -154,8 +154,8 @@
         name, cluster = self._worker(), self.cluster
         if name:
             cluster.world.kill(name, self.rng.random() < 0.3)
-            cluster.world.at(3, lambda: name in cluster.world.loops or cluster.forget(name))
-            cluster.world.at(
+            cluster.world.call_after(3, lambda: name in cluster.world.loops or cluster.forget(name))
+            cluster.world.call_after(
                 self.rng.uniform(3.5, 6),
                 lambda: name in cluster.world.loops or cluster.start_worker(name),
             )
@@ -171,9 +171,9 @@
                 if cluster.up[name] is life and name in cluster.world.loops:
                     cluster.world.kill(name)
                     cluster.forget(name)
-                    cluster.world.at(2.5, lambda: cluster.start_worker(name))
+                    cluster.world.call_after(2.5, lambda: cluster.start_worker(name))
 
-            cluster.world.at(4.6, end)
+            cluster.world.call_after(4.6, end)
         return name
 
     def on_quirk(self):
@@ -181,7 +181,7 @@
         if name:
             life = self.cluster.up[name]
             life.quirk, life.quirk_share = self.rng.choice(QUIRKS[1:]), self.rng.choice((0.2, 0.6))
-            self.cluster.world.at(4, lambda: setattr(life, "quirk", ""))
+            self.cluster.world.call_after(4, lambda: setattr(life, "quirk", ""))
         return name and (name, life.quirk)
 
     def on_gaps(self):
@@ -192,7 +192,7 @@
     def on_store(self):
         if "store" in self.cluster.world.loops:
             self.cluster.world.kill("store")
-            self.cluster.world.at(2, self.cluster.start_store)
+            self.cluster.world.call_after(2, self.cluster.start_store)
 
     def _operate(self, make):
         if all(task.done() for task in self.tasks):
@@ -256,13 +256,13 @@
         def end():
             if cluster.world.loops.get(name) is loop:
                 cluster.world.kill(name)
-                cluster.world.at(0.5, lambda: cluster.start_router(name))
+                cluster.world.call_after(0.5, lambda: cluster.start_router(name))
 
         def look():
-            end() if stopping.done() else cluster.world.at(0.1, look)
+            end() if stopping.done() else cluster.world.call_after(0.1, look)
 
         look()
-        cluster.world.at(BOUNDS["grace_s"], end)
+        cluster.world.call_after(BOUNDS["grace_s"], end)
         return name
 
     def change_idle(self):
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -37,7 +37,7 @@
         loaded = self.loaded(
             lambda cluster: (
                 cluster.world.kill("lm1"),
-                cluster.world.at(4, lambda: cluster.forget("lm1")),
+                cluster.world.call_after(4, lambda: cluster.forget("lm1")),
             )
         )
         self.assertEqual(len(loaded), 3, loaded)
@@ -139,7 +139,7 @@
             if more == "resumed" and not head.get("last-event-id"):
                 return await method(worker, exchange, head, name, run, *rest)
             worker.record("answer", id=name, run=run, seal="", status=status, body="x")
-            await exchange.whole(status, [("Swiftdeck-Request-Id", name)], b"after all")
+            await exchange.send_response(status, [("Swiftdeck-Request-Id", name)], b"after all")
             return True
 
         return mock.patch.object(PlatformWorker, method.__name__, answers)
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -14,7 +14,7 @@
         world = World()
 
         async def handler(exchange):
-            await exchange.give(201, exchange.json())
+            await exchange.send_json(201, exchange.json())
 
         async def serve():
             await HttpServer(handler).start("10.0.0.1", 80)
@@ -22,11 +22,13 @@
         world.start("s", "10.0.0.1", serve)
         world.start("c", "10.0.0.2", lambda: asyncio.sleep(0))
         self.assertEqual(
-            world.do("c", lambda: fetch_json("10.0.0.1:80", "POST", "/", {"a": "x" * 200000})),
+            world.run_task(
+                "c", lambda: fetch_json("10.0.0.1:80", "POST", "/", {"a": "x" * 200000})
+            ),
             (201, {"a": "x" * 200000}),
         )
         self.assertEqual(
-            world.do("c", lambda: fetch_json("10.0.0.1:81", "GET", "/")).code,
+            world.run_task("c", lambda: fetch_json("10.0.0.1:81", "GET", "/")).code,
             WORKER_UNREACHABLE.code,
         )
 
--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -33,7 +33,7 @@
     """Begin at once, and end after a while."""
     exchange.begin(200, [("content-length", "2")])
     await asyncio.sleep(HANDLING_S)
-    await exchange.piece(b"ok")
+    await exchange.send_chunk(b"ok")
     exchange.finish()
 
 
@@ -57,7 +57,7 @@
     """Answer with more than a client that reads nothing can take."""
     exchange.begin(200, [("transfer-encoding", "chunked")])
     for _ in range(100):
-        await exchange.piece(b"x" * 65536)
+        await exchange.send_chunk(b"x" * 65536)
     exchange.finish()
 
 
@@ -85,7 +85,7 @@
         async def open_connection():
             await asyncio.get_running_loop().create_connection(lambda: client, SERVER, 80)
 
-        self.world.do("c", open_connection)
+        self.world.run_task("c", open_connection)
         for each in pieces:
             self.send(client, each)
         return client
@@ -161,7 +161,7 @@
         self.serve(waits)
         client = self.connect(GET % b"/a")
         self.on_server(self.server.stop)
-        self.world.do("s", lambda: self.server.finish(0.5, WORKER_LOST))
+        self.world.run_task("s", lambda: self.server.finish(0.5, WORKER_LOST))
         self.world.run(0.1)
         self.assertIn(b'"code":%d' % WORKER_LOST.code, client.got)
         self.assertEqual((self.server.open, self.cuts()), ({}, {}))
@@ -188,7 +188,7 @@
         self.serve()
         self.connect(GET % b"/a")
         self.on_server(self.server.stop)
-        self.world.do("s", lambda: self.server.finish(0.1, WORKER_LOST))
+        self.world.run_task("s", lambda: self.server.finish(0.1, WORKER_LOST))
         self.world.run(0.1)
         self.assertEqual(self.cuts(), {"requestsCut.unanswered": 1, "invariant.requestsCut": 1})
 
@@ -227,7 +227,7 @@
                 self.serve(handler)
                 client = self.connect(sent)
                 self.world.run(0.1)
-                self.world.do("s", self.stop_and_finish)
+                self.world.run_task("s", self.stop_and_finish)
                 self.assertTrue(client.got.startswith(b"HTTP/1.1 " + status), client.got)
                 self.assertEqual((client.is_over, self.world.faults), (True, []))
 
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -51,7 +51,7 @@
             ends = [await each for each in (first, second)]
             return [(what, round(at_s - begun_s, 2)) for what, at_s in ends], len(requests)
 
-        self.assertEqual(self.world.do("p", go), ([("early", 2.0)] * 2, 0))
+        self.assertEqual(self.world.run_task("p", go), ([("early", 2.0)] * 2, 0))
 
     def test_work_that_ends_in_time_and_timeouts_of_its_own_are_left_alone(self):
         async def times_out():
@@ -65,4 +65,4 @@
             except TimeoutError as error:
                 return done[0], str(error)
 
-        self.assertEqual(self.world.do("p", go), ("early", "own"))
+        self.assertEqual(self.world.run_task("p", go), ("early", "own"))
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -37,7 +37,7 @@
         world, got = World(), bytearray()
 
         async def handler(exchange):
-            await exchange.give(200, {"path": exchange.path, "size": len(exchange.body)})
+            await exchange.send_json(200, {"path": exchange.path, "size": len(exchange.body)})
 
         class Sink(asyncio.Protocol):
             def data_received(self, data):
@@ -67,7 +67,7 @@
         async def handler(exchange):
             exchange.begin(200, [("content-length", "2")])
             await asyncio.sleep(0.5)
-            await exchange.piece(exchange.path.encode())
+            await exchange.send_chunk(exchange.path.encode())
             exchange.finish()
 
         class Sink(asyncio.Protocol):
@@ -137,7 +137,7 @@
     def test_an_answer_without_length_that_is_cut_ends_in_a_reset(self):
         async def begins_and_fails(exchange):
             exchange.begin(200, [("transfer-encoding", "chunked")])
-            await exchange.piece(b"half")
+            await exchange.send_chunk(b"half")
             raise RuntimeError("worker broke off")
 
         async def talk(lead):
--- a/tests/member/test_membership.py
+++ b/tests/member/test_membership.py
@@ -162,7 +162,7 @@
             asker.some = lambda count, role=None: [other.me]
             asker.compare()
 
-        world.do("n1", main)
+        world.run_task("n1", main)
         world.run(0.1)
 
     def test_what_is_remembered_of_the_table_follows_it(self):
--- a/tests/member/test_news.py
+++ b/tests/member/test_news.py
@@ -21,14 +21,14 @@
 
         world.run(3)
         for number in range(5):
-            world.do(f"n{number}", begin(number))
+            world.run_task(f"n{number}", begin(number))
         world.net.cut(["10.0.0.5"], [f"10.0.0.{n}" for n in range(1, 5)])
 
         async def post():
             tables[0].post("view", 2, b"two")
             tables[0].post("view", 1, b"one")
 
-        world.do("n0", post)
+        world.run_task("n0", post)
         world.run(1)
         self.assertEqual(
             [table.items["view"].body for table in list(tables.values())[:4]], [b"two"] * 4
--- a/tests/platform/test_caches.py
+++ b/tests/platform/test_caches.py
@@ -35,13 +35,13 @@
             await asyncio.sleep(60)
         status, body = self.answer
         return await (
-            exchange.whole(status, [], body)
+            exchange.send_response(status, [], body)
             if isinstance(body, bytes)
-            else exchange.give(status, body)
+            else exchange.send_json(status, body)
         )
 
     def reports(self, since=118, wait_ms=800):
-        return self.world.do("here", lambda: self.follower.reports(since, wait_ms))
+        return self.world.run_task("here", lambda: self.follower.reports(since, wait_ms))
 
     def test_reports_as_the_page_shows_them(self):
         self.assertEqual(
--- a/tests/platform/test_lists.py
+++ b/tests/platform/test_lists.py
@@ -38,7 +38,9 @@
         status, body = self.pages[exchange.query.get("page-token", "")]
         data = body if isinstance(body, bytes) else None
         return await (
-            exchange.give(status, body) if data is None else exchange.whole(status, [], data)
+            exchange.send_json(status, body)
+            if data is None
+            else exchange.send_response(status, [], data)
         )
 
     def read(self, *pages):
@@ -51,7 +53,7 @@
         return self.reading()
 
     def reading(self):
-        return self.world.do("here", PlatformList(ADDR).read)
+        return self.world.run_task("here", PlatformList(ADDR).read)
 
     def test_an_entry_as_the_page_shows_it(self):
         self.assertEqual(
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -41,18 +41,18 @@
             await asyncio.sleep(60)
         status, body = self.answer
         return await (
-            exchange.whole(status, [], body)
+            exchange.send_response(status, [], body)
             if isinstance(body, bytes)
-            else exchange.give(status, body)
+            else exchange.send_json(status, body)
         )
 
     def order(self, *more):
-        return self.world.do(
+        return self.world.run_task(
             "here", lambda: PlatformOrders().order(ADDR, "daka510000", 2, "node-7", 41, *more)
         )
 
     def report(self):
-        return self.world.do("here", lambda: PlatformOrders().report(ADDR))
+        return self.world.run_task("here", lambda: PlatformOrders().report(ADDR))
 
     def test_an_order_as_the_page_shows_it(self):
         self.assertEqual(self.order(), 202)
--- a/tests/runtime/test_ticks.py
+++ b/tests/runtime/test_ticks.py
@@ -23,6 +23,6 @@
         async def main():
             await asyncio.gather(*(repeat(period_s) for period_s in times))
 
-        world.do("a", main)
+        world.run_task("a", main)
         self.assertGreaterEqual(len(times[0.25]), 19)
         self.assertLessEqual(set(times[0.5][:-1]), set(times[0.25]))
--- a/tests/traffic/test_lease_peeks.py
+++ b/tests/traffic/test_lease_peeks.py
@@ -49,7 +49,7 @@
             lease.start()
             return lease
 
-        return self.world.do("here", main)
+        return self.world.run_task("here", main)
 
     def told(self, version, view):
         return DurableConfigReturn(version=version, view=view, **self.whole)
--- a/tests/wire/test_mesh.py
+++ b/tests/wire/test_mesh.py
@@ -34,7 +34,7 @@
 
         world.start("a", "10.0.0.1", serve)
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
-        self.assertEqual(world.do("b", ask), (5, UNKNOWN_KIND.code, PEER_UNREACHABLE.code))
+        self.assertEqual(world.run_task("b", ask), (5, UNKNOWN_KIND.code, PEER_UNREACHABLE.code))
         self.assertEqual(meshes["a"].count["faults.%d" % BAD_FRAME.code], 1)
 
     def test_a_return_counts_only_on_the_link_of_its_question(self):
@@ -69,7 +69,7 @@
 
         world.start("a", "10.0.0.1", serve)
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
-        self.assertEqual(world.do("b", ask), 5)
+        self.assertEqual(world.run_task("b", ask), 5)
         self.assertEqual(meshes["b"].count["returnsMisplaced"], 2)
 
     def slow_answer(self, while_heard_ms, piece_s):
@@ -102,7 +102,7 @@
 
         world.start("a", "10.0.0.1", serve)
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
-        return world.do("b", ask)
+        return world.run_task("b", ask)
 
     def test_an_answer_that_still_comes_in_is_waited_for_and_no_other(self):
         got, took_s = self.slow_answer(2000, 0.1)
@@ -142,7 +142,7 @@
         for at, addr in enumerate(addrs, 2):
             world.start(addr, f"10.0.0.{at}", listens(addr))
         world.start("a", "10.0.0.1", lambda: asyncio.sleep(0))
-        sent, size = world.do("a", tell)
+        sent, size = world.run_task("a", tell)
         self.assertEqual(sorted(heard), [(addr, age) for addr in addrs for age in (1, 2)])
         self.assertEqual((len(written), sent), (2, {"ListReturn": 6}))
         self.assertGreater(size, 0)
@@ -180,7 +180,7 @@
 
         world.start("a", "10.0.0.1", serve)
         world.start("b", "10.0.0.2", lambda: asyncio.sleep(0))
-        return world.do("b", ask)
+        return world.run_task("b", ask)
 
     def test_a_return_that_is_coming_in_is_waited_for(self):
         got, took_s = self.slow_return(10)
