--- a/swiftdeck/bench/outer/checker.py
+++ b/swiftdeck/bench/platform_api/checker.py
@@ -1,11 +1,11 @@
 """Judges a run of the platform's stand-ins by their records alone: one check for each rule of the platform's page."""
 
-from swiftdeck.bench.outer.rules.answers import mixed, order, refused, twice, unasked
-from swiftdeck.bench.outer.rules.configuration import config, denied, recover
-from swiftdeck.bench.outer.rules.endings import gone, lost
-from swiftdeck.bench.outer.rules.records import Bounds, Records
-from swiftdeck.bench.outer.rules.weights import one, version
-from swiftdeck.bench.outer.rules.workers import budget, drain, route, stale, wall
+from swiftdeck.bench.platform_api.rules.answers import mixed, order, refused, twice, unasked
+from swiftdeck.bench.platform_api.rules.configuration import config, denied, recover
+from swiftdeck.bench.platform_api.rules.endings import gone, lost
+from swiftdeck.bench.platform_api.rules.records import Bounds, Records
+from swiftdeck.bench.platform_api.rules.weights import one, version
+from swiftdeck.bench.platform_api.rules.workers import budget, drain, route, stale, wall
 
 RULES = {
     "MIXED": mixed,
--- a/swiftdeck/bench/outer/client.py
+++ b/swiftdeck/bench/platform_api/client.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from swiftdeck.bench.outer.worker import digest
+from swiftdeck.bench.platform_api.worker import digest
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import connect
 
--- a/swiftdeck/bench/outer/rules/configuration.py
+++ b/swiftdeck/bench/platform_api/rules/configuration.py
@@ -2,8 +2,8 @@
 
 from collections import defaultdict
 
-from swiftdeck.bench.outer.rules.answers import PROMISES
-from swiftdeck.bench.outer.rules.records import FOREVER
+from swiftdeck.bench.platform_api.rules.answers import PROMISES
+from swiftdeck.bench.platform_api.rules.records import FOREVER
 
 TURNED_AWAY = (401, 403, 404)
 DENIED_MOST, DENIED_EACH = 5, 500
--- a/swiftdeck/bench/outer/rules/endings.py
+++ b/swiftdeck/bench/platform_api/rules/endings.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict
 
-from swiftdeck.bench.outer.rules.records import FOREVER
+from swiftdeck.bench.platform_api.rules.records import FOREVER
 
 OWN_ENDS = ("silence or deadline", "left", "not reached")
 GONE_FEW, GONE_SHARE = 3, 0.25
--- a/swiftdeck/bench/outer/rules/workers.py
+++ b/swiftdeck/bench/platform_api/rules/workers.py
@@ -3,7 +3,7 @@
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 
-from swiftdeck.bench.outer.rules.records import FOREVER
+from swiftdeck.bench.platform_api.rules.records import FOREVER
 
 OVER_TRIES_MOST = 3
 """How many requests may run on more workers than their route's tries."""
--- a/swiftdeck/bench/outer/site_forms.py
+++ b/swiftdeck/bench/platform_api/site_forms.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from swiftdeck.bench.outer.rules.records import Bounds
+from swiftdeck.bench.platform_api.rules.records import Bounds
 
 READY_PATH = "/swiftdeck/ready"
 SETTINGS_VARIABLE = "SWIFTDECK_CONFIG"
--- a/swiftdeck/bench/outer/store.py
+++ b/swiftdeck/bench/platform_api/store.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from swiftdeck.bench.outer.parts import KeptPart, PartCache
+from swiftdeck.bench.platform_api.parts import KeptPart, PartCache
 from swiftdeck.fault import NOT_FOUND
 from swiftdeck.http.server import HttpServer
 
--- a/swiftdeck/bench/outer/worker.py
+++ b/swiftdeck/bench/platform_api/worker.py
@@ -4,8 +4,8 @@
 import hashlib
 import itertools
 
-from swiftdeck.bench.outer.parts import KeptPart, PartCache
-from swiftdeck.bench.outer.store import PARTS, give_reports
+from swiftdeck.bench.platform_api.parts import KeptPart, PartCache
+from swiftdeck.bench.platform_api.store import PARTS, give_reports
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import fetch_json
 from swiftdeck.http.cuts import CutReason
--- a/swiftdeck/soak/final_look.py
+++ b/swiftdeck/soak/final_look.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.bench.outer.operator import CONFIG
+from swiftdeck.bench.platform_api.operator import CONFIG
 from swiftdeck.http.client import fetch_json
 from swiftdeck.soak.site import MODEL
 
--- a/swiftdeck/soak/operators.py
+++ b/swiftdeck/soak/operators.py
@@ -4,8 +4,8 @@
 import itertools
 import random
 
-from swiftdeck.bench.outer.operator import CONFIG, Operator
-from swiftdeck.bench.outer.site_forms import with_idle_ms
+from swiftdeck.bench.platform_api.operator import CONFIG, Operator
+from swiftdeck.bench.platform_api.site_forms import with_idle_ms
 from swiftdeck.bench.record import boot_ms
 from swiftdeck.http.client import fetch_json
 from swiftdeck.soak.site import MODEL, changing_route, is_changing
--- a/swiftdeck/soak/processes.py
+++ b/swiftdeck/soak/processes.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from swiftdeck.bench.outer.site_forms import SETTINGS_VARIABLE
+from swiftdeck.bench.platform_api.site_forms import SETTINGS_VARIABLE
 
 PROGRAM = "swiftdeck.soak.program"
 POLL_S = 0.05
--- a/swiftdeck/soak/schedule.py
+++ b/swiftdeck/soak/schedule.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from swiftdeck.bench.outer.worker import QUIRKS
+from swiftdeck.bench.platform_api.worker import QUIRKS
 
 REPLACED_S = {"router": 10.0, "core": 8.0}
 """How long a machine is away as a rule when it is stopped as planned and started again."""
--- a/swiftdeck/soak/site.py
+++ b/swiftdeck/soak/site.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from swiftdeck.bench.outer.site_forms import (
+from swiftdeck.bench.platform_api.site_forms import (
     MachineSettings,
     Route,
     SiteBounds,
--- a/swiftdeck/soak/stalls.py
+++ b/swiftdeck/soak/stalls.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftdeck.bench.outer.rules.records import PROCESS
+from swiftdeck.bench.platform_api.rules.records import PROCESS
 from swiftdeck.soak.troubles import EVERY_MACHINE
 
 STALL_S = 0.7
--- a/swiftdeck/soak/stand_ins.py
+++ b/swiftdeck/soak/stand_ins.py
@@ -3,10 +3,10 @@
 import asyncio
 import random
 
-from swiftdeck.bench.outer.balancer import Balancer
-from swiftdeck.bench.outer.listing import WorkerList
-from swiftdeck.bench.outer.store import PartStore
-from swiftdeck.bench.outer.worker import PlatformWorker
+from swiftdeck.bench.platform_api.balancer import Balancer
+from swiftdeck.bench.platform_api.listing import WorkerList
+from swiftdeck.bench.platform_api.store import PartStore
+from swiftdeck.bench.platform_api.worker import PlatformWorker
 from swiftdeck.soak.site import MODEL, MODEL_SERVICE, ZONES
 
 SHOW_S, TOKEN_STEP_S, ROOM = 0.2, 0.02, 140000
--- a/swiftdeck/soak/traffic.py
+++ b/swiftdeck/soak/traffic.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from swiftdeck.bench.outer.client import Client
+from swiftdeck.bench.platform_api.client import Client
 from swiftdeck.soak.site import HOST, MODEL, MODEL_SERVICE, ROUTES, TENANTS
 
 SHORT, LONG, WHOLE_ROUTE_S = 6, (120, 220), 7.0
--- a/swiftdeck/soak/troubles.py
+++ b/swiftdeck/soak/troubles.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from swiftdeck.bench.outer.rules.records import LINK, PROCESS
-from swiftdeck.bench.outer.site_forms import READY_PATH
+from swiftdeck.bench.platform_api.rules.records import LINK, PROCESS
+from swiftdeck.bench.platform_api.site_forms import READY_PATH
 from swiftdeck.http.client import fetch_json
 from swiftdeck.soak.link_filter import LATE_MOST_S, Cut
 from swiftdeck.soak.schedule import Kind
--- a/swiftdeck/soak/verdict.py
+++ b/swiftdeck/soak/verdict.py
@@ -6,10 +6,10 @@
 import attrs
 import msgspec
 
-from swiftdeck.bench.outer.checker import check
-from swiftdeck.bench.outer.client import LEFT
-from swiftdeck.bench.outer.rules.endings import lost
-from swiftdeck.bench.outer.rules.records import Records
+from swiftdeck.bench.platform_api.checker import check
+from swiftdeck.bench.platform_api.client import LEFT
+from swiftdeck.bench.platform_api.rules.endings import lost
+from swiftdeck.bench.platform_api.rules.records import Records
 from swiftdeck.soak.site import BOUNDS
 
 SERVED_SHARE, REQUESTS_EACH_S, CHANGES_EACH_S = 0.5, 1.0, 0.3
--- a/tests/bench/outer/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Tests of `swiftdeck/bench/outer`."""
--- /dev/null
+++ b/tests/bench/platform_api/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `swiftdeck/bench/platform_api`."""
--- a/tests/bench/outer/test_checker.py
+++ b/tests/bench/platform_api/test_checker.py
@@ -3,8 +3,8 @@
 import copy
 import unittest
 
-from swiftdeck.bench.outer.checker import RULES, check
-from swiftdeck.bench.outer.rules.records import LINK, PROCESS, Bounds
+from swiftdeck.bench.platform_api.checker import RULES, check
+from swiftdeck.bench.platform_api.rules.records import LINK, PROCESS, Bounds
 
 DOCUMENT = {
     "version": 1,
--- a/tests/bench/outer/test_listing.py
+++ b/tests/bench/platform_api/test_listing.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from swiftdeck.bench.outer.listing import WorkerList
+from swiftdeck.bench.platform_api.listing import WorkerList
 from swiftdeck.bench.record import ListRecord
 from swiftdeck.fault import is_fault
 from swiftdeck.platform.lists import PlatformList
--- a/tests/bench/outer/test_parts.py
+++ b/tests/bench/platform_api/test_parts.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from swiftdeck.bench.outer.parts import TOLD_MOST, KeptPart, PartCache
+from swiftdeck.bench.platform_api.parts import TOLD_MOST, KeptPart, PartCache
 from swiftdeck.sim.world import World
 
 
--- a/tests/gateway/cases/answers.py
+++ b/tests/gateway/cases/answers.py
@@ -4,7 +4,7 @@
 import itertools
 from unittest import mock
 
-from swiftdeck.bench.outer.worker import PlatformWorker, digest
+from swiftdeck.bench.platform_api.worker import PlatformWorker, digest
 from swiftdeck.gateway import proxied_request
 from swiftdeck.gateway.pool import WorkerConnection
 from swiftdeck.http.server import HttpConversation
--- a/tests/gateway/cases/old_weights.py
+++ b/tests/gateway/cases/old_weights.py
@@ -5,7 +5,7 @@
 import math
 from unittest import mock
 
-from swiftdeck.bench.outer.worker import PlatformWorker
+from swiftdeck.bench.platform_api.worker import PlatformWorker
 from swiftdeck.gateway.gateway import OLD_WEIGHTS, Gateway
 from swiftdeck.gateway.swap import Swaps
 from tests.gateway.case import SiteCase
--- a/tests/gateway/loss_storm.py
+++ b/tests/gateway/loss_storm.py
@@ -7,7 +7,7 @@
 import asyncio
 import sys
 
-from swiftdeck.bench.outer.checker import check
+from swiftdeck.bench.platform_api.checker import check
 from tests.gateway.loss_cluster import LossCluster
 from tests.gateway.orders import TAKEN
 from tests.gateway.platform_cluster import BOUNDS, MODEL
--- a/tests/gateway/platform_cluster.py
+++ b/tests/gateway/platform_cluster.py
@@ -8,15 +8,15 @@
 
 import attrs
 
-from swiftdeck.bench.outer.balancer import Balancer
-from swiftdeck.bench.outer.checker import check
-from swiftdeck.bench.outer.client import Client
-from swiftdeck.bench.outer.listing import WorkerList
-from swiftdeck.bench.outer.operator import Operator
-from swiftdeck.bench.outer.rules.records import LINK, PROCESS
-from swiftdeck.bench.outer.site_forms import MachineSettings, SiteBounds
-from swiftdeck.bench.outer.store import PartStore
-from swiftdeck.bench.outer.worker import PlatformWorker
+from swiftdeck.bench.platform_api.balancer import Balancer
+from swiftdeck.bench.platform_api.checker import check
+from swiftdeck.bench.platform_api.client import Client
+from swiftdeck.bench.platform_api.listing import WorkerList
+from swiftdeck.bench.platform_api.operator import Operator
+from swiftdeck.bench.platform_api.rules.records import LINK, PROCESS
+from swiftdeck.bench.platform_api.site_forms import MachineSettings, SiteBounds
+from swiftdeck.bench.platform_api.store import PartStore
+from swiftdeck.bench.platform_api.worker import PlatformWorker
 from swiftdeck.bench.record import ListRecord
 from swiftdeck.fault import is_fault
 from swiftdeck.gateway.gateway import Gateway
--- a/tests/gateway/raw.py
+++ b/tests/gateway/raw.py
@@ -4,8 +4,8 @@
 
 import h11
 
-from swiftdeck.bench.outer.client import SAFE, empty_result
-from swiftdeck.bench.outer.worker import digest
+from swiftdeck.bench.platform_api.client import SAFE, empty_result
+from swiftdeck.bench.platform_api.worker import digest
 from tests.gateway.platform_cluster import HOST, KEYS, ROUTES
 
 OWN_KEY = KEYS["nowu640"][0]
--- a/tests/gateway/storm.py
+++ b/tests/gateway/storm.py
@@ -7,7 +7,7 @@
 import random
 import sys
 
-from swiftdeck.bench.outer.worker import QUIRKS
+from swiftdeck.bench.platform_api.worker import QUIRKS
 from tests.gateway.platform_cluster import BOUNDS, MODEL, PlatformCluster, document, route
 
 PLANNED_SHARE, LONG_STREAMS_PER_S, LONG_EVENTS = 0.6, 3.0, (200, 1100)
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from swiftdeck.bench.outer.worker import PlatformWorker
+from swiftdeck.bench.platform_api.worker import PlatformWorker
 from swiftdeck.fault import WORKER_LOST
 from swiftdeck.gateway.ledger import NextAction, next_action
 from swiftdeck.gateway.places import PlaceTable, Wish
