--- a/swiftdeck/config/configuration.py
+++ b/swiftdeck/config/configuration.py
@@ -1,4 +1,4 @@
-"""A configuration in force: its checked entries, with a digest that each change carries on."""
+"""An immutable, validated configuration with a digest that is updated with each change."""
 
 import hashlib
 
@@ -14,12 +14,12 @@
     Route,
     Service,
     Tenant,
+    format_error,
     merge,
-    told,
 )
 from swiftdeck.fault import INVALID_CONFIG, is_fault
 
-KINDS = {
+ENTRY_TYPES = {
     "models": Model,
     "tenants": Tenant,
     "routes": Route,
@@ -28,47 +28,68 @@
     "limits": Limits,
     "edition": Edition,
 }
-BYTES_MOST = 16 << 20
+MAX_CONFIG_BYTES = 16 << 20
 
 
-def _mark(table, name, entry):
-    """What one entry adds to the digest, and its size."""
+def _entry_digest(table, name, entry):
+    """Return an entry's summand of the configuration digest and its size in bytes.
+
+    The size counts the encoded entry, its name and 4 bytes of JSON punctuation.
+    """
     data = msgspec.json.encode(entry, order="sorted")
     return int.from_bytes(
         hashlib.blake2b(f"{table}/{name}/".encode() + data, digest_size=16).digest(), "big"
     ), len(data) + len(name) + 4
 
 
-def _changes(held, part):
-    """The entries that a table's part of a change touches.
+def _entry_changes(entries, table_change):
+    """Return the entries that a change to one table touches, by name; None removes an entry.
 
-    The part is a map of entries, none for a table that goes, or a pair of entries and an order.
+    The change is a dictionary of entries, None when the whole table is removed, or a pair of
+    changed entries and the names of all entries in their new order.
     """
-    return dict.fromkeys(held) if part is None else part if isinstance(part, dict) else part[0]
+    return (
+        dict.fromkeys(entries)
+        if table_change is None
+        else table_change
+        if isinstance(table_change, dict)
+        else table_change[0]
+    )
 
 
-def _difference(held, part):
-    """The part of a change that makes a table another one.
+def _table_change(entries, new_entries):
+    """Return the change that turns the entries of a table into the new entries.
 
-    It holds the entries that differ, with the names in order where that differs too.
+    It holds the entries that differ. Where applying them would leave another order of entries than
+    the new one, it is a pair of these entries and the names in their new order.
     """
-    changes = {name: None for name in held if name not in part} | {
-        name: entry for name, entry in part.items() if name not in held or held[name] != entry
+    changes = {name: None for name in entries if name not in new_entries} | {
+        name: entry
+        for name, entry in new_entries.items()
+        if name not in entries or entries[name] != entry
     }
-    order = [*(name for name in held if name in part), *(name for name in part if name not in held)]
-    return changes if order == list(part) else (changes, list(part))
+    order = [
+        *(name for name in entries if name in new_entries),
+        *(name for name in new_entries if name not in entries),
+    ]
+    return changes if order == list(new_entries) else (changes, list(new_entries))
 
 
 class Configuration:
-    """Never changed in place: a change gives the next one, and costs what it touches."""
+    """The configuration of the fleet: raw tables as stored, and the typed document made of them.
+
+    An instance is never changed in place. Applying a change returns a new instance and hashes and
+    converts only the entries that the change touches. `digest_sum` is the sum of the digests of all
+    entries, modulo 2**128; `size` is the approximate encoded size in bytes.
+    """
 
-    __slots__ = ("raws", "document", "mark", "size", "_bytes", "_next")
+    __slots__ = ("raws", "document", "digest_sum", "size", "_bytes", "_next")
 
-    def __init__(self, raws, document, mark=0, size=0):
-        self.raws, self.document, self.mark, self.size, self._bytes, self._next = (
+    def __init__(self, raws, document, digest_sum=0, size=0):
+        self.raws, self.document, self.digest_sum, self.size, self._bytes, self._next = (
             raws,
             document,
-            mark,
+            digest_sum,
             size,
             None,
             (None, None),
@@ -76,163 +97,184 @@
 
     @classmethod
     def empty(cls):
-        """Nothing yet."""
+        """Return a configuration without entries."""
         return cls({}, Document())
 
     @classmethod
     def read(cls, data: bytes):
-        """A whole one from its text, or a fault."""
+        """Parse and check a whole configuration from JSON; return a fault if it is invalid."""
         try:
             raws = msgspec.json.decode(data or b"{}")
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             return INVALID_CONFIG.with_reason(f"$: {error}")
-        empty = cls.empty()
-        delta = empty.put(raws)
-        return delta if is_fault(delta) else empty.apply(delta)
+        base = cls.empty()
+        delta = base.put(raws)
+        return delta if is_fault(delta) else base.apply(delta)
 
     def bytes(self) -> bytes:
-        """The whole text."""
+        """Return the whole configuration as JSON."""
         if self._bytes is None:
             self._bytes = msgspec.json.encode(self.raws)
         return self._bytes
 
     def digest(self) -> bytes:
-        """Equal only where all entries are."""
-        return self.mark.to_bytes(16, "big")
+        """Return a 16-byte digest that is equal only where all entries are equal."""
+        return self.digest_sum.to_bytes(16, "big")
 
-    def patch(self, asked: dict):
-        """The entries that a JSON merge patch changes, as they will be, or a fault."""
-        return self._checked(
+    def patch(self, merge_patch: dict):
+        """Return the entries that a JSON merge patch touches, as merged, or a fault."""
+        return self._check(
             {
-                table: part
-                if not isinstance(part, dict)
+                table: table_patch
+                if not isinstance(table_patch, dict)
                 else {
                     name: merge(self.raws.get(table, {}).get(name), entry)
-                    for name, entry in part.items()
+                    for name, entry in table_patch.items()
                 }
-                for table, part in asked.items()
+                for table, table_patch in merge_patch.items()
             }
         )
 
-    def put(self, whole):
-        """The entries in which a whole document differs, or a fault."""
-        if not isinstance(whole, dict):
+    def put(self, new_document):
+        """Return the entries in which a whole new document differs, or a fault."""
+        if not isinstance(new_document, dict):
             return INVALID_CONFIG.with_reason("$: expected an object")
-        delta = {table: None for table in self.raws if table not in whole}
-        for table, part in whole.items():
-            if not isinstance(part, dict):
-                delta[table] = part if part is not None else False
+        delta = {table: None for table in self.raws if table not in new_document}
+        for table, new_entries in new_document.items():
+            if not isinstance(new_entries, dict):
+                delta[table] = new_entries if new_entries is not None else False
                 continue
-            held = self.raws.get(table, {})
-            fresh = {
+            entries = self.raws.get(table, {})
+            changed = {
                 name: entry
-                for name, entry in part.items()
-                if name not in held or held[name] != entry
+                for name, entry in new_entries.items()
+                if name not in entries or entries[name] != entry
             }
-            gone = {name: None for name in held if name not in part}
-            if fresh or gone or table not in self.raws:
-                delta[table] = gone | fresh
-            if None in fresh.values():
+            removed = {name: None for name in entries if name not in new_entries}
+            if changed or removed or table not in self.raws:
+                delta[table] = removed | changed
+            if None in changed.values():
                 return INVALID_CONFIG.with_reason(f"$.{table}: an entry is null")
-        return self._checked(delta)
+        return self._check(delta)
 
     def replace(self, tables: dict, ensure: dict):
-        """The entries in which whole tables differ, and those to be there that aren't, or a fault.
+        """Return the change that replaces whole tables, or a fault.
 
-        Other tables stay.
+        Entries of `ensure` that are missing are added as well. Other tables stay as they are.
         """
-        wrong = next(
+        invalid_table = next(
             (
                 table
-                for table, part in tables.items()
-                if not isinstance(part, dict) or None in part.values()
+                for table, new_entries in tables.items()
+                if not isinstance(new_entries, dict) or None in new_entries.values()
             ),
             None,
         )
-        if wrong is not None:
-            return INVALID_CONFIG.with_reason(f"$.{wrong}: expected an object of entries")
-        wholes = {
-            table: part | self._missing(ensure.get(table, {}), part)
-            for table, part in tables.items()
+        if invalid_table is not None:
+            return INVALID_CONFIG.with_reason(f"$.{invalid_table}: expected an object of entries")
+        new_tables = {
+            table: new_entries | self._absent(ensure.get(table, {}), new_entries)
+            for table, new_entries in tables.items()
         }
-        return self._checked(
-            self._added(ensure, tables)
+        return self._check(
+            self._missing_entries(ensure, tables)
             | {
                 table: delta
-                for table, part in wholes.items()
-                if (delta := _difference(self.raws.get(table, {}), part))
+                for table, new_entries in new_tables.items()
+                if (delta := _table_change(self.raws.get(table, {}), new_entries))
             }
         )
 
     def items(self, tables: dict, ensure: dict):
-        """The entries put or removed whole, and those to be there that aren't, or a fault."""
-        wrong = next((table for table, part in tables.items() if not isinstance(part, dict)), None)
-        if wrong is not None:
-            return INVALID_CONFIG.with_reason(f"$.{wrong}: expected an object")
-        delta = self._added(ensure, {})
-        for table, part in tables.items():
-            held = self.raws.get(table, {})
+        """Return the change that puts whole entries, or removes those given as None, or a fault.
+
+        Entries of `ensure` that are missing are added as well.
+        """
+        invalid_table = next(
+            (
+                table
+                for table, entry_changes in tables.items()
+                if not isinstance(entry_changes, dict)
+            ),
+            None,
+        )
+        if invalid_table is not None:
+            return INVALID_CONFIG.with_reason(f"$.{invalid_table}: expected an object")
+        delta = self._missing_entries(ensure, {})
+        for table, entry_changes in tables.items():
+            entries = self.raws.get(table, {})
             delta[table] = delta.get(table, {}) | {
-                name: entry for name, entry in part.items() if entry != held.get(name)
+                name: entry for name, entry in entry_changes.items() if entry != entries.get(name)
             }
-        return self._checked({table: part for table, part in delta.items() if part})
+        return self._check(
+            {table: entry_changes for table, entry_changes in delta.items() if entry_changes}
+        )
 
-    def _added(self, ensure, but):
+    def _missing_entries(self, ensure, excluded_tables):
         return {
             table: missing
-            for table, part in ensure.items()
-            if table not in but and (missing := self._missing(part, self.raws.get(table, {})))
+            for table, required in ensure.items()
+            if table not in excluded_tables
+            and (missing := self._absent(required, self.raws.get(table, {})))
         }
 
     @staticmethod
-    def _missing(part, held):
-        return {name: entry for name, entry in part.items() if name not in held}
+    def _absent(required, entries):
+        return {name: entry for name, entry in required.items() if name not in entries}
 
-    def _checked(self, delta):
-        for table, part in delta.items():
-            if table not in KINDS:
+    def _check(self, delta):
+        for table, table_change in delta.items():
+            if table not in ENTRY_TYPES:
                 return INVALID_CONFIG.with_reason(f"$: unknown table `{table}`")
-            if part is not None and not isinstance(part, (dict, tuple)):
+            if table_change is not None and not isinstance(table_change, (dict, tuple)):
                 return INVALID_CONFIG.with_reason(f"$.{table}: expected an object")
-            for name, entry in _changes({}, part).items():
+            for name, entry in _entry_changes({}, table_change).items():
                 try:
                     msgspec.convert(name, Name)
                     if entry is not None:
-                        msgspec.convert(entry, KINDS[table])
+                        msgspec.convert(entry, ENTRY_TYPES[table])
                 except msgspec.ValidationError as error:
-                    return INVALID_CONFIG.with_reason(told(error, f"$.{table}.{name}"))
-        fresh = self.apply(delta)
-        if fresh.size > BYTES_MOST:
-            return INVALID_CONFIG.with_reason(f"$: configuration is over {BYTES_MOST} bytes")
-        first = next(fresh.document.dangling(), None)
-        self._next = (delta, fresh)
-        return delta if first is None else INVALID_CONFIG.with_reason(first)
+                    return INVALID_CONFIG.with_reason(format_error(error, f"$.{table}.{name}"))
+        candidate = self.apply(delta)
+        if candidate.size > MAX_CONFIG_BYTES:
+            return INVALID_CONFIG.with_reason(f"$: configuration is over {MAX_CONFIG_BYTES} bytes")
+        conflict = next(candidate.document.conflicts(), None)
+        self._next = (delta, candidate)
+        return delta if conflict is None else INVALID_CONFIG.with_reason(conflict)
 
     def apply(self, delta: dict) -> "Configuration":
-        """The configuration after a checked change; an entry of None is removed."""
+        """Return the configuration after a checked change; an entry of None is removed."""
         if delta is self._next[0]:
             return self._next[1]
-        raws, typed, mark, size = dict(self.raws), {}, self.mark, self.size
-        for table, part in delta.items():
-            held = raws.get(table, {})
-            changes = _changes(held, part)
-            kept, shown = dict(held), dict(getattr(self.document, table))
-            for name, entry in changes.items():
-                if name in kept:
-                    old_mark, old_size = _mark(table, name, kept[name])
-                    mark, size = mark - old_mark, size - old_size
+        raws, typed_tables, digest_sum, size = dict(self.raws), {}, self.digest_sum, self.size
+        for table, table_change in delta.items():
+            entries = raws.get(table, {})
+            entry_changes = _entry_changes(entries, table_change)
+            raw_entries, typed_entries = dict(entries), dict(getattr(self.document, table))
+            for name, entry in entry_changes.items():
+                if name in raw_entries:
+                    old_digest, old_size = _entry_digest(table, name, raw_entries[name])
+                    digest_sum, size = digest_sum - old_digest, size - old_size
                 if entry is None:
-                    kept.pop(name, None)
-                    shown.pop(name, None)
+                    raw_entries.pop(name, None)
+                    typed_entries.pop(name, None)
                 else:
-                    kept[name], shown[name] = entry, msgspec.convert(entry, KINDS[table])
-                    new_mark, new_size = _mark(table, name, entry)
-                    mark, size = mark + new_mark, size + new_size
-            if isinstance(part, (list, tuple)):
-                kept = {name: kept[name] for name in part[1]}
-            raws[table], typed[table] = kept, shown
-            if part is None:
+                    raw_entries[name], typed_entries[name] = (
+                        entry,
+                        msgspec.convert(entry, ENTRY_TYPES[table]),
+                    )
+                    new_digest, new_size = _entry_digest(table, name, entry)
+                    digest_sum, size = digest_sum + new_digest, size + new_size
+            if isinstance(table_change, (list, tuple)):
+                raw_entries = {name: raw_entries[name] for name in table_change[1]}
+            raws[table], typed_tables[table] = raw_entries, typed_entries
+            if table_change is None:
                 del raws[table]
-        old = self.document
-        document = Document(**{table: typed.get(table, getattr(old, table)) for table in KINDS})
-        return Configuration(raws, document, mark % (1 << 128), size)
+        old_document = self.document
+        document = Document(
+            **{
+                table: typed_tables.get(table, getattr(old_document, table))
+                for table in ENTRY_TYPES
+            }
+        )
+        return Configuration(raws, document, digest_sum % (1 << 128), size)
--- a/swiftdeck/config/document.py
+++ b/swiftdeck/config/document.py
@@ -1,4 +1,4 @@
-"""The configuration that operators put: checked whole, merged by patches."""
+"""The schema of the configuration that operators put, and JSON merge patches for it."""
 
 import hashlib
 import re
@@ -9,13 +9,14 @@
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._:/-]{0,126}\Z")]
 Count = Annotated[int, msgspec.Meta(ge=1, le=100000)]
 Ms = Annotated[int, msgspec.Meta(ge=0, le=3600000)]
-Amount = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
-Part = Annotated[float, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
+# Names of the only entries of the tables `edition` and `limits`.
 EDITION, LIMITS = "operator", "callers"
 
 
 class Model(msgspec.Struct, forbid_unknown_fields=True, rename=None):
-    """What is said of the workers of one model."""
+    """Settings for all workers that serve one model."""
 
     weights: Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
     cap: Count = 16
@@ -30,9 +31,10 @@
 
 
 class Tenant(msgspec.Struct, forbid_unknown_fields=True):
-    """Who may call, by digests of keys, whether its prefixes are kept apart, and its rank.
+    """A tenant: digests of its API keys, and how its calls are treated.
 
-    Rank 0 is the highest.
+    `apart` keeps its cached prefixes separate from those of other tenants. `urgency` is its rank,
+    0 being the highest.
     """
 
     keys: list[Annotated[str, msgspec.Meta(pattern=r"^sha256:[0-9a-f]{64}$")]] = []
@@ -42,7 +44,7 @@
 
 
 class Route(msgspec.Struct, forbid_unknown_fields=True):
-    """Which calls go to which model, and how they may be tried."""
+    """The model that serves calls of a route, with their retry rules and time limits."""
 
     model: Name
     repeatable: bool = False
@@ -55,72 +57,76 @@
 
 
 class Service(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
-    """Workers that are alike, or a store of prefixes at an address."""
+    """A group of identical workers, or a prefix store at `store_addr`."""
 
     models: list[Name] = []
     health_path: str = ""
-    connections_most: Amount = 0
-    slots: Amount = 0
-    cache_tokens: Amount = 0
-    token_bytes: Amount = 0
-    network_mbps: Part = 0
-    followers_most: Amount = 0
+    connections_most: NonNegativeInt = 0
+    slots: NonNegativeInt = 0
+    cache_tokens: NonNegativeInt = 0
+    token_bytes: NonNegativeInt = 0
+    network_mbps: NonNegativeFloat = 0
+    followers_most: NonNegativeInt = 0
     store_addr: str = ""
     zone: str = ""
     told: dict = {}
 
 
 class Backing(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
-    """A service's part of a split."""
+    """A service that a path sends traffic to, and its relative share of it."""
 
     service: Name
-    share: Part
+    share: NonNegativeFloat
 
 
 class Path(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
-    """A route by host and path prefix."""
+    """A route that is selected by host and path prefix."""
 
     host: str
     prefix: str
     services: Annotated[list[Backing], msgspec.Meta(min_length=1)]
     timeout_ms: Annotated[int, msgspec.Meta(ge=1, lt=1 << 53)]
-    target_ms: Amount = 0
+    target_ms: NonNegativeInt = 0
     urgency: int = 5
     tries: Annotated[int, msgspec.Meta(ge=1, lt=1 << 53)] = 1
     public: bool = False
     streaming: bool = False
     repeatable: bool = False
     resumable: bool = False
-    gap_ms: Amount = 0
+    gap_ms: NonNegativeInt = 0
     told: dict = {}
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
-    """What a caller may send, how long its head may take, and how long it may sit idle."""
+    """Limits on client connections: sizes of the request head and body, and wait times.
 
-    head_bytes: Amount = 16384
-    body_bytes: Amount = 4 << 20
-    head_wait_ms: Amount = 3000
-    idle_ms: Amount = 15000
+    `head_wait_ms` bounds the time until a request head is complete, `idle_ms` the time that a
+    connection may stay idle.
+    """
+
+    head_bytes: NonNegativeInt = 16384
+    body_bytes: NonNegativeInt = 4 << 20
+    head_wait_ms: NonNegativeInt = 3000
+    idle_ms: NonNegativeInt = 15000
     told: dict = {}
 
 
 class Edition(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
-    """The operator's own number of the configuration, and what holds for all callers.
+    """The operator's own number of the configuration, and settings for all callers.
 
-    `keyed` says whether callers need a tenant's key, `walls` how often tenants were set apart:
-    what a tenant made before that lies among what all share, so `walls` goes up with each and
-    names other prefixes for all.
+    `keyed` says whether callers need a tenant's key. `walls` counts how often a tenant was set
+    apart. Prefixes that a tenant cached before that are among the shared ones, so each increment
+    of `walls` changes the names of cached prefixes for all tenants.
     """
 
-    number: Amount
+    number: NonNegativeInt
     keyed: bool = True
-    walls: Amount = 0
+    walls: NonNegativeInt = 0
     told: dict = {}
 
 
 class Document(msgspec.Struct, forbid_unknown_fields=True):
-    """A whole configuration; `told` in an entry is what its operator sent for it, unchanged."""
+    """A whole configuration; `told` of an entry is what the operator sent for it, unchanged."""
 
     models: dict[Name, Model] = {}
     tenants: dict[Name, Tenant] = {}
@@ -130,36 +136,41 @@
     limits: dict[Name, Limits] = {}
     edition: dict[Name, Edition] = {}
 
-    def dangling(self):
-        """Paths of names that point nowhere, and of keys that two tenants share."""
+    def conflicts(self):
+        """Yield a message for each conflict between entries.
+
+        These are references to missing entries, API keys that two tenants share, adaptive caps
+        whose minimum is above the cap, splits whose shares sum to 0, and duplicate host and prefix
+        pairs.
+        """
         yield from (
             f"$.routes.{name}.model: no model `{route.model}`"
             for name, route in self.routes.items()
             if route.model not in self.models
         )
         yield from (
-            f"$.routes.{name}.tenants[{at}]: no tenant `{tenant}`"
+            f"$.routes.{name}.tenants[{index}]: no tenant `{tenant}`"
             for name, route in self.routes.items()
-            for at, tenant in enumerate(route.tenants)
+            for index, tenant in enumerate(route.tenants)
             if tenant not in self.tenants
         )
-        seen = {}
+        owners = {}
         for name, tenant in self.tenants.items():
-            for at, key in enumerate(tenant.keys):
-                if seen.setdefault(key, name) != name:
-                    yield f"$.tenants.{name}.keys[{at}]: key is also of tenant `{seen[key]}`"
+            for index, key in enumerate(tenant.keys):
+                if owners.setdefault(key, name) != name:
+                    yield f"$.tenants.{name}.keys[{index}]: key is also of tenant `{owners[key]}`"
         yield from (
             f"$.models.{name}.capLeast: is above cap"
             for name, model in self.models.items()
             if model.adapts and model.capLeast > model.cap
         )
-        yield from self._dangling_paths()
+        yield from self._path_conflicts()
 
-    def _dangling_paths(self):
+    def _path_conflicts(self):
         yield from (
-            f"$.paths.{name}.services[{at}].service: no service `{backing.service}`"
+            f"$.paths.{name}.services[{index}].service: no service `{backing.service}`"
             for name, path in self.paths.items()
-            for at, backing in enumerate(path.services)
+            for index, backing in enumerate(path.services)
             if backing.service not in self.services
         )
         yield from (
@@ -167,32 +178,34 @@
             for name, path in self.paths.items()
             if not sum([backing.share for backing in path.services])
         )
-        seen = {}
+        path_of_prefix = {}
         for name, path in self.paths.items():
-            first = seen.setdefault((path.host, path.prefix), name)
-            if first != name:
-                yield f"$.paths.{name}.prefix: host and prefix are also of path `{first}`"
+            other_path = path_of_prefix.setdefault((path.host, path.prefix), name)
+            if other_path != name:
+                yield f"$.paths.{name}.prefix: host and prefix are also of path `{other_path}`"
 
 
-def told(error, path):
-    """A fault's text with the path to the field in front."""
+def format_error(error, path):
+    """Return the text of a validation error, preceded by the JSON path of the field."""
     text = str(error)
-    found = re.search(r" - at `\$([^`]*)`$", text)
-    return f"{path}{found.group(1)}: {text[: found.start()]}" if found else f"{path}: {text}"
+    location = re.search(r" - at `\$([^`]*)`$", text)
+    return (
+        f"{path}{location.group(1)}: {text[: location.start()]}" if location else f"{path}: {text}"
+    )
 
 
 def merge(target, patch):
-    """JSON merge patch, RFC 7396."""
+    """Apply a JSON merge patch (RFC 7396); entries of the target keep their order."""
     if not isinstance(patch, dict):
         return patch
-    kept = dict(target) if isinstance(target, dict) else {}
+    old = dict(target) if isinstance(target, dict) else {}
     return {
-        name: merge(kept.get(name), patch[name]) if name in patch else kept[name]
-        for name in [*kept, *(name for name in patch if name not in kept)]
-        if patch.get(name, kept) is not None
+        name: merge(old.get(name), patch[name]) if name in patch else old[name]
+        for name in [*old, *(name for name in patch if name not in old)]
+        if patch.get(name, old) is not None
     }
 
 
 def key_digest(key: str) -> str:
-    """How a tenant's key stands in a configuration."""
+    """Return the digest under which a configuration stores a tenant's key."""
     return "sha256:" + hashlib.sha256(key.encode("utf-8", "surrogatepass")).hexdigest()
--- a/swiftdeck/config/policy.py
+++ b/swiftdeck/config/policy.py
@@ -1,21 +1,31 @@
-"""Switches of the mechanisms by which a gateway decides: each can be measured without it."""
+"""Switches for the mechanisms by which a gateway decides, so that each can be measured."""
 
 import msgspec
 
 
 class Policy(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Which mechanisms are on: the table `policy` of the settings.
-
-    What guards a rule has no switch. `admission` counts the tokens of open episodes against a
-    worker's memory, `lines` lets calls wait for a place, `turns` serves the tenants of a line in
-    turn. `lane` keeps some workers for short calls, `ring` gives each shared part a place of its
-    own, `warmth` prefers workers that keep parts, `expectations` counts on parts that are being
-    read. `peers` and `store` are where parts are moved from, `pace` is learned of each worker,
-    `judge` leaves workers alone after failures, `sharing` tells other routers of them.
-    `declines` lets the owner of a book send a call to the next candidate while its worker has more
-    to read than the router knew. `short_first` gives short calls the higher urgency, `patience`
-    gives a worker the time to read a prompt before it counts as silent, `connections` prefers
-    workers with a kept connection for short calls.
+    """The table `policy` of the settings: which mechanisms of a gateway are on.
+
+    Mechanisms that correctness depends on have no switch.
+
+    Attributes:
+        admission: Count the tokens of open episodes against a worker's memory.
+        lines: Let calls wait in a queue for a place at a worker.
+        turns: Serve the tenants of a queue in turn.
+        lane: Reserve some workers for short calls.
+        ring: Give each shared prompt part a home worker on a hash ring.
+        warmth: Prefer workers that have cached parts of the prompt.
+        expectations: Count parts that a worker is reading at present as cached.
+        peers: Copy cached parts from other workers.
+        store: Copy cached parts from the prefix store.
+        pace: Learn the speed of each worker.
+        judge: Avoid a worker for some time after failures.
+        sharing: Tell other routers of failed workers.
+        short_first: Give short calls the higher urgency.
+        patience: Allow a worker the time to read a prompt before it counts as silent.
+        declines: Let the owner of a worker's slots pass a call to the next candidate while the
+            worker has more to read than the router knew.
+        connections: Prefer workers with an open idle connection for short calls.
     """
 
     admission: bool = True
@@ -37,4 +47,4 @@
 
 
 ALL_ON = Policy()
-"""Every mechanism, as a fleet runs."""
+"""All mechanisms on, the default of a fleet."""
--- a/swiftdeck/config/settings.py
+++ b/swiftdeck/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a process: a TOML file or flags, checked, with defaults for all but addresses."""
+"""Settings of a process, read from a TOML file and flags."""
 
 import ipaddress
 import tomllib
@@ -12,8 +12,8 @@
 
 Ms = Annotated[int, msgspec.Meta(ge=10, le=600000)]
 
-
-OWN = {
+# Settings that may differ between the processes of a site; all others must be the same.
+PER_PROCESS_SETTINGS = {
     "name",
     "inner",
     "http",
@@ -30,7 +30,7 @@
 
 
 class Settings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Where a process stands and how it keeps time; every duration is in milliseconds."""
+    """The name, addresses, time limits and other bounds of a process; durations are in ms."""
 
     name: Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,63}$")]
     inner: str
@@ -80,24 +80,24 @@
     partsMost: Annotated[int, msgspec.Meta(ge=1, le=100000)] = 2000
 
     def shared(self):
-        """The settings that must be the same in all processes of a site."""
+        """Return the settings that must be the same in all processes of a site."""
         return {
             field.name: getattr(self, field.name)
             for field in msgspec.structs.fields(self)
-            if field.name not in OWN
+            if field.name not in PER_PROCESS_SETTINGS
         }
 
     def faults(self):
-        """What is wrong beyond the types."""
+        """Yield a message for each invalid address and each conflict between settings."""
         for name in ("inner", "http"):
-            yield from self._addr_faults(name, getattr(self, name))
-        for at, seed in enumerate(self.seeds):
-            yield from self._addr_faults(f"seeds[{at}]", seed)
-        for at, founder in enumerate(self.founders):
-            yield from self._addr_faults(f"founders[{at}]", founder)
+            yield from self._address_faults(name, getattr(self, name))
+        for index, seed in enumerate(self.seeds):
+            yield from self._address_faults(f"seeds[{index}]", seed)
+        for index, founder in enumerate(self.founders):
+            yield from self._address_faults(f"founders[{index}]", founder)
         for name in ("platform", "store", "opsHttp"):
             if getattr(self, name):
-                yield from self._addr_faults(name, getattr(self, name))
+                yield from self._address_faults(name, getattr(self, name))
         if self.configLicenceMs <= self.viewLicenceMs:
             yield "configLicenceMs: must be above viewLicenceMs"
         if self.grantMs >= self.holdLicenceMs:
@@ -108,7 +108,7 @@
             yield "http: is the same as inner"
 
     @staticmethod
-    def _addr_faults(name, addr):
+    def _address_faults(name, addr):
         ip, _, port = addr.rpartition(":")
         try:
             ipaddress.ip_address(ip)
@@ -119,7 +119,10 @@
 
 
 def read_settings(path: str = "", flags: dict | None = None):
-    """Checked settings from a file, from flags, or from both, the flags going first; or a fault."""
+    """Return settings from a file and flags, or a fault if they are invalid.
+
+    Flags take precedence over the file; a flag that is None, "" or [] counts as not given.
+    """
     try:
         values = tomllib.loads(Path(path).read_text()) if path else {}
         values |= {
@@ -128,5 +131,5 @@
         settings = msgspec.convert(values, Settings)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
         return BAD_SETTING.with_reason(f"{path}: {error}" if path else error)
-    first = next(settings.faults(), None)
-    return settings if first is None else BAD_SETTING.with_reason(first)
+    fault = next(settings.faults(), None)
+    return settings if fault is None else BAD_SETTING.with_reason(fault)
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -15,8 +15,8 @@
         "routes": {"r": {"model": "m"}, "s": {"model": "m", "single": True}},
     }
 
-    def test_a_change_gives_what_reading_the_whole_gives(self):
-        held = Configuration.read(msgspec.json.encode(self.WHOLE))
+    def test_applying_a_change_equals_parsing_the_whole_result(self):
+        configuration = Configuration.read(msgspec.json.encode(self.WHOLE))
         for patch in (
             {"models": {"m": {"cap": 3}}},
             {"routes": {"r": None, "t": {"model": "m"}}},
@@ -25,28 +25,34 @@
             {"routes": {"s": {"single": None}}},
             {"tenants": None},
         ):
-            whole = merge(msgspec.json.decode(held.bytes()), patch)
-            held = held.apply(held.patch(patch))
-            other = Configuration.read(msgspec.json.encode(whole))
+            whole = merge(msgspec.json.decode(configuration.bytes()), patch)
+            configuration = configuration.apply(configuration.patch(patch))
+            expected = Configuration.read(msgspec.json.encode(whole))
             self.assertEqual(
-                (held.raws, held.document, held.digest(), held.size),
-                (other.raws, other.document, other.digest(), other.size),
+                (
+                    configuration.raws,
+                    configuration.document,
+                    configuration.digest(),
+                    configuration.size,
+                ),
+                (expected.raws, expected.document, expected.digest(), expected.size),
                 patch,
             )
-            self.assertEqual(held.bytes(), msgspec.json.encode(whole))
+            self.assertEqual(configuration.bytes(), msgspec.json.encode(whole))
 
-    def test_putting_a_whole_document_changes_only_what_differs(self):
-        held = Configuration.read(msgspec.json.encode(self.WHOLE))
-        fresh = self.WHOLE | {"routes": {"r": {"model": "m"}, "u": {"model": "m"}}}
-        delta = held.put(fresh)
+    def test_put_changes_only_entries_that_differ(self):
+        configuration = Configuration.read(msgspec.json.encode(self.WHOLE))
+        new_document = self.WHOLE | {"routes": {"r": {"model": "m"}, "u": {"model": "m"}}}
+        delta = configuration.put(new_document)
         self.assertEqual(delta, {"routes": {"s": None, "u": {"model": "m"}}})
         self.assertEqual(
-            held.apply(delta).digest(), Configuration.read(msgspec.json.encode(fresh)).digest()
+            configuration.apply(delta).digest(),
+            Configuration.read(msgspec.json.encode(new_document)).digest(),
         )
-        self.assertNotEqual(held.digest(), held.apply(delta).digest())
+        self.assertNotEqual(configuration.digest(), configuration.apply(delta).digest())
 
-    def test_faults_name_the_path(self):
-        held = Configuration.read(msgspec.json.encode(self.WHOLE))
+    def test_fault_reason_begins_with_the_path(self):
+        configuration = Configuration.read(msgspec.json.encode(self.WHOLE))
         for patch, path in [
             ({"routes": {"r": {"model": "x"}}}, "$.routes.r.model"),
             ({"routes": {"r": {"foo": 1}}}, "$.routes.r"),
@@ -57,12 +63,12 @@
             ({"routes": 3}, "$.routes"),
             ({"routes": {"r": 3}}, "$.routes.r"),
         ]:
-            fault = held.patch(patch)
+            fault = configuration.patch(patch)
             self.assertTrue(is_fault(fault), patch)
             self.assertTrue(fault.reason.startswith(path), fault.reason)
         self.assertTrue(
             all(
-                is_fault(held.put(wrong))
-                for wrong in ([], {"routes": None}, {"routes": {"r": None}})
+                is_fault(configuration.put(invalid_document))
+                for invalid_document in ([], {"routes": None}, {"routes": {"r": None}})
             )
         )
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -7,7 +7,7 @@
 
 
 class DocumentTest(unittest.TestCase):
-    def test_merge_patch_as_the_rfc_says(self):
+    def test_merge_follows_rfc_7396(self):
         for target, patch, result in [
             ({"a": "b"}, {"a": None}, {}),
             ({"a": [1]}, {"a": {"b": None}}, {"a": {}}),
@@ -18,7 +18,7 @@
             self.assertEqual(merge(target, patch), result)
         self.assertEqual(list(merge({"a": 1, "b": 2}, {"a": 3, "c": 4})), ["a", "b", "c"])
 
-    def test_faults_name_the_path(self):
+    def test_fault_reason_begins_with_the_path(self):
         from swiftdeck.config.configuration import Configuration
 
         model = '"models":{"m":{"weights":"w"}}'
--- a/tests/config/test_outward_names.py
+++ b/tests/config/test_outward_names.py
@@ -1,4 +1,4 @@
-"""Tests of the names that settings files and configuration documents use."""
+"""Tests of the field names in settings files and configuration documents."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 )
 from swiftdeck.config.settings import Settings
 
-NAMES = {
+OUTWARD_NAMES = {
     Settings: [
         "name",
         "inner",
@@ -125,7 +125,7 @@
 
 
 class OutwardNamesTest(unittest.TestCase):
-    def test_the_names_that_operators_write_stay_whatever_the_attributes_are_called(self):
-        for struct, names in NAMES.items():
+    def test_encoded_names_do_not_follow_renamed_attributes(self):
+        for struct, names in OUTWARD_NAMES.items():
             fields = [field.encode_name for field in msgspec.structs.fields(struct)]
             self.assertEqual(fields, names, struct.__name__)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -10,10 +10,10 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_each_fault_is_named(self):
-        good = {"name": "r1", "inner": "127.0.0.1:7000", "http": "127.0.0.1:8000"}
-        self.assertEqual(read_settings(flags=good).configLicenceMs, 4000)
-        for wrong, word in [
+    def test_fault_reason_names_the_setting(self):
+        valid = {"name": "r1", "inner": "127.0.0.1:7000", "http": "127.0.0.1:8000"}
+        self.assertEqual(read_settings(flags=valid).configLicenceMs, 4000)
+        for invalid, setting in [
             ({"inner": "localhost:1"}, "inner"),
             ({"seeds": ["127.0.0.1"]}, "seeds[0]"),
             ({"probeMs": "fast"}, "probeMs"),
@@ -21,19 +21,19 @@
             ({"http": "127.0.0.1:7000"}, "http"),
             ({"configLicenceMs": 1000}, "configLicenceMs"),
         ]:
-            fault = read_settings(flags=good | wrong)
+            fault = read_settings(flags=valid | invalid)
             self.assertTrue(is_fault(fault))
-            self.assertIn(word, fault.reason)
+            self.assertIn(setting, fault.reason)
 
-    def test_each_setting_and_its_default_stand_in_the_docs(self):
+    def test_docs_list_each_setting_with_its_default(self):
         path = Path(__file__).resolve().parent.parent.parent / "docs" / "operations.md"
         if not path.exists():
             self.skipTest("the docs are not installed with the package")
-        told = {}
+        documented = {}
         for line in path.read_text().splitlines():
             cells = [cell.strip() for cell in line.strip("|").split("|")]
             if line.startswith("| `") and len(cells) == 3:
-                told |= dict(
+                documented |= dict(
                     zip(
                         cells[0].replace("`", "").split(", "),
                         cells[1].replace("`", "").split(", "),
@@ -42,6 +42,6 @@
                 )
         defaults = {field.name: field.default for field in msgspec.structs.fields(Settings)}
         for name, default in defaults.items():
-            self.assertIn(name, told)
+            self.assertIn(name, documented)
             if isinstance(default, (int, float)):
-                self.assertEqual(told[name], str(default), name)
+                self.assertEqual(documented[name], str(default), name)
