--- a/swiftdeck/disk/__init__.py
+++ b/swiftdeck/disk/__init__.py
@@ -1,1 +1,1 @@
-"""Files of checksummed records."""
+"""The data folder of a process, and journals of checksummed records in it."""
--- a/swiftdeck/disk/journal.py
+++ b/swiftdeck/disk/journal.py
@@ -9,99 +9,109 @@
 
 from swiftdeck.fault import CORRUPT_RECORD
 
-HEADER, CHECK = struct.Struct(">IIB"), struct.Struct(">H")
-MARK, OLD_MARK = 0xD6, 0xD5
-SECTOR = 512
-LEAD = HEADER.size + CHECK.size
+# Body length, CRC-32 of the body and magic byte, followed by the low 16 bits of their CRC-32.
+HEADER, HEADER_CHECK = struct.Struct(">IIB"), struct.Struct(">H")
+# Records with the old magic byte have no header check; they are read but no longer written.
+MAGIC, OLD_MAGIC = 0xD6, 0xD5
+SECTOR_BYTES = 512
+FULL_HEADER_BYTES = HEADER.size + HEADER_CHECK.size
 
 
-def head_of(body) -> bytes:
-    """What stands before a record: its length, its checksum, a mark, and a check of these."""
-    head = HEADER.pack(len(body), zlib.crc32(body), MARK)
-    return head + CHECK.pack(zlib.crc32(head) & 0xFFFF)
+def encode_header(body) -> bytes:
+    """Return the header of a record: body length, body checksum, magic byte and header check."""
+    header = HEADER.pack(len(body), zlib.crc32(body), MAGIC)
+    return header + HEADER_CHECK.pack(zlib.crc32(header) & 0xFFFF)
 
 
 class Journal:
-    """Records in one file; a torn last one is cut off, damage anywhere is refused.
+    """An append-only file of MessagePack records with checksums.
 
-    A write that the power cut short leaves the beginning of a record, and where the file had grown
-    already, zeros from some sector on; a record that is all there but does not add up was whole
-    once, and may have been acknowledged.
+    Loading truncates a torn last record and refuses a file that is damaged anywhere. A write that
+    was interrupted by a loss of power leaves the beginning of a record or, if the file had already
+    grown, zeros from some sector on. A complete record with a wrong checksum was whole once and
+    may have been acknowledged, so it is never dropped.
     """
 
     def __init__(self, folder, name):
         self.folder, self.name = folder, name
-        self.size, self.since_s = 0, None
+        self.size, self.busy_since_s = 0, None
 
     @staticmethod
     def frame(record) -> bytes:
-        """One record with its length and checksum."""
+        """Encode one record with its header."""
         body = msgspec.msgpack.encode(record)
-        return head_of(body) + body
+        return encode_header(body) + body
 
     def load(self):
-        """All records, or a fault when one is damaged."""
+        """Return all records, or a fault if one is damaged; truncate a torn last record.
+
+        A record counts as torn only if no valid record follows it.
+        """
         data = self.folder.read(self.name)
-        records, at = [], 0
-        while at < len(data):
-            found = self._record_at(data, at)
-            if found is None:
-                if not self._is_torn(data, at) or any(
-                    self._record_at(data, later) for later in self._marks(data, at + 1)
+        records, offset = [], 0
+        while offset < len(data):
+            parsed = self._read_record(data, offset)
+            if parsed is None:
+                if not self._is_torn(data, offset) or any(
+                    self._read_record(data, later_offset)
+                    for later_offset in self._magic_offsets(data, offset + 1)
                 ):
-                    return CORRUPT_RECORD.with_reason(f"{self.name} at byte {at}")
-                self.folder.truncate(self.name, at)
+                    return CORRUPT_RECORD.with_reason(f"{self.name} at byte {offset}")
+                self.folder.truncate(self.name, offset)
                 break
-            record, at = found
+            record, offset = parsed
             records.append(record)
-        self.size = at
+        self.size = offset
         return records
 
     def is_sound(self) -> bool:
-        """Whether the file still reads back whole, as a sweep wants to know."""
-        data, at = self.folder.read(self.name), 0
-        while at < len(data):
-            found = self._record_at(data, at)
-            if found is None:
+        """Return whether the file on disk still holds valid records up to the expected size.
+
+        Called periodically to detect damage after the file was loaded.
+        """
+        data, offset = self.folder.read(self.name), 0
+        while offset < len(data):
+            parsed = self._read_record(data, offset)
+            if parsed is None:
                 return False
-            at = found[1]
-        return at == self.size
+            offset = parsed[1]
+        return offset == self.size
 
     @staticmethod
-    def _is_torn(data, at):
-        """Whether what begins here can be the beginning of a record whose end was never written."""
-        if len(data) - at < LEAD or not any(data[at:]):
+    def _is_torn(data, offset):
+        """Return whether the data from an offset on can be a record whose write was cut short."""
+        if len(data) - offset < FULL_HEADER_BYTES or not any(data[offset:]):
             return True
-        written = at + len(data[at:].rstrip(b"\0"))
-        if -(-written // SECTOR) * SECTOR < len(data):
+        written_end = offset + len(data[offset:].rstrip(b"\0"))
+        if -(-written_end // SECTOR_BYTES) * SECTOR_BYTES < len(data):
             return True
-        length, _, mark = HEADER.unpack_from(data, at)
-        is_head = (
-            mark == OLD_MARK
-            or zlib.crc32(data[at : at + HEADER.size]) & 0xFFFF
-            == CHECK.unpack_from(data, at + HEADER.size)[0]
+        length, _, magic = HEADER.unpack_from(data, offset)
+        is_header_valid = (
+            magic == OLD_MAGIC
+            or zlib.crc32(data[offset : offset + HEADER.size]) & 0xFFFF
+            == HEADER_CHECK.unpack_from(data, offset + HEADER.size)[0]
         )
-        return is_head and at + LEAD + length > len(data)
+        return is_header_valid and offset + FULL_HEADER_BYTES + length > len(data)
 
-    def _marks(self, data, start):
-        for mark in (MARK, OLD_MARK):
-            at = data.find(mark, start + HEADER.size - 1)
-            while at >= 0:
-                yield at - HEADER.size + 1
-                at = data.find(mark, at + 1)
+    def _magic_offsets(self, data, start):
+        for magic in (MAGIC, OLD_MAGIC):
+            offset = data.find(magic, start + HEADER.size - 1)
+            while offset >= 0:
+                yield offset - HEADER.size + 1
+                offset = data.find(magic, offset + 1)
 
-    def _record_at(self, data, at):
-        if at + HEADER.size > len(data):
+    def _read_record(self, data, offset):
+        if offset + HEADER.size > len(data):
             return None
-        length, checksum, mark = HEADER.unpack_from(data, at)
-        start = at + (LEAD if mark == MARK else HEADER.size)
+        length, checksum, magic = HEADER.unpack_from(data, offset)
+        start = offset + (FULL_HEADER_BYTES if magic == MAGIC else HEADER.size)
         end = start + length
-        if mark not in (MARK, OLD_MARK) or end > len(data) or not length:
+        if magic not in (MAGIC, OLD_MAGIC) or end > len(data) or not length:
             return None
         if (
-            mark == MARK
-            and zlib.crc32(data[at : at + HEADER.size]) & 0xFFFF
-            != CHECK.unpack_from(data, at + HEADER.size)[0]
+            magic == MAGIC
+            and zlib.crc32(data[offset : offset + HEADER.size]) & 0xFFFF
+            != HEADER_CHECK.unpack_from(data, offset + HEADER.size)[0]
         ):
             return None
         body = data[start:end]
@@ -110,38 +120,43 @@
         return msgspec.msgpack.decode(body), end
 
     def append(self, *records):
-        """Write records; they last once `sync` has returned."""
+        """Append records, which are durable once `sync` has returned.
+
+        After an OSError the file is truncated to its former size, if the disk allows it.
+        """
         data = b"".join(self.frame(record) for record in records)
         try:
             self.folder.append(self.name, data)
         except OSError:
-            self._cut_back()
+            self._truncate_to_size()
             raise
         self.size += len(data)
 
-    def _cut_back(self):
+    def _truncate_to_size(self):
         with contextlib.suppress(OSError, KeyError):
             self.folder.truncate(self.name, self.size)
 
     async def sync(self):
-        """Make what was appended last."""
-        await self._timed(self.folder.sync(self.name))
+        """Flush appended records to disk."""
+        await self._run_timed(self.folder.sync(self.name))
 
-    async def _timed(self, work):
-        self.since_s = asyncio.get_running_loop().time()
+    async def _run_timed(self, operation):
+        self.busy_since_s = asyncio.get_running_loop().time()
         try:
-            await work
+            await operation
         finally:
-            self.since_s = None
+            self.busy_since_s = None
 
     def stall_ms(self) -> float:
-        """How long the disk has been busy with what it does now."""
+        """Return for how many ms the sync or rewrite in progress has been running, 0 if none is."""
         return (
-            0 if self.since_s is None else (asyncio.get_running_loop().time() - self.since_s) * 1000
+            0
+            if self.busy_since_s is None
+            else (asyncio.get_running_loop().time() - self.busy_since_s) * 1000
         )
 
     async def rewrite(self, records):
-        """Put other records in place of the whole file."""
+        """Replace the whole file with other records."""
         data = b"".join(self.frame(record) for record in records)
-        await self._timed(self.folder.replace(self.name, data))
+        await self._run_timed(self.folder.replace(self.name, data))
         self.size = len(data)
--- a/swiftdeck/runtime/__init__.py
+++ b/swiftdeck/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every process runs on: telemetry, shared ticks, and queues of commands."""
+"""Telemetry, shared timer ticks and command queues, which every process uses."""
--- a/swiftdeck/runtime/command_queue.py
+++ b/swiftdeck/runtime/command_queue.py
@@ -1,33 +1,36 @@
-"""A queue of commands that are run one at a time."""
+"""A queue whose commands run one at a time."""
 
 import asyncio
 import inspect
 
 
 class CommandQueue:
-    """Runs commands in the order in which they were sent; nothing else changes its table."""
+    """Runs commands one at a time, in the order in which they were sent.
+
+    State that is changed only by commands of one queue needs no lock.
+    """
 
     def __init__(self):
         self.queue = asyncio.Queue()
         self.task = asyncio.ensure_future(self._work())
 
     def send(self, command, *args):
-        """Queue a command, a function or a coroutine function; gives a future of its result."""
-        done = asyncio.get_running_loop().create_future()
-        self.queue.put_nowait((command, args, done))
-        return done
+        """Queue a function or coroutine function and return a future of its result."""
+        future = asyncio.get_running_loop().create_future()
+        self.queue.put_nowait((command, args, future))
+        return future
 
     async def _work(self):
         while True:
-            command, args, done = await self.queue.get()
+            command, args, future = await self.queue.get()
             try:
-                got = command(*args)
-                got = await got if inspect.isawaitable(got) else got
-                if not done.done():
-                    done.set_result(got)
+                result = command(*args)
+                result = await result if inspect.isawaitable(result) else result
+                if not future.done():
+                    future.set_result(result)
             except asyncio.CancelledError:
                 raise
             except Exception as error:
-                if done.done():
+                if future.done():
                     raise
-                done.set_exception(error)
+                future.set_exception(error)
--- a/swiftdeck/runtime/telemetry.py
+++ b/swiftdeck/runtime/telemetry.py
@@ -1,26 +1,29 @@
-"""The telemetry of a process: counters, facts and the log of their changes."""
+"""The telemetry of a process: counters, facts and a log of events."""
 
 from collections import Counter
 
 
 class Telemetry:
-    """What controllers read; each fact has one writer, and a change of it is logged once."""
+    """Counters, facts and the event log of a process.
+
+    Each fact has a single writer, and each change of a fact is logged once.
+    """
 
     def __init__(self, log=None):
         self.log, self.facts, self.count = log, {}, Counter()
 
     def set_fact(self, name: str, value):
-        """Write a fact; a line is logged only when it changed."""
-        old = self.facts.get(name)
-        if old != value:
+        """Set a fact; it is logged only if its value changed."""
+        old_value = self.facts.get(name)
+        if old_value != value:
             self.facts[name] = value
-            self.log_event(name, old=old, now=value)
+            self.log_event(name, old=old_value, now=value)
 
-    def get_fact(self, name: str, otherwise=None):
-        """Read a fact."""
-        return self.facts.get(name, otherwise)
+    def get_fact(self, name: str, default=None):
+        """Return the value of a fact, or the default if it was never set."""
+        return self.facts.get(name, default)
 
     def log_event(self, event: str, **fields):
-        """Log a change of state."""
+        """Log an event with its fields, if the process has a log."""
         if self.log:
             self.log.info(event, **fields)
--- a/tests/disk/test_folder.py
+++ b/tests/disk/test_folder.py
@@ -11,7 +11,7 @@
 
 
 class DataFolderTest(unittest.TestCase):
-    def test_replace_then_append_goes_to_the_new_file(self):
+    def test_append_after_replace_writes_to_the_new_file(self):
         with tempfile.TemporaryDirectory() as path:
             folder = DataFolder(path)
 
@@ -24,24 +24,24 @@
 
             asyncio.run(main())
             self.assertEqual(folder.read("f"), b"newer")
-            for file in folder.files.values():
+            for file in folder.open_files.values():
                 file.close()
-            folder.pool.shutdown()
+            folder.executor.shutdown()
 
-    def test_the_name_of_a_file_is_synced_with_the_first_sync_of_each_life(self):
+    def test_first_sync_of_a_file_in_each_run_also_syncs_the_directory(self):
         synced = []
 
-        def record(descriptor):
-            synced.append("folder" if stat.S_ISDIR(os.fstat(descriptor).st_mode) else "file")
+        def record_fsync(descriptor):
+            synced.append("directory" if stat.S_ISDIR(os.fstat(descriptor).st_mode) else "file")
 
-        def life(path, work):
+        def run_process(path, run):
             synced.clear()
             folder = DataFolder(path)
-            with mock.patch("os.fsync", record):
-                asyncio.run(work(folder))
-            for file in folder.files.values():
+            with mock.patch("os.fsync", record_fsync):
+                asyncio.run(run(folder))
+            for file in folder.open_files.values():
                 file.close()
-            folder.pool.shutdown()
+            folder.executor.shutdown()
             return list(synced)
 
         async def append_twice(folder):
@@ -55,6 +55,6 @@
             await folder.sync("f")
 
         with tempfile.TemporaryDirectory() as path:
-            self.assertEqual(life(path, append_twice), ["file", "folder", "file"])
-            self.assertEqual(life(path, append_twice), ["file", "folder", "file"])
-            self.assertEqual(life(path, replace_then_append), ["file", "folder", "file"])
+            self.assertEqual(run_process(path, append_twice), ["file", "directory", "file"])
+            self.assertEqual(run_process(path, append_twice), ["file", "directory", "file"])
+            self.assertEqual(run_process(path, replace_then_append), ["file", "directory", "file"])
--- a/tests/disk/test_journal.py
+++ b/tests/disk/test_journal.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from swiftdeck.disk.journal import HEADER, OLD_MARK, SECTOR, Journal
+from swiftdeck.disk.journal import HEADER, OLD_MAGIC, SECTOR_BYTES, Journal
 from swiftdeck.fault import is_fault
 from swiftdeck.sim.folder import SimFolder
 
@@ -16,7 +16,7 @@
         Journal(folder, "j").append({"n": 1}, {"n": 2, "x": b"\xd5" * 40}, {"n": 3})
         return folder
 
-    def test_torn_last_record_is_cut_off(self):
+    def test_torn_last_record_is_truncated(self):
         folder = self.build()
         del folder.written["j"][-1:]
         journal = Journal(folder, "j")
@@ -24,7 +24,7 @@
         journal.append({"n": 4})
         self.assertEqual([record["n"] for record in Journal(folder, "j").load()], [1, 2, 4])
 
-    def test_a_sweep_sees_damage(self):
+    def test_is_sound_detects_damage_after_loading(self):
         folder = self.build()
         journal = Journal(folder, "j")
         journal.load()
@@ -32,32 +32,32 @@
         folder.written["j"][HEADER.size + 1] ^= 1
         self.assertFalse(journal.is_sound())
 
-    def test_damage_anywhere_is_refused(self):
-        for at in range(len(self.build().written["j"])):
+    def test_load_refuses_a_flipped_bit_at_any_offset(self):
+        for offset in range(len(self.build().written["j"])):
             folder = self.build()
-            folder.written["j"][at] ^= 1
-            self.assertTrue(is_fault(Journal(folder, "j").load()), at)
+            folder.written["j"][offset] ^= 1
+            self.assertTrue(is_fault(Journal(folder, "j").load()), offset)
 
-    def test_a_record_cut_anywhere_is_torn(self):
+    def test_record_cut_at_any_byte_is_torn(self):
         size = len(self.build().written["j"])
         for cut in range(1, len(Journal.frame({"n": 3}))):
             folder = self.build()
             del folder.written["j"][size - cut :]
             self.assertEqual([record["n"] for record in Journal(folder, "j").load()], [1, 2])
 
-    def test_sectors_that_were_never_written_are_torn(self):
+    def test_record_with_unwritten_sectors_is_torn(self):
         folder = self.build()
         size = len(folder.written["j"])
         Journal(folder, "j").append({"n": 4, "x": bytes(range(1, 256)) * 8})
-        data, whole = folder.written["j"], len(folder.written["j"])
-        for start in range(SECTOR, whole, SECTOR):
+        data, end = folder.written["j"], len(folder.written["j"])
+        for start in range(SECTOR_BYTES, end, SECTOR_BYTES):
             cut = self.build()
-            cut.written["j"] = bytearray(data[:start] + bytes(whole - start))
+            cut.written["j"] = bytearray(data[:start] + bytes(end - start))
             self.assertEqual([record["n"] for record in Journal(cut, "j").load()], [1, 2, 3], start)
             self.assertEqual(len(cut.written["j"]), size)
 
-    def test_records_of_the_earlier_form_still_read(self):
+    def test_records_with_the_old_magic_byte_are_read(self):
         folder, body = SimFolder(), msgspec.msgpack.encode({"n": 0})
-        folder.append("j", HEADER.pack(len(body), zlib.crc32(body), OLD_MARK) + body)
+        folder.append("j", HEADER.pack(len(body), zlib.crc32(body), OLD_MAGIC) + body)
         Journal(folder, "j").append({"n": 1})
         self.assertEqual([record["n"] for record in Journal(folder, "j").load()], [0, 1])
--- a/tests/runtime/test_command_queue.py
+++ b/tests/runtime/test_command_queue.py
@@ -11,14 +11,14 @@
     def test_commands_do_not_overlap(self):
         world, seen = World(), []
 
-        async def slow(name):
+        async def slow_command(name):
             seen.append(name)
             await asyncio.sleep(1)
             seen.append(name)
 
         async def main():
-            owner = CommandQueue()
-            await asyncio.gather(owner.send(slow, "a"), owner.send(slow, "b"))
+            commands = CommandQueue()
+            await asyncio.gather(commands.send(slow_command, "a"), commands.send(slow_command, "b"))
 
         world.start("p", "10.0.0.1", main)
         world.run(5)
--- a/tests/runtime/test_ticks.py
+++ b/tests/runtime/test_ticks.py
@@ -8,7 +8,7 @@
 
 
 class TicksTest(unittest.TestCase):
-    def test_work_of_several_paces_wakes_at_the_same_times(self):
+    def test_tasks_with_different_periods_wake_at_the_same_times(self):
         world, times = World(), {0.25: [], 0.5: []}
         world.start("a", "10.0.0.1", lambda: asyncio.sleep(0))
 
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -15,7 +15,7 @@
             {"code": 200, "fault": "base version is not the newest", "reason": "base 3, newest 4"},
         )
 
-    def test_only_faults_before_dispatch_promise_not_run(self):
+    def test_only_faults_before_dispatch_say_not_run(self):
         self.assertTrue(
             all(not fault.notRun for code, fault in FAULTS_BY_CODE.items() if 130 <= code < 150)
         )
@@ -23,7 +23,7 @@
             all(fault.notRun for code, fault in FAULTS_BY_CODE.items() if 100 <= code < 130)
         )
 
-    def test_the_table_in_the_docs_is_this_one(self):
+    def test_docs_list_all_faults(self):
         path = Path(__file__).resolve().parent.parent / "docs" / "codes.md"
         if not path.exists():
             self.skipTest("the docs are not installed with the package")
