--- a/swiftdeck/control/__init__.py
+++ b/swiftdeck/control/__init__.py
@@ -1,1 +1,1 @@
-"""The library of the control plane."""
+"""Core processes, their HTTP API for operators, its client, and the diagnosis of a fleet."""
--- a/swiftdeck/control/archive.py
+++ b/swiftdeck/control/archive.py
@@ -1,4 +1,4 @@
-"""Acknowledged configurations in a Git-like object store, for people to read."""
+"""An archive of acknowledged configurations in a bare Git repository, for people to read."""
 
 import asyncio
 import re
@@ -14,97 +14,98 @@
 from swiftdeck.fault import NOT_FOUND, is_fault
 from swiftdeck.wire.messages import ConfigAsk
 
-REF, FILE = b"refs/heads/main", b"config.json"
-WORDS = re.compile(r"^version (\d+)\n\nChange-Id: (.*)$", re.M)
+REF, FILE_NAME = b"refs/heads/main", b"config.json"
+MESSAGE_PATTERN = re.compile(r"^version (\d+)\n\nChange-Id: (.*)$", re.M)
 
 
 class Archive:
-    """Each version that the tail answers with becomes a commit.
+    """Writes each acknowledged version of the configuration as a commit.
 
-    A failure is counted and the version left out; nothing depends on the archive.
+    A version counts as acknowledged once the tail of the chain has it. A failure is counted and
+    the version left out; no other part of the system depends on the archive.
     """
 
-    def __init__(self, path, chain, change_writer, telemetry, wall=time.time):
-        self.path, self.chain, self.change_writer, self.telemetry, self.wall = (
+    def __init__(self, path, chain, change_writer, telemetry, wall_clock=time.time):
+        self.path, self.chain, self.change_writer, self.telemetry, self.wall_clock = (
             path,
             chain,
             change_writer,
             telemetry,
-            wall,
+            wall_clock,
         )
-        self.waiting, self.pool = deque(maxlen=1000), ThreadPoolExecutor(1)
+        self.pending, self.executor = deque(maxlen=1000), ThreadPoolExecutor(1)
         chain.state.on_config = self.on_config
 
     def start(self):
-        """Go on keeping."""
-        self.task = asyncio.ensure_future(self._keeping())
+        """Start the task that archives versions."""
+        self.task = asyncio.ensure_future(self._archive_versions())
 
     def on_config(self, entry):
-        """A version was written here; whether it stands is known later."""
-        self.waiting.append(entry)
+        """Queue a version that was written at this core but may not be acknowledged yet."""
+        self.pending.append(entry)
 
-    async def _keeping(self):
+    async def _archive_versions(self):
         while True:
             await asyncio.sleep(1.0)
-            got = await self.change_writer.read_tail(ConfigAsk()) if self.waiting else None
+            tail = await self.change_writer.read_tail(ConfigAsk()) if self.pending else None
             while (
-                got
-                and not is_fault(got)
-                and self.waiting
-                and self.waiting[0]["version"] <= got.version
+                tail
+                and not is_fault(tail)
+                and self.pending
+                and self.pending[0]["version"] <= tail.version
             ):
-                await self.run(self.keep, self.waiting.popleft())
+                await self.run_in_thread(self.commit_version, self.pending.popleft())
 
-    async def run(self, work, *args):
-        """Do something with the store on its own helper thread; None when it failed."""
+    async def run_in_thread(self, function, *args):
+        """Run a function on the archive's thread; return its result, or None if it failed."""
         try:
-            return await asyncio.get_running_loop().run_in_executor(self.pool, work, *args)
+            return await asyncio.get_running_loop().run_in_executor(self.executor, function, *args)
         except Exception as error:
             self.telemetry.count["archiveFailures"] += 1
             self.telemetry.set_fact("archive", repr(error)[:200])
             return None
 
-    def _repo(self):
+    def _open_repository(self):
         if not (Path(self.path) / "objects").exists():
             return Repo.init_bare(self.path, mkdir=not Path(self.path).exists())
         return Repo(self.path)
 
-    def keep(self, entry):
-        """One commit for one version, unless it or a later one is there already."""
-        with self._repo() as repo:
+    def commit_version(self, entry):
+        """Commit a version, unless the archive has it or a later one already."""
+        with self._open_repository() as repo:
             if (
                 REF in repo.refs
-                and self._shown(repo[repo.refs[REF]])["version"] >= entry["version"]
+                and self._describe(repo[repo.refs[REF]])["version"] >= entry["version"]
             ):
                 return
             document = msgspec.json.format(entry["document"].bytes(), indent=1) + b"\n"
             blob, tree, commit = Blob.from_string(document), Tree(), Commit()
-            tree.add(FILE, 0o100644, blob.id)
-            name = re.sub(r"[<>\n\0]", " ", entry["author"]).strip() or "operator"
+            tree.add(FILE_NAME, 0o100644, blob.id)
+            author = re.sub(r"[<>\n\0]", " ", entry["author"]).strip() or "operator"
             commit.tree, commit.parents = tree.id, [repo.refs[REF]] if REF in repo.refs else []
-            commit.author = commit.committer = f"{name} <>".encode()
-            commit.author_time = commit.commit_time = int(self.wall())
+            commit.author = commit.committer = f"{author} <>".encode()
+            commit.author_time = commit.commit_time = int(self.wall_clock())
             commit.author_timezone = commit.commit_timezone = 0
             commit.encoding = b"UTF-8"
             commit.message = f"version {entry['version']}\n\nChange-Id: {entry['id']}\n".encode()
-            for each in (blob, tree, commit):
-                repo.object_store.add_object(each)
+            for git_object in (blob, tree, commit):
+                repo.object_store.add_object(git_object)
             repo.refs[REF] = commit.id
         self.telemetry.count["archived"] += 1
 
-    def log(self, most=200):
-        """The newest versions with author, change id and time."""
-        with self._repo() as repo:
+    def list_versions(self, limit=200):
+        """Return the newest versions, each with author, change id, time and commit id."""
+        with self._open_repository() as repo:
             if REF not in repo.refs:
                 return []
             return [
-                self._shown(entry.commit)
-                for entry in repo.get_walker([repo.refs[REF]], max_entries=most)
+                self._describe(entry.commit)
+                for entry in repo.get_walker([repo.refs[REF]], max_entries=limit)
             ]
 
     @staticmethod
-    def _shown(commit):
-        version, change = WORDS.search(commit.message.decode()).groups()
+    def _describe(commit):
+        version, change = MESSAGE_PATTERN.search(commit.message.decode()).groups()
         return {
             "version": int(version),
             "changeId": change,
@@ -113,16 +114,20 @@
             "commit": commit.id.decode(),
         }
 
-    def document(self, version):
-        """The text of a version, or a fault."""
-        with self._repo() as repo:
+    def read_document(self, version):
+        """Return the JSON text of a version, or a fault if the archive does not have it."""
+        with self._open_repository() as repo:
             walker = repo.get_walker([repo.refs[REF]]) if REF in repo.refs else ()
-            found = next(
-                (each.commit for each in walker if self._shown(each.commit)["version"] == version),
+            commit = next(
+                (
+                    entry.commit
+                    for entry in walker
+                    if self._describe(entry.commit)["version"] == version
+                ),
                 None,
             )
             return (
                 NOT_FOUND.with_reason(f"version {version}")
-                if found is None
-                else repo[repo[found.tree][FILE][1]].data.decode()
+                if commit is None
+                else repo[repo[commit.tree][FILE_NAME][1]].data.decode()
             )
--- a/swiftdeck/control/operators.py
+++ b/swiftdeck/control/operators.py
@@ -135,7 +135,9 @@
         if archive is None or not (version == "" or version.isdecimal()):
             return NOT_FOUND
         got = await (
-            archive.run(archive.document, int(version)) if version else archive.run(archive.log)
+            archive.run_in_thread(archive.read_document, int(version))
+            if version
+            else archive.run_in_thread(archive.list_versions)
         )
         if got is None or is_fault(got):
             return NOT_FOUND.with_reason("the archive of this core does not have it")
--- a/tests/control/test_archive.py
+++ b/tests/control/test_archive.py
@@ -12,42 +12,48 @@
 
 
 class ArchiveTest(unittest.TestCase):
-    def test_versions_are_commits_and_a_damaged_store_harms_nobody(self):
+    def test_versions_become_commits_and_a_damaged_repository_only_counts_a_failure(self):
         from swiftdeck.chain.state import ChainState
         from swiftdeck.config.configuration import Configuration
         from swiftdeck.runtime.telemetry import Telemetry
 
-        held = Configuration.read(b'{"models":{}}')
+        configuration = Configuration.read(b'{"models":{}}')
 
-        class Alone:
+        class FakeChain:
             state = ChainState()
 
-        with tempfile.TemporaryDirectory() as path:
-            archive = Archive(f"{path}/history", Alone(), None, Telemetry(), wall=lambda: 7)
+        with tempfile.TemporaryDirectory() as directory:
+            archive = Archive(
+                f"{directory}/history", FakeChain(), None, Telemetry(), wall_clock=lambda: 7
+            )
             for version in (1, 2, 1):
-                archive.keep(
+                archive.commit_version(
                     {
                         "version": version,
                         "id": f"c{version}",
                         "author": "ana <x>\n",
-                        "document": held,
+                        "document": configuration,
                     }
                 )
             self.assertEqual(
-                [(each["version"], each["changeId"], each["author"]) for each in archive.log()],
+                [
+                    (each["version"], each["changeId"], each["author"])
+                    for each in archive.list_versions()
+                ],
                 [(2, "c2", "ana  x"), (1, "c1", "ana  x")],
             )
-            self.assertEqual(msgspec.json.decode(archive.document(1)), {"models": {}})
-            self.assertTrue(is_fault(archive.document(9)))
-            for each in Path(path, "history").rglob("*"):
+            self.assertEqual(msgspec.json.decode(archive.read_document(1)), {"models": {}})
+            self.assertTrue(is_fault(archive.read_document(9)))
+            for each in Path(directory, "history").rglob("*"):
                 if each.is_file():
                     each.write_bytes(b"damage")
 
             async def main():
-                return await archive.run(
-                    archive.keep, {"version": 3, "id": "c", "author": "", "document": held}
+                return await archive.run_in_thread(
+                    archive.commit_version,
+                    {"version": 3, "id": "c", "author": "", "document": configuration},
                 )
 
             self.assertIsNone(asyncio.run(main()))
             self.assertEqual(archive.telemetry.count["archiveFailures"], 1)
-            archive.pool.shutdown()
+            archive.executor.shutdown()
