--- a/swiftdeck/config/configuration.py
+++ b/swiftdeck/config/configuration.py
@@ -14,8 +14,8 @@
     Route,
     Service,
     Tenant,
-    format_error,
     merge,
+    told,
 )
 from swiftdeck.fault import INVALID_CONFIG, is_fault
 
@@ -234,7 +234,7 @@
                     if entry is not None:
                         msgspec.convert(entry, ENTRY_TYPES[table])
                 except msgspec.ValidationError as error:
-                    return INVALID_CONFIG.with_reason(format_error(error, f"$.{table}.{name}"))
+                    return INVALID_CONFIG.with_reason(told(error, f"$.{table}.{name}"))
         candidate = self.apply(delta)
         if candidate.size > MAX_CONFIG_BYTES:
             return INVALID_CONFIG.with_reason(f"$: configuration is over {MAX_CONFIG_BYTES} bytes")
--- a/swiftdeck/config/document.py
+++ b/swiftdeck/config/document.py
@@ -185,7 +185,7 @@
                 yield f"$.paths.{name}.prefix: host and prefix are also of path `{other_path}`"
 
 
-def format_error(error, path):
+def told(error, path):
     """Return the text of a validation error, preceded by the JSON path of the field."""
     text = str(error)
     location = re.search(r" - at `\$([^`]*)`$", text)
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -1,4 +1,4 @@
-"""A core process: a member of the chain, a voter, and a door for operators."""
+"""A core process: a chain member and voter, with the HTTP API for operators."""
 
 import asyncio
 from collections import Counter
@@ -11,18 +11,18 @@
 from swiftdeck.chain.view_manager import ViewManager
 from swiftdeck.control.archive import Archive
 from swiftdeck.control.node import Node
-from swiftdeck.control.operators import Operators
+from swiftdeck.control.operators import OperatorHttpApi
 from swiftdeck.duty.ballots import Ballots
 from swiftdeck.fault import CORRUPT_RECORD, OUTCOME_UNDECIDED, is_fault
 from swiftdeck.http.server import HttpServer
 from swiftdeck.member.core_watch import CoreWatch
 
-EXCHANGES_S = 2.0
-"""How long exchanges with operators may go on after the order to stop."""
+OPERATOR_DRAIN_S = 2.0
+"""How long open requests of operators may take after the process was told to stop."""
 
 
 class Core(Node):
-    """One of the machines with a disk that keep the control state."""
+    """A process that stores the control state on its disk and replicates it with other cores."""
 
     def __init__(self, settings, folder, random, log=None):
         super().__init__(settings, "core", random, log)
@@ -72,13 +72,13 @@
             self.telemetry,
             settings.lossesBorne,
         )
-        path = getattr(folder, "path", None)
+        folder_path = getattr(folder, "path", None)
         self.archive = (
-            Archive(str(path / "history"), self.chain, self.change_writer, self.telemetry)
-            if path and settings.archive
+            Archive(str(folder_path / "history"), self.chain, self.change_writer, self.telemetry)
+            if folder_path and settings.archive
             else None
         )
-        self.operators = Operators(self)
+        self.operators = OperatorHttpApi(self)
         self.http = HttpServer(
             self.operators.handle,
             settings.bodyBytes * 4,
@@ -88,7 +88,10 @@
         self.agreement.watchers.append(self.on_view)
 
     async def start(self):
-        """Come up with what the disk has, and join the fleet."""
+        """Load the state on disk and join the fleet; return a fault if the disk cannot be used.
+
+        With a corrupt agreement journal the process starts as a new core and may not found a view.
+        """
         fault = await self.agreement.start()
         if is_fault(fault) and fault.code == CORRUPT_RECORD.code:
             self.telemetry.log_event("agreement damaged, begins as a new core", reason=fault.reason)
@@ -117,26 +120,26 @@
         return None
 
     def on_view(self, view):
-        """Tell the fleet of a new view."""
+        """Announce a new view to the fleet."""
         self.cluster_map.learn(view)
         self.news.post("view", view.number, bytes(view))
 
     async def stop(self):
-        """Finish what operators asked, hand place and vote over, then leave."""
+        """Finish the requests of operators, hand over chain position and vote, then leave."""
         self.http.stop()
         await asyncio.gather(
-            self.http.finish(EXCHANGES_S, OUTCOME_UNDECIDED),
+            self.http.finish(OPERATOR_DRAIN_S, OUTCOME_UNDECIDED),
             self.departure.leave(self.settings.stopMs / 1000),
         )
         self.membership.leave()
         self.mesh.close()
 
     def counters(self):
-        """All counters of the process by name."""
+        """Return all counters of the process by name."""
         return dict(Counter(super().counters()) + self.http.count)
 
     def status(self):
-        """What doctor and operators want to know of this process."""
+        """Return the status of this process as JSON fields, for operators and the diagnosis."""
         view, chain = self.agreement.decided, self.chain
         return {
             "name": self.me.name,
--- a/swiftdeck/control/doctor.py
+++ b/swiftdeck/control/doctor.py
@@ -1,4 +1,4 @@
-"""Looks for common faults from outside, by what each process says of itself."""
+"""Diagnosis of a fleet from outside, by the status of each process."""
 
 import asyncio
 import os
@@ -7,7 +7,8 @@
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import connect, fetch_json
 
-ROOM_BYTES = 64 << 20
+MIN_FREE_BYTES = 64 << 20
+# By code: what was found, and advice for operators.
 FINDINGS = {
     700: ("core does not answer", "Check that the core runs and that its HTTP address is right."),
     701: ("process is silent", "Start it, or look into its log; the fleet goes on without it."),
@@ -63,24 +64,27 @@
 
 
 def finding(code, where):
-    """One finding in its outward form."""
+    """Return a finding as the fields of a JSON object."""
     what, advice = FINDINGS[code]
     return {"code": code, "what": what, "where": where, "advice": advice}
 
 
 async def examine(client, seeds=(), folder="") -> list:
-    """All findings, by code."""
-    found = [*_folder(folder)] + await _seeds(seeds)
-    got = await client.statuses()
-    if is_fault(got) or got[0] != 200:
-        reason = got.reason if is_fault(got) else f"status {got[0]}: {got[1]}"
-        return [*found, finding(700, f"{client.door}: {reason}")]
-    statuses = got[1]
-    rates = await _rates(client, statuses)
-    return sorted([*found, *rates, *diagnose(statuses)], key=lambda each: each["code"])
-
-
-def _folder(folder):
+    """Return all findings of a fleet, sorted by code.
+
+    Checks the data folder and the seeds if given, the status and the clock of each process.
+    """
+    findings = [*_folder_findings(folder)] + await _seed_findings(seeds)
+    response = await client.statuses()
+    if is_fault(response) or response[0] != 200:
+        reason = response.reason if is_fault(response) else f"status {response[0]}: {response[1]}"
+        return [*findings, finding(700, f"{client.address}: {reason}")]
+    statuses = response[1]
+    clock_findings = await _clock_findings(client, statuses)
+    return sorted([*findings, *clock_findings, *diagnose(statuses)], key=lambda item: item["code"])
+
+
+def _folder_findings(folder):
     if folder:
         try:
             with tempfile.NamedTemporaryFile(dir=folder) as file:
@@ -91,116 +95,134 @@
             yield finding(704, f"{folder}: {error}")
 
 
-async def _seeds(seeds):
-    async def one(seed):
+async def _seed_findings(seeds):
+    async def check_seed(seed):
         ip, _, port = seed.rpartition(":")
-        link = await connect(ip, int(port), 1000)
-        if is_fault(link):
+        connection = await connect(ip, int(port), 1000)
+        if is_fault(connection):
             return [finding(702, seed)]
-        link.close()
+        connection.close()
         return []
 
     return [
-        each for found in await asyncio.gather(*(one(seed) for seed in seeds)) for each in found
+        item
+        for findings in await asyncio.gather(*(check_seed(seed) for seed in seeds))
+        for item in findings
     ]
 
 
-async def _rates(client, statuses):
+async def _clock_findings(client, statuses):
     loop = asyncio.get_running_loop()
-    doors = {
-        each["name"]: each["http"]
+    address_of_process = {
+        neighbour["name"]: neighbour["http"]
         for status in statuses.values()
         if status
-        for each in status["neighbours"]
+        for neighbour in status["neighbours"]
     }
 
-    async def clock(name):
+    async def read_clock(name):
         start_s = loop.time()
-        got = await fetch_json(doors[name], "GET", "/v1/status", None, client.headers, 3000)
+        response = await fetch_json(
+            address_of_process[name], "GET", "/v1/status", None, client.headers, 3000
+        )
         return (
             None
-            if is_fault(got) or got[0] != 200
-            else (got[1].get("clockMs"), start_s, loop.time())
+            if is_fault(response) or response[0] != 200
+            else (response[1].get("clockMs"), start_s, loop.time())
         )
 
-    names = [name for name, status in statuses.items() if status and name in doors]
-    first = await asyncio.gather(*(clock(name) for name in names))
+    names = [name for name, status in statuses.items() if status and name in address_of_process]
+    first_readings = await asyncio.gather(*(read_clock(name) for name in names))
     await asyncio.sleep(1.0)
-    second = await asyncio.gather(*(clock(name) for name in names))
+    second_readings = await asyncio.gather(*(read_clock(name) for name in names))
     return [
         finding(715, name)
-        for name, a, b in zip(names, first, second, strict=False)
-        if a and b and a[0] is not None and _is_off((b[0] - a[0]) / 1000, b[1] - a[2], b[2] - a[1])
+        for name, first, second in zip(names, first_readings, second_readings, strict=False)
+        if first
+        and second
+        and first[0] is not None
+        and _is_clock_off((second[0] - first[0]) / 1000, second[1] - first[2], second[2] - first[1])
     ]
 
 
-def _is_off(passed_s, least_s, most_s):
-    return passed_s < least_s * 0.95 - 0.02 or passed_s > most_s * 1.05 + 0.02
+def _is_clock_off(passed_s, min_elapsed_s, max_elapsed_s):
+    """Return whether a clock deviates by more than 5 percent, which leases allow for, and 20 ms."""
+    return passed_s < min_elapsed_s * 0.95 - 0.02 or passed_s > max_elapsed_s * 1.05 + 0.02
 
 
 def diagnose(statuses) -> list:
-    """Findings from the statuses of all processes, None standing for a silent one."""
+    """Return the findings from the statuses of all processes by name, None for a silent one."""
     return [
-        each for check in (_silent, _cores, _routers, _fleet, _books) for each in check(statuses)
+        item
+        for find in (
+            _silent_findings,
+            _core_findings,
+            _router_findings,
+            _fleet_findings,
+            _coordinator_findings,
+        )
+        for item in find(statuses)
     ]
 
 
-def _of(statuses, role):
-    return {name: each for name, each in statuses.items() if each and each["role"] == role}
+def _statuses_of_role(statuses, role):
+    return {name: status for name, status in statuses.items() if status and status["role"] == role}
 
 
-def _silent(statuses):
-    yield from (finding(701, name) for name, each in statuses.items() if each is None)
+def _silent_findings(statuses):
+    yield from (finding(701, name) for name, status in statuses.items() if status is None)
     gone = {
-        (other["name"], other["addr"])
-        for each in statuses.values()
-        if each
-        for other in each["neighbours"]
-        if other["state"] != "alive"
+        (neighbour["name"], neighbour["addr"])
+        for status in statuses.values()
+        if status
+        for neighbour in status["neighbours"]
+        if neighbour["state"] != "alive"
     }
     yield from (
         finding(701, f"{name} at {addr}") for name, addr in sorted(gone) if name not in statuses
     )
 
 
-def _cores(statuses):
-    for name, each in _of(statuses, "core").items():
-        if each["diskFreeBytes"] < ROOM_BYTES:
-            yield finding(703, f"{name}: {each['diskFreeBytes']} bytes")
-        if each["trouble"]:
-            yield finding(705, f"{name}: {each['trouble']}")
-        if each["position"] >= 0 and not each["mayServe"]:
+def _core_findings(statuses):
+    for name, status in _statuses_of_role(statuses, "core").items():
+        if status["diskFreeBytes"] < MIN_FREE_BYTES:
+            yield finding(703, f"{name}: {status['diskFreeBytes']} bytes")
+        if status["trouble"]:
+            yield finding(705, f"{name}: {status['trouble']}")
+        if status["position"] >= 0 and not status["mayServe"]:
             yield finding(707, name)
-        if each["claims"] > 0.8 * each.get("claimsMost", 1 << 30):
-            yield finding(718, f"{name}: {each['claims']} of {each['claimsMost']}")
+        if status["claims"] > 0.8 * status.get("claimsMost", 1 << 30):
+            yield finding(718, f"{name}: {status['claims']} of {status['claimsMost']}")
 
 
-def _routers(statuses):
-    for name, each in _of(statuses, "router").items():
-        if not each["lease"]:
+def _router_findings(statuses):
+    for name, status in _statuses_of_role(statuses, "router").items():
+        if not status["lease"]:
             yield finding(708, name)
-        if not each["list"]["fresh"]:
-            yield finding(709, f"{name}: {each['list']['ageMs']} ms")
+        if not status["list"]["fresh"]:
+            yield finding(709, f"{name}: {status['list']['ageMs']} ms")
 
 
-def _fleet(statuses):
-    present = [each for each in statuses.values() if each]
-    views = {each["view"]["number"] for each in present}
-    newest = max((each["view"] for each in present), key=lambda view: view["number"], default=None)
+def _fleet_findings(statuses):
+    known = [status for status in statuses.values() if status]
+    view_numbers = {status["view"]["number"] for status in known}
+    newest = max(
+        (status["view"] for status in known), key=lambda view: view["number"], default=None
+    )
     if newest is None or len(newest["members"]) < 3:
         yield finding(706, f"{len(newest['members']) if newest else 0} members")
-    if len(views) > 1:
-        yield finding(714, f"numbers {sorted(views)}")
-    shared = [each["shared"] for each in present if "shared" in each]
-    differing = sorted(
-        {name for each in shared for name in each if each[name] != shared[0].get(name)}
+    if len(view_numbers) > 1:
+        yield finding(714, f"numbers {sorted(view_numbers)}")
+    shared = [status["shared"] for status in known if "shared" in status]
+    differing_settings = sorted(
+        {name for settings in shared for name in settings if settings[name] != shared[0].get(name)}
     )
-    if differing:
-        yield finding(719, ", ".join(differing))
+    if differing_settings:
+        yield finding(719, ", ".join(differing_settings))
     versions = {
-        each["version"]
-        for each in present
-        if each["role"] == "router" or each.get("position", -1) >= 0
+        status["version"]
+        for status in known
+        if status["role"] == "router" or status.get("position", -1) >= 0
     }
     if len(versions) > 1:
         yield finding(710, f"versions {sorted(versions)}")
@@ -208,18 +230,22 @@
         yield finding(716, "version 0")
 
 
-def _books(statuses):
-    routers = _of(statuses, "router")
-    kept = {book["model"]: book for each in routers.values() for book in each["keeps"]}
-    wanted = {worker["model"] for each in routers.values() for worker in each["list"]["workers"]}
-    yield from (finding(711, model) for model in sorted(wanted - set(kept)))
-    for model, coordinator in kept.items():
+def _coordinator_findings(statuses):
+    routers = _statuses_of_role(statuses, "router")
+    coordinators = {
+        entry["model"]: entry for status in routers.values() for entry in status["keeps"]
+    }
+    served_models = {
+        listing["model"] for status in routers.values() for listing in status["list"]["workers"]
+    }
+    yield from (finding(711, model) for model in sorted(served_models - set(coordinators)))
+    for model, coordinator in coordinators.items():
         if not coordinator["ready"]:
             yield finding(711, f"{model}: still gathers")
-        for name, book in coordinator["books"].items():
-            if not book["up"]:
-                yield finding(712, name)
-            elif book["weights"] != coordinator.get("weights", book["weights"]):
-                yield finding(713, f"{name}: {book['weights']}")
-            if book["line"] > 0.9 * coordinator.get("lineMax", 1 << 30):
-                yield finding(717, f"{name}: {book['line']} wait")
+        for worker, slots in coordinator["books"].items():
+            if not slots["up"]:
+                yield finding(712, worker)
+            elif slots["weights"] != coordinator.get("weights", slots["weights"]):
+                yield finding(713, f"{worker}: {slots['weights']}")
+            if slots["line"] > 0.9 * coordinator.get("lineMax", 1 << 30):
+                yield finding(717, f"{worker}: {slots['line']} wait")
--- a/swiftdeck/control/node.py
+++ b/swiftdeck/control/node.py
@@ -1,4 +1,4 @@
-"""What every process of the fleet has: mesh, neighbours, news, telemetry."""
+"""The parts that all processes of the fleet have: mesh, membership, news and telemetry."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class Node:
-    """The parts that a core and a router share."""
+    """Base class of cores and routers."""
 
     def __init__(self, settings, role, random, log=None):
         self.settings, self.random = settings, random
@@ -36,34 +36,34 @@
         self.news = NewsTable(self.mesh, self.membership)
 
     async def start_node(self):
-        """Listen, join and follow the news."""
+        """Start to listen for messages, join the fleet and follow its news."""
         await self.mesh.start()
         self.membership.start()
         self.news.start()
 
     def counters(self):
-        """All counters of the process by name."""
+        """Return all counters of the process by name."""
         return dict(self.telemetry.count + self.mesh.count)
 
     def task_count(self):
-        """How many tasks the loop has."""
+        """Return the number of tasks in the event loop."""
         return len(asyncio.all_tasks())
 
     def clockMs(self):
-        """The clock by which this process keeps its leases."""
+        """Return the time in ms of the clock by which this process measures its leases."""
         return int(asyncio.get_running_loop().time() * 1000)
 
     def neighbours(self):
-        """This process and all that it knows of, the gone ones too, in their outward form."""
-        members = [self.me, *(each.member for each in self.membership.known.values())]
+        """Return this process and all that it knows of, including gone ones, as JSON fields."""
+        members = [self.me, *(member.member for member in self.membership.known.values())]
         return [
             {
-                "name": each.name,
-                "role": each.role,
-                "zone": each.zone,
-                "addr": each.addr,
-                "http": each.http_addr,
-                "state": STATES[each.state],
+                "name": member.name,
+                "role": member.role,
+                "zone": member.zone,
+                "addr": member.addr,
+                "http": member.http_addr,
+                "state": STATES[member.state],
             }
-            for each in members
+            for member in members
         ]
