--- a/swiftdeck/config/document.py
+++ b/swiftdeck/config/document.py
@@ -11,7 +11,7 @@
 Ms = Annotated[int, msgspec.Meta(ge=0, le=3600000)]
 NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
-# Names of the only entries of the tables `edition` and `limits`.
+# Names of the entries that are read from the tables `edition` and `limits`, one each.
 EDITION, LIMITS = "operator", "callers"
 
 
--- a/swiftdeck/config/settings.py
+++ b/swiftdeck/config/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a process, read from a TOML file and flags."""
+"""Settings of a process, read from a TOML file and flags.
+
+All settings but the name and the two main addresses have defaults.
+"""
 
 import ipaddress
 import tomllib
--- a/swiftdeck/control/core.py
+++ b/swiftdeck/control/core.py
@@ -88,7 +88,7 @@
         self.agreement.watchers.append(self.on_view)
 
     async def start(self):
-        """Load the state on disk and join the fleet; return a fault if the disk cannot be used.
+        """Load the state on disk and join the fleet; return a fault if it cannot be used.
 
         With a corrupt agreement journal the process starts as a new core and may not found a view.
         """
