--- a/tests/gateway/cases/old_weights.py
+++ b/tests/gateway/cases/old_weights.py
@@ -7,7 +7,7 @@
 
 from swiftdeck.bench.platform_api.worker import PlatformWorker
 from swiftdeck.gateway.gateway import OLD_WEIGHTS, Gateway
-from swiftdeck.gateway.swap import Swaps
+from swiftdeck.gateway.swap import SwapScheduler
 from tests.gateway.case import SiteCase
 from tests.gateway.platform_cluster import BOUNDS, MODEL, PlatformCluster, route
 
@@ -16,7 +16,7 @@
 
 def orders_nothing():
     """A head that gives no orders, for whatever reason: then the routers alone keep old weights from being used."""
-    return mock.patch.object(Swaps, "_order_some", lambda *_: None)
+    return mock.patch.object(SwapScheduler, "_order_next_workers", lambda *_: None)
 
 
 class WeightsCase(SiteCase):
--- a/tests/gateway/cases/operator.py
+++ b/tests/gateway/cases/operator.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from swiftdeck.gateway.gateway import Gateway
-from swiftdeck.gateway.swap import Swaps
+from swiftdeck.gateway.swap import SwapScheduler
 from tests.gateway.case import SiteCase
 from tests.gateway.platform_cluster import BOUNDS, KEYS, MODEL, document, route
 
@@ -86,13 +86,13 @@
         self.assertTrue(all(status != 412 for *_, status in self.orders(cluster)))
 
     def test_two_holders_lie_apart(self):
-        fence = Swaps.fence
+        fence = SwapScheduler.fence
 
         def hasty(self):
             got = fence(self)
             if (
                 not got
-                and self.since_s is not None
+                and self.head_since_s is not None
                 and self.core.agreement.may_serve()
                 and self.core.agreement.position() == 0
             ):
@@ -112,7 +112,7 @@
             return cluster
 
         self.assert_kept(killed())
-        self.assert_falls_without(mock.patch.object(Swaps, "fence", hasty), killed, "ONE")
+        self.assert_falls_without(mock.patch.object(SwapScheduler, "fence", hasty), killed, "ONE")
 
     def test_weights_are_named_while_the_head_dies(self):
         for seed in (6, 7):
@@ -147,7 +147,7 @@
         self.assertTrue(same)
         self.assertEqual(len(orders), 4)
         self.assertLess(orders[0], 3500)
-        with mock.patch.object(Swaps, "_note_waited", mock.AsyncMock()):
+        with mock.patch.object(SwapScheduler, "_save_pause_record", mock.AsyncMock()):
             self.assertGreater(day()[1][0], 4500)
 
     def test_the_head_is_killed_during_a_change(self):
--- a/tests/gateway/cases/overlapping_losses.py
+++ b/tests/gateway/cases/overlapping_losses.py
@@ -9,7 +9,7 @@
 from swiftdeck.chain.state_transfer import StateTransfer
 from swiftdeck.chain.view_manager import ViewManager
 from swiftdeck.fault import NO_VIEW
-from swiftdeck.gateway.swap import Swaps
+from swiftdeck.gateway.swap import SwapScheduler
 from tests.gateway.loss_cluster import RECOVERY_S, LossCluster
 from tests.gateway.loss_storm import LossStorm
 from tests.gateway.orders import TAKEN
@@ -354,7 +354,7 @@
 
         for seed, patch in (
             (4, mock.patch.object(Chain, "_sync", unsynced)),
-            (7, mock.patch.object(Swaps, "fence", fence)),
+            (7, mock.patch.object(SwapScheduler, "fence", fence)),
         ):
             with patch:
                 self.assertNotEqual(LossStorm(seed).found(), [])
