--- a/swiftdeck/gateway/call_trace.py
+++ b/swiftdeck/gateway/call_trace.py
@@ -1,13 +1,16 @@
-"""What was believed and decided about a long call, as one line of the log for whoever asks where its time went."""
+"""Records the estimates and decisions behind a long call for one line of the log."""
 
 import attrs
 
-CANDIDATES_MOST = 3
+MAX_CANDIDATES = 3
 
 
 @attrs.define
 class CallTrace:
-    """One long call; the attempt that is described is the last one that was made."""
+    """The trace of one long call; attempt fields describe the last attempt.
+
+    Times are in milliseconds since the request was read, -1 for never.
+    """
 
     tokens: int = 0
     shared_tokens: int = 0
@@ -27,15 +30,20 @@
     whole_ms: int = -1
     ended_ms: int = -1
 
-    def see_candidates(self, costs):
-        """Note the cheapest workers as WORKER:TOTAL=UNREAD+OWN+AGAIN+MOVED+ELSEWHERE, in milliseconds."""
-        self.candidates = [_as_text(cost) for cost in costs[:CANDIDATES_MOST]]
+    def record_candidates(self, costs):
+        """Record the cheapest workers with the terms of their costs in milliseconds.
+
+        Each one has the form WORKER:TOTAL=BACKLOG+OWN+SHARED+TRANSFER+AFFINITY.
+        """
+        self.candidates = [_format_cost(cost) for cost in costs[:MAX_CANDIDATES]]
 
     def fields(self) -> dict:
-        """The fields of the log line; times are milliseconds since the request was read, -1 for never."""
+        """Return the fields of the log line."""
         return attrs.asdict(self)
 
 
-def _as_text(cost) -> str:
-    terms = (cost.unread, cost.own, cost.again, cost.moved, cost.elsewhere)
-    return f"{cost.worker.name}:{cost.total:.0f}=" + "+".join(f"{term:.0f}" for term in terms)
+def _format_cost(cost) -> str:
+    terms_ms = (cost.backlog_ms, cost.own_ms, cost.shared_ms, cost.transfer_ms, cost.affinity_ms)
+    return f"{cost.worker.name}:{cost.total_ms:.0f}=" + "+".join(
+        f"{term_ms:.0f}" for term_ms in terms_ms
+    )
--- a/swiftdeck/gateway/place_search.py
+++ b/swiftdeck/gateway/place_search.py
@@ -1,4 +1,4 @@
-"""Finds a worker, and a place in its book, for one long call."""
+"""Finds a worker with a free slot for one long call."""
 
 import asyncio
 import math
@@ -8,16 +8,20 @@
 from swiftdeck.gateway.places import Wish
 from swiftdeck.gateway.worker_registry import Worker
 
-ASKED_MOST = 6
+MAX_REQUESTS = 6
+"""Maximum number of requests for a slot before the call waits at its first choice."""
 WAIT_SHARE = 0.2
-"""The share of the aim for which a call may wait in lines."""
+"""Share of the target time that a call may wait in queues."""
 FIRST_WAIT_SHARE = 0.3
-"""The part of that for which it waits at the first worker before others are asked."""
+"""Share of that wait spent at the first worker before others are asked."""
 
 
 @attrs.frozen
-class Found:
-    """A place that was granted: what was asked, where, and how long the reading should take."""
+class GrantedPlace:
+    """A slot that was granted.
+
+    Holds what was asked for, the worker, and the expected duration of the reading.
+    """
 
     wish: Wish
     worker: Worker
@@ -25,10 +29,10 @@
 
 
 class PlaceSearch:
-    """Asks the owners of books for a place, the cheapest worker first.
+    """Asks the routers that own the workers' slots for one, the cheapest worker first.
 
-    An owner whose worker has so much to read that the next candidate would be cheaper says so, and
-    the candidates are weighed again with what it told.
+    An owner declines if its worker has so much to read that the next candidate would be cheaper.
+    The candidates are then ranked again with the backlog that it reported.
     """
 
     def __init__(self, gateway, proxied_request, workers, salts):
@@ -39,46 +43,46 @@
         self.refused: set[str] = set()
 
     def costs(self):
-        """The candidates that have not refused, the cheapest first."""
-        workers = [each for each in self.workers if each.name not in self.refused]
+        """Return the costs of the candidates that have not refused, cheapest first."""
+        workers = [worker for worker in self.workers if worker.name not in self.refused]
         return self.gateway.placing.costs(self.request, workers, self.salts, self.serving)
 
-    async def find(self, costs) -> Found | None:
-        """A place, or None where no book has room in the time that there is for it.
+    async def find(self, costs) -> GrantedPlace | None:
+        """Return a granted slot, or None if no worker has one within the wait bound.
 
-        `costs` are those of all candidates, of which there is at least one.
+        `costs` are those of all candidates; there is at least one.
         """
         first = costs[0].worker
-        for turn in range(ASKED_MOST):
-            if turn:
+        for attempt in range(MAX_REQUESTS):
+            if attempt:
                 costs = self.costs()
             if not costs:
                 break
-            found = await self._ask(costs, FIRST_WAIT_SHARE if turn == 0 else 0.0)
+            found = await self._ask_cheapest(costs, FIRST_WAIT_SHARE if attempt == 0 else 0.0)
             if found is not None:
                 return found
-        return await self._wait_at(first)
+        return await self._wait_at_first(first)
 
-    async def _ask(self, costs, wait_share):
-        """Ask for a place at the cheapest worker, unless it has more to read than is known here."""
+    async def _ask_cheapest(self, costs, wait_share):
+        """Ask for a slot at the cheapest worker, unless its backlog is larger than known here."""
         best, now_s = costs[0], asyncio.get_running_loop().time()
         unread_most = math.inf
         if len(costs) > 1:
             pace = self.gateway.worker_registry.pace(best.worker, now_s)
-            unread_most = (costs[1].total - best.total + best.unread) * pace
-        self._trace(costs)
+            unread_most = (costs[1].total_ms - best.total_ms + best.backlog_ms) * pace
+        self._record_trace(costs)
         return await self._ask_owner(best.worker, best.missing, wait_share, unread_most)
 
-    async def _wait_at(self, worker):
-        """Wait at the worker that was the first choice, whatever it has to read."""
+    async def _wait_at_first(self, worker):
+        """Wait for a slot at the worker that was the first choice, whatever its backlog."""
         salt = self.salts[worker.name]
         missing = self.gateway.placing.missing(self.request, worker, salt)
-        self._trace(())
+        self._record_trace(())
         return await self._ask_owner(worker, missing, 1.0, math.inf)
 
     async def _ask_owner(self, worker, missing, wait_share, unread_most):
         gateway, salt = self.gateway, self.salts[worker.name]
-        wish = self.proxied_request.wish(worker, missing.to_read)
+        wish = self.proxied_request.wish(worker, missing.tokens_to_read)
         wait_ms = int(self._wait_s(wait_share) * 1000)
         answer = await gateway.admission.ask(wish, wait_ms, self.request, salt, unread_most)
         if not answer.granted:
@@ -87,18 +91,18 @@
             return None
         now_s = asyncio.get_running_loop().time()
         pace = gateway.worker_registry.pace(worker, now_s)
-        reading_ms = (answer.unread + missing.to_read) / pace + missing.move_ms
-        return Found(wish, worker, reading_ms)
+        reading_ms = (answer.unread + missing.tokens_to_read) / pace + missing.transfer_ms
+        return GrantedPlace(wish, worker, reading_ms)
 
     def _wait_s(self, share):
-        """A share of what is left of the time that a call may wait in lines."""
+        """Return a share of the time that the call may still wait in queues."""
         call, now_s = self.proxied_request, asyncio.get_running_loop().time()
         wait_s = max(0.0, (call.start_s + WAIT_SHARE * call.aim_s - now_s) * share)
         return min(wait_s, max(0.0, call.ledger.deadline_s - now_s))
 
-    def _trace(self, costs):
+    def _record_trace(self, costs):
         trace = self.proxied_request.trace
         if trace is not None:
             trace.owners_asked += 1
             if costs:
-                trace.see_candidates(costs)
+                trace.record_candidates(costs)
--- a/swiftdeck/gateway/placing.py
+++ b/swiftdeck/gateway/placing.py
@@ -1,4 +1,7 @@
-"""Which worker takes a call: by what it keeps for a long prompt, by load for a short one; and where a prefix comes from."""
+"""Chooses the worker for a call, and the holder from which a long prompt's prefix is fetched.
+
+Long prompts go where most of their shared parts are cached, short ones to the least loaded worker.
+"""
 
 import asyncio
 import hashlib
@@ -8,55 +11,72 @@
 from swiftdeck.config.document import Service
 from swiftdeck.config.policy import ALL_ON
 from swiftdeck.gateway.kept import KEPT_SHARE
-from swiftdeck.gateway.moves import Move, move_ms
+from swiftdeck.gateway.moves import PrefixTransfer, transfer_ms
 from swiftdeck.gateway.worker_registry import Worker
 from swiftdeck.traffic.ring import Ring
 
-LANE_SHARE, REMEMBERED = 4, 16
-OTHER_LANE, OTHER_LANE_MS = 1.5, 150.0
-AGAIN, PLACE_MS = 1.5, 37.5
-UNKNOWN_MOVE_SHARE = 0.5
-"""What a move is taken to cost of a reading where the configuration tells no sizes or links."""
-NEW_CONNECTION = 0.5
-"""What a new connection counts for a short call, in calls that run at the worker."""
+LANE_DIVISOR, CACHED_MAX = 4, 16
+"""One in so many workers is preferred for short calls; bound on the cached rings and lanes."""
+LANE_PENALTY_CALLS, LANE_PENALTY_MS = 1.5, 150.0
+"""Penalty for a worker of the wrong lane: in running calls for a short call outside the short lane,
+in milliseconds for a long call inside it.
+"""
+SHARED_WEIGHT, RING_STEP_MS = 1.5, 37.5
+"""Weight of reading shared tokens, where reading its own has 1, and the cost of each step along the
+ring.
+"""
+UNKNOWN_TRANSFER_SHARE = 0.5
+"""Estimated cost of a transfer as a share of reading the tokens, if the configuration has no sizes
+or link speeds.
+"""
+NEW_CONNECTION_CALLS = 0.5
+"""Cost of opening a connection for a short call, in running calls."""
 
 
 @attrs.frozen
-class Missing:
-    """Tokens of a prompt that a worker lacks: its own, shared ones to read, shared ones to move."""
+class MissingTokens:
+    """Tokens of a prompt that a worker doesn't have in its cache.
+
+    `own` are those that belong to this prompt alone, `shared` are shared ones that it has to read,
+    and `transferred` are shared ones to be fetched from another holder in `transfer_ms`.
+    """
 
     own: int
-    again: int
-    moved: int
-    move_ms: float
+    shared: int
+    transferred: int
+    transfer_ms: float
 
     @property
-    def to_read(self) -> int:
-        """What it will have to read."""
-        return self.own + self.again
+    def tokens_to_read(self) -> int:
+        """Return the number of tokens that the worker will have to read."""
+        return self.own + self.shared
 
 
 @attrs.frozen
 class PlacementCost:
-    """What a long call would cost at a worker, in milliseconds before its first event."""
+    """Estimated cost of a long call at a worker, in milliseconds until its first event.
+
+    `backlog_ms` is the time to read what the worker was already sent, and `affinity_ms` the penalty
+    for a worker that isn't the preferred one on the ring or is reserved for short calls.
+    """
 
     worker: Worker
-    missing: Missing
-    unread: float
-    own: float
-    again: float
-    moved: float
-    elsewhere: float
+    missing: MissingTokens
+    backlog_ms: float
+    own_ms: float
+    shared_ms: float
+    transfer_ms: float
+    affinity_ms: float
 
     @property
-    def total(self) -> float:
-        """The sum of the terms."""
-        return self.unread + self.own + self.again + self.moved + self.elsewhere
+    def total_ms(self) -> float:
+        """Return the sum of the terms in milliseconds."""
+        return self.backlog_ms + self.own_ms + self.shared_ms + self.transfer_ms + self.affinity_ms
 
 
 @attrs.frozen
 class Link:
-    """Where a holder of parts is reached, and how fast."""
+    """Address, speed and zone of a holder of cached parts."""
 
     address: str
     mbps: float
@@ -64,7 +84,10 @@
 
 
 class Placing:
-    """Reads the worker_registry, the judge and the table of what is kept, and changes none of them."""
+    """Ranks workers by estimated cost.
+
+    Reads the worker registry, the judge and the table of cached parts, and changes none of them.
+    """
 
     def __init__(
         self,
@@ -86,45 +109,46 @@
         self.stores: dict[str, Service] = {}
 
     def follow(self, services: dict[str, Service]):
-        """Take over what the configuration says of the services, stores among them."""
+        """Take over the services of the configuration, including the cache stores."""
         self.services = services
         if self.policy.store:
             self.stores = {each.store_addr: each for each in services.values() if each.store_addr}
 
     def short_lane(self, workers):
-        """Names of the workers that short calls go to first, so that none waits behind the reading of a long prompt.
+        """Return the names of the workers that short calls prefer.
 
-        A part of the workers, the same at each router, chosen by their names alone.
+        These are a part of all workers, so that short calls don't wait behind the reading of a long
+        prompt. They are chosen by name alone, so all routers choose the same.
         """
         names = tuple(sorted(each.name for each in workers))
         if names not in self.lanes:
             ranked = sorted(names, key=_digest)
-            lane = ranked[: -(-len(names) // LANE_SHARE)] if self._has_lane(names) else names
-            self._remember(self.lanes, names, frozenset(lane))
+            lane = ranked[: -(-len(names) // LANE_DIVISOR)] if self._has_lane(names) else names
+            self._add_bounded(self.lanes, names, frozenset(lane))
         return self.lanes[names]
 
     def _has_lane(self, workers) -> bool:
-        """Whether some of these workers are kept for short calls."""
+        """Return whether some of these workers are reserved for short calls."""
         return len(workers) > 2 and self.policy.lane
 
     @staticmethod
-    def _remember(table, key, value):
-        while len(table) >= REMEMBERED:
+    def _add_bounded(table, key, value):
+        while len(table) >= CACHED_MAX:
             del table[next(iter(table))]
         table[key] = value
 
     def is_long(self, request) -> bool:
-        """Whether a call keeps so much that it needs a place in a worker's book."""
+        """Return whether a prompt is so large that the call needs a slot at its worker."""
         return request.prompt_tokens >= self.long_tokens
 
     def _ring(self, names):
         key = tuple(names)
         if key not in self.rings:
-            self._remember(self.rings, key, Ring(names, self.virtual_places))
+            self._add_bounded(self.rings, key, Ring(names, self.virtual_places))
         return self.rings[key]
 
     def load(self, worker):
-        """How busy a worker looks from here, in calls."""
+        """Return how busy a worker looks to this router, in running calls."""
         now_s = asyncio.get_running_loop().time()
         return (
             worker.running
@@ -132,52 +156,58 @@
             + min(10.0, worker.first_event_ms / 100)
             + (0 if worker.listed.zone == self.zone else 0.6)
             + (2 if worker.listed.warmup_ms else 0)
-            + (0 if self.has_connection(worker) else NEW_CONNECTION)
+            + (0 if self.has_connection(worker) else NEW_CONNECTION_CALLS)
         )
 
     def backlog_ms(self, worker, now_s: float) -> float:
-        """How long a worker will read what it was sent already."""
+        """Return for how long a worker will read the prompts that it was already sent, in ms."""
         pace = self.registry.pace(worker, now_s)
         return worker.unread(now_s, pace) / pace
 
     def order_short(self, workers, serving):
-        """Workers in the order in which a short call takes them; the lane goes by all that serve."""
+        """Return workers in the order of preference for a short call.
+
+        The lane is derived from all workers in service, also those that aren't candidates.
+        """
         lane = self.short_lane(serving)
         return sorted(
             self.judge.good(workers),
-            key=lambda each: (
-                self.load(each) + self.random.random() * 0.3 + OTHER_LANE * (each.name not in lane)
+            key=lambda worker: (
+                self.load(worker)
+                + self.random.random() * 0.3
+                + LANE_PENALTY_CALLS * (worker.name not in lane)
             ),
         )
 
     def costs(self, request, workers, salts, serving) -> list[PlacementCost]:
-        """What a long call would cost at each worker that may be asked, the cheapest first."""
+        """Return the estimated cost of a long call at each candidate, cheapest first."""
         lane = self.short_lane(serving) if self._has_lane(serving) else ()
         good = self.judge.good(workers)
-        places = self._ring_places(request, good, lane)
+        distances = self._ring_distances(request, good, lane)
         now_s = asyncio.get_running_loop().time()
         shared, costs = request.shared(), []
-        held = {salt: self._held(salt, shared) for salt in {salts[each.name] for each in good}}
+        held = {salt: self._holders(salt, shared) for salt in {salts[each.name] for each in good}}
         for worker in good:
             salt = salts[worker.name]
             missing = self._missing(request, worker, salt, held[salt])
             pace = self.registry.pace(worker, now_s)
-            place = min(places.get(worker.name, 2), 3) if self.policy.ring else 0
+            distance = min(distances.get(worker.name, 2), 3) if self.policy.ring else 0
             costs.append(
                 PlacementCost(
                     worker=worker,
                     missing=missing,
-                    unread=self.backlog_ms(worker, now_s),
-                    own=missing.own / pace,
-                    again=missing.again * AGAIN / pace,
-                    moved=missing.move_ms,
-                    elsewhere=place * PLACE_MS + (OTHER_LANE_MS if worker.name in lane else 0),
+                    backlog_ms=self.backlog_ms(worker, now_s),
+                    own_ms=missing.own / pace,
+                    shared_ms=missing.shared * SHARED_WEIGHT / pace,
+                    transfer_ms=missing.transfer_ms,
+                    affinity_ms=distance * RING_STEP_MS
+                    + (LANE_PENALTY_MS if worker.name in lane else 0),
                 )
             )
-        return sorted(costs, key=lambda cost: cost.total)
+        return sorted(costs, key=lambda cost: cost.total_ms)
 
-    def _ring_places(self, request, workers, lane):
-        """The place of each worker on the ring, from where the first shared part belongs."""
+    def _ring_distances(self, request, workers, lane):
+        """Return the distance of each worker along the ring from the first shared part."""
         shared = request.shared() or request.parts
         ring = self._ring(
             sorted(each.name for each in workers if each.name not in lane)
@@ -186,45 +216,55 @@
         key = hashlib.blake2b(
             "/".join(part.name for part in shared[:1]).encode(), digest_size=16
         ).digest()
-        return {name: at for at, name in enumerate(ring.walk(key))}
+        return {name: index for index, name in enumerate(ring.walk(key))}
 
-    def missing(self, request, worker, salt) -> Missing:
-        """What a worker lacks of a long prompt, what it is expected to keep soon left out."""
-        return self._missing(request, worker, salt, self._held(salt, request.shared()))
+    def missing(self, request, worker, salt) -> MissingTokens:
+        """Return what a worker lacks of a long prompt.
+
+        What it is expected to cache soon doesn't count as missing.
+        """
+        return self._missing(request, worker, salt, self._holders(salt, request.shared()))
 
-    def _held(self, salt, shared) -> list[tuple[str, int]]:
-        """Who keeps how many tokens of the shared parts, most first."""
+    def _holders(self, salt, shared) -> list[tuple[str, int]]:
+        """Return the holders of the shared parts with their number of tokens, most first."""
         holders = self.kept.holders(salt, shared)
         return [(name, self.kept.tokens(name, salt, shared)) for name in holders]
 
-    def _missing(self, request, worker, salt, held) -> Missing:
+    def _missing(self, request, worker, salt, held) -> MissingTokens:
         shared = request.shared()
         size = sum(part.tokens for part in shared)
-        here = self.kept.tokens(worker.name, salt, shared, self.policy.expectations)
+        cached_here = self.kept.tokens(worker.name, salt, shared, self.policy.expectations)
         if not self.policy.warmth:
-            here = 0
-        move = self._best_move(worker, held, here)
-        moved = min(size - here, move.tokens) if move else 0
+            cached_here = 0
+        transfer = self._best_transfer(worker, held, cached_here)
+        transferred = min(size - cached_here, transfer.tokens) if transfer else 0
         own = max(0, request.prompt_tokens - size)
-        return Missing(own, size - here - moved, moved, move.ms if move else 0.0)
+        return MissingTokens(
+            own, size - cached_here - transferred, transferred, transfer.ms if transfer else 0.0
+        )
+
+    def _best_transfer(self, worker, held, cached_here: int) -> PrefixTransfer | None:
+        """Return the transfer that saves a worker most time over reading.
 
-    def _best_move(self, worker, held, here: int) -> Move | None:
-        """The move that saves a worker most time over reading, None where reading is as fast."""
+        Returns None if reading is as fast.
+        """
         pace = self.registry.pace(worker, asyncio.get_running_loop().time())
         best, most_ms = None, 0.0
-        for name, kept in held:
-            tokens = kept - here
+        for name, held_tokens in held:
+            tokens = held_tokens - cached_here
             link = self._link(name) if name != worker.name else None
             if tokens <= 0 or link is None:
                 continue
-            move = Move(link.address, tokens, self._move_ms(link, worker, tokens, pace))
-            saved_ms = tokens / pace - move.ms
+            transfer = PrefixTransfer(
+                link.address, tokens, self._transfer_ms(link, worker, tokens, pace)
+            )
+            saved_ms = tokens / pace - transfer.ms
             if saved_ms > most_ms:
-                best, most_ms = move, saved_ms
+                best, most_ms = transfer, saved_ms
         return best
 
     def _link(self, holder: str) -> Link | None:
-        """How a holder can be reached, None where it is gone or in trouble."""
+        """Return the link to a holder, or None if it is gone or marked unhealthy."""
         store = self.stores.get(holder)
         if store is not None:
             return Link(holder, store.network_mbps, store.zone)
@@ -238,29 +278,35 @@
         service = self.services.get(peer.listed.service)
         return Link(peer.listed.addr, service.network_mbps if service else 0, peer.listed.zone)
 
-    def _move_ms(self, link, worker, tokens, pace):
+    def _transfer_ms(self, link, worker, tokens, pace):
         service = self.services.get(worker.listed.service)
         token_bytes = service.token_bytes if service else 0
         mbps = min(link.mbps, service.network_mbps) if service else 0
         is_same_zone = link.zone == worker.listed.zone
-        found_ms = move_ms(tokens, token_bytes, mbps, is_same_zone)
-        if found_ms is None:
-            return UNKNOWN_MOVE_SHARE * tokens / pace * (1 if is_same_zone else 1.2)
-        return found_ms
+        known_ms = transfer_ms(tokens, token_bytes, mbps, is_same_zone)
+        if known_ms is None:
+            return UNKNOWN_TRANSFER_SHARE * tokens / pace * (1 if is_same_zone else 1.2)
+        return known_ms
 
     def source(self, request, worker, salt) -> str:
-        """The address to fetch a long prompt's shared parts from, empty where reading them is as good."""
+        """Return the address to fetch a long prompt's shared parts from.
+
+        It is empty if reading them is as fast.
+        """
         shared = request.shared()
         if not shared or not self.is_long(request):
             return ""
-        here = self.kept.tokens(worker.name, salt, shared)
-        if here >= KEPT_SHARE * sum(part.tokens for part in shared):
+        cached_here = self.kept.tokens(worker.name, salt, shared)
+        if cached_here >= KEPT_SHARE * sum(part.tokens for part in shared):
             return ""
-        move = self._best_move(worker, self._held(salt, shared), here)
-        return move.source if move else ""
+        transfer = self._best_transfer(worker, self._holders(salt, shared), cached_here)
+        return transfer.source if transfer else ""
 
     def target(self, request, salt):
-        """The store for a long prompt's shared parts, empty where one is known to keep them already."""
+        """Return the store that a long prompt's shared parts are saved to.
+
+        It is empty if a store is known to have them already.
+        """
         shared = request.shared()
         if not shared or not self.is_long(request):
             return ""
@@ -270,11 +316,11 @@
         return self.store_of(salt, shared)
 
     def store_of(self, salt, shared):
-        """The store that parts belong in, the same at each router: one of those that are up."""
+        """Return the available store that parts belong in, which is the same at each router."""
         now_s = asyncio.get_running_loop().time()
-        up = [each for each in self.stores if not self.kept.is_down(each, now_s)]
+        available = [store for store in self.stores if not self.kept.is_down(store, now_s)]
         name = f"{salt}/{shared[0].name}"
-        return max(up, key=lambda each: _digest(f"{each}/{name}"), default="")
+        return max(available, key=lambda store: _digest(f"{store}/{name}"), default="")
 
 
 def _digest(text):
