--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -1,4 +1,4 @@
-"""The admission books of the workers that this router owns: who is open where, who waits."""
+"""Admission of long calls to the workers that this router owns."""
 
 import asyncio
 
@@ -11,14 +11,21 @@
 from swiftdeck.traffic.worker_slots import Conversation, WorkerSlots
 
 FILL = 0.85
+"""Share of a worker's memory that open episodes may fill."""
 ALONE_TOKENS = 512
-"""With no more than this unread before it a prompt is read alone."""
-GRACE_S, LEFT_S = 0.5, 2.0
+"""A prompt counts as read alone if no more than this is unread before it."""
+RECLAIM_GRACE_S, EARLY_END_KEPT_S = 0.5, 2.0
+"""Time after the deadline of a call until its place is reclaimed, and for how long an end that
+arrives before its request is remembered.
+"""
 
 
 @attrs.frozen
 class Wish:
-    """What is asked of a book: a place for one call of an episode."""
+    """A request for a place at a worker for one call of an episode.
+
+    `tokens` are those of the prompt, `missing` those of them that the worker has to read.
+    """
 
     call: str
     episode: str
@@ -30,11 +37,13 @@
 
 
 class PlaceTable:
-    """Owner of the books; a later call of an open episode looks at no cap, and nothing admitted is taken back.
+    """Admits calls to workers by the tokens that their open episodes keep there.
 
-    K counts episodes by the tokens that they keep, against what the worker's memory holds; `cap` shows it in episodes as large as
-    those that came lately. A place of a router that is gone comes
-    back at its call's deadline, for nobody can run it longer.
+    The bound is what the worker's memory holds; `cap` expresses it in episodes of the recent mean
+    size. Later calls of an open episode aren't subject to it, and nothing admitted is revoked.
+
+    A place of a router that is gone is reclaimed at the deadline of its call, since nobody can run
+    the call for longer.
     """
 
     def __init__(
@@ -43,216 +52,246 @@
         decisions,
         memory_of,
         pause_ms=400,
-        line_most=64,
+        max_queue_length=64,
         pace_of=lambda worker: PRIOR_TOKENS_PER_MS,
         policy=ALL_ON,
     ):
         self.policy = policy
         self.telemetry, self.decisions, self.memory_of = telemetry, decisions, memory_of
-        self.pause_ms, self.line_most = pause_ms, line_most
-        self.place_table, self.tokens, self.calls, self.waiting, self.left = {}, {}, {}, {}, {}
-        self.sizes, self.unread, self.alone, self.pace_of = {}, {}, {}, pace_of
+        self.pause_ms, self.max_queue_length = pause_ms, max_queue_length
+        (
+            self.slots_by_worker,
+            self.mean_tokens,
+            self.place_by_call,
+            self.queued_calls,
+            self.early_ends,
+        ) = {}, {}, {}, {}, {}
+        self.episode_tokens, self.backlogs, self.reading_alone, self.pace_of = {}, {}, {}, pace_of
         self.on_load = lambda worker, backlog, running: None
         self.on_reading = lambda worker, tokens, elapsed_ms: None
 
     def _now(self):
         return asyncio.get_running_loop().time()
 
-    def of(self, worker) -> WorkerSlots:
-        """The book of a worker."""
-        if worker not in self.place_table:
-            self.place_table[worker], self.tokens[worker] = WorkerSlots(worker, 1), 0.0
-        return self.place_table[worker]
+    def slots_of(self, worker) -> WorkerSlots:
+        """Return the slots of a worker, creating them if necessary."""
+        if worker not in self.slots_by_worker:
+            self.slots_by_worker[worker], self.mean_tokens[worker] = WorkerSlots(worker, 1), 0.0
+        return self.slots_by_worker[worker]
+
+    def _update_cap(self, slots, tokens):
+        """Update the mean size of an episode and the cap derived from it."""
+        mean = self.mean_tokens[slots.worker]
+        self.mean_tokens[slots.worker] = mean = (
+            mean + 0.1 * (tokens - mean) if mean else float(tokens)
+        )
+        slots.cap = max(1, int(self.memory_of(slots.worker) * FILL / max(1.0, mean)))
 
-    def _cap(self, book, tokens):
-        mean = self.tokens[book.worker]
-        self.tokens[book.worker] = mean = mean + 0.1 * (tokens - mean) if mean else float(tokens)
-        book.cap = max(1, int(self.memory_of(book.worker) * FILL / max(1.0, mean)))
+    def _has_room(self, slots, tokens):
+        """Return whether the worker's memory holds the prompt beside those of its open episodes.
 
-    def _has_room(self, book, tokens):
-        """Whether the worker's memory holds the prompt beside those of the open episodes; one alone always may."""
+        A prompt is always admitted if no other episode is open.
+        """
         if not self.policy.admission:
             return True
-        held = sum(self.sizes.get((book.worker, name), 0) for name in book.open)
-        return not book.open or held + tokens <= self.memory_of(book.worker) * FILL
+        held_tokens = sum(self.episode_tokens.get((slots.worker, name), 0) for name in slots.open)
+        return not slots.open or held_tokens + tokens <= self.memory_of(slots.worker) * FILL
 
     async def ask(self, wish: Wish, wait_ms: int):
-        """Whether the call may go to the worker: at once, after a wait in line, or not within it."""
-        if self.left.pop(wish.call, None) is not None:
+        """Return whether the call is admitted to the worker.
+
+        It may wait in the queue for up to `wait_ms` for that.
+        """
+        if self.early_ends.pop(wish.call, None) is not None:
             return False
-        book = self.of(wish.worker)
-        self._reclaim(book)
-        held = book.open.get(wish.episode)
-        if held is not None:
-            self._run(book, held, wish)
+        slots = self.slots_of(wish.worker)
+        self._reclaim(slots)
+        episode = slots.open.get(wish.episode)
+        if episode is not None:
+            self._start_call(slots, episode, wish)
             return True
-        self._cap(book, wish.tokens)
-        if not self._has_room(book, wish.tokens):
-            self._end_idle(book, 0)
-        if self._has_room(book, wish.tokens) and not len(book.queue):
-            self._begin(book, wish)
+        self._update_cap(slots, wish.tokens)
+        if not self._has_room(slots, wish.tokens):
+            self._close_idle(slots, 0)
+        if self._has_room(slots, wish.tokens) and not len(slots.queue):
+            self._admit(slots, wish)
             return True
-        if len(book.queue) >= self.line_most or wait_ms <= 0 or not self.policy.lines:
+        if len(slots.queue) >= self.max_queue_length or wait_ms <= 0 or not self.policy.lines:
             self.telemetry.count["linesFull"] += 1
             return False
-        return await self._wait(book, wish, wait_ms)
+        return await self._wait(slots, wish, wait_ms)
 
-    async def _wait(self, book, wish, wait_ms):
-        waiting = QueuedCall(
+    async def _wait(self, slots, wish, wait_ms):
+        queued_call = QueuedCall(
             wish.tenant if self.policy.turns else "",
             wish,
             asyncio.get_running_loop().create_future(),
             self._now(),
         )
-        book.queue.add(waiting)
-        self.waiting[wish.call] = waiting
+        slots.queue.add(queued_call)
+        self.queued_calls[wish.call] = queued_call
         self.telemetry.count["waits"] += 1
         try:
-            await asyncio.wait([waiting.done], timeout=wait_ms / 1000)
+            await asyncio.wait([queued_call.done], timeout=wait_ms / 1000)
         finally:
-            self.waiting.pop(wish.call, None)
-            if not waiting.done.done() or waiting.done.cancelled():
-                book.queue.remove(waiting)
-                waiting.done.cancel()
-        self.telemetry.count["waitedOut"] += waiting.done.cancelled()
-        return not waiting.done.cancelled()
-
-    def _begin(self, book, wish):
-        episode = Conversation(wish.episode, wish.tenant, "", book.worker, "")
-        book.entry(episode)
+            self.queued_calls.pop(wish.call, None)
+            if not queued_call.done.done() or queued_call.done.cancelled():
+                slots.queue.remove(queued_call)
+                queued_call.done.cancel()
+        self.telemetry.count["waitedOut"] += queued_call.done.cancelled()
+        return not queued_call.done.cancelled()
+
+    def _admit(self, slots, wish):
+        episode = Conversation(wish.episode, wish.tenant, "", slots.worker, "")
+        slots.entry(episode)
         self.telemetry.count["starts"] += 1
-        self._run(book, episode, wish)
+        self._start_call(slots, episode, wish)
 
-    def _run(self, book, episode, wish):
+    def _start_call(self, slots, episode, wish):
         episode.running[wish.call] = wish.deadline_s
-        self.sizes[(book.worker, episode.name)] = max(
-            wish.tokens, self.sizes.get((book.worker, episode.name), 0)
+        self.episode_tokens[(slots.worker, episode.name)] = max(
+            wish.tokens, self.episode_tokens.get((slots.worker, episode.name), 0)
         )
         episode.turns += 1
-        self.calls[wish.call] = (book.worker, episode.name)
-        self._expect_reading(book, wish)
-        self._tell_load(book)
+        self.place_by_call[wish.call] = (slots.worker, episode.name)
+        self._add_to_backlog(slots, wish)
+        self._report_load(slots)
 
-    def _expect_reading(self, book, wish):
-        """Count what a call has to read; the time that it takes tells the pace where it is read alone."""
-        unread = self._unread(book)
+    def _add_to_backlog(self, slots, wish):
+        """Add what a call has to read to the backlog.
+
+        The time until its first event shows the worker's pace if it is read alone.
+        """
+        unread = self._backlog(slots)
         if unread < ALONE_TOKENS:
-            self.alone[wish.call] = wish.missing
+            self.reading_alone[wish.call] = wish.missing
         else:
-            for call, (worker, _) in self.calls.items():
-                if worker == book.worker:
-                    self.alone.pop(call, None)
-        self.unread[book.worker] = (unread + wish.missing, self._now())
+            for call, (worker, _) in self.place_by_call.items():
+                if worker == slots.worker:
+                    self.reading_alone.pop(call, None)
+        self.backlogs[slots.worker] = (unread + wish.missing, self._now())
 
     def is_open(self, wish: Wish) -> bool:
-        """Whether a call belongs to an episode that was admitted and is not over."""
-        book = self.place_table.get(wish.worker)
-        return book is not None and wish.episode in book.open
+        """Return whether a call belongs to an episode that was admitted and isn't over."""
+        slots = self.slots_by_worker.get(wish.worker)
+        return slots is not None and wish.episode in slots.open
 
     def unread_at(self, worker: str) -> float:
-        """Tokens that calls let in at a worker still have to read there."""
-        book = self.place_table.get(worker)
-        return self._unread(book) if book is not None else 0.0
+        """Return how many tokens the calls admitted to a worker still have to read there."""
+        slots = self.slots_by_worker.get(worker)
+        return self._backlog(slots) if slots is not None else 0.0
 
-    def _unread(self, book):
-        """Tokens that calls let in here still have to be read, as far as a worker's usual pace tells."""
-        tokens, since_s = self.unread.get(book.worker, (0, 0.0))
-        return max(0.0, tokens - (self._now() - since_s) * 1000 * self.pace_of(book.worker))
+    def _backlog(self, slots):
+        """Return the unread tokens of admitted calls, estimated from the worker's usual pace."""
+        tokens, since_s = self.backlogs.get(slots.worker, (0, 0.0))
+        return max(0.0, tokens - (self._now() - since_s) * 1000 * self.pace_of(slots.worker))
 
-    def _tell_load(self, book):
+    def _report_load(self, slots):
         self.on_load(
-            book.worker,
-            self._unread(book),
-            sum(worker == book.worker for worker, _ in self.calls.values()),
+            slots.worker,
+            self._backlog(slots),
+            sum(worker == slots.worker for worker, _ in self.place_by_call.values()),
         )
 
     def ended(self, call: str, is_kept: bool = True, first_event_ms: int = 0):
-        """A call is over; its episode stays open for a short pause, as its next call may come.
+        """End a call; its episode stays open for a short pause, as the next call may follow.
 
-        One that is not here yet has been left before its question came, or waits in a line that it now leaves.
-        `first_event_ms` is the time from its sending to its first event, 0 where none came.
+        A call that isn't running either waits in a queue, which it leaves, or its request for a
+        place hasn't arrived yet and will be refused. `first_event_ms` is the time from sending the
+        call to its first event, 0 if there was none.
         """
-        if call not in self.calls:
-            waiting = self.waiting.get(call)
-            if waiting is not None:
-                waiting.done.cancel()
+        if call not in self.place_by_call:
+            queued_call = self.queued_calls.get(call)
+            if queued_call is not None:
+                queued_call.done.cancel()
             else:
-                self.left[call] = self._now() + LEFT_S
+                self.early_ends[call] = self._now() + EARLY_END_KEPT_S
             return
-        worker, name = self.calls.pop(call, ("", ""))
-        read_alone = self.alone.pop(call, 0)
-        if first_event_ms and read_alone:
-            self.on_reading(worker, read_alone, first_event_ms)
-        book = self.place_table.get(worker)
-        episode = book.open.get(name) if book else None
+        worker, name = self.place_by_call.pop(call, ("", ""))
+        alone_tokens = self.reading_alone.pop(call, 0)
+        if first_event_ms and alone_tokens:
+            self.on_reading(worker, alone_tokens, first_event_ms)
+        slots = self.slots_by_worker.get(worker)
+        episode = slots.open.get(name) if slots else None
         if episode is None:
             return
         episode.running.pop(call, None)
         if not episode.running:
             episode.idle_since_s = self._now()
             if not is_kept:
-                self._leave(book, episode)
-        self._tell_load(book)
-        self.pump(book)
+                self._close(slots, episode)
+        self._report_load(slots)
+        self.admit_queued(slots)
 
-    def _reclaim(self, book):
+    def _reclaim(self, slots):
         now_s = self._now()
-        for episode in list(book.open.values()):
+        for episode in list(slots.open.values()):
             for call in [
-                call for call, until_s in episode.running.items() if until_s + GRACE_S < now_s
+                call
+                for call, until_s in episode.running.items()
+                if until_s + RECLAIM_GRACE_S < now_s
             ]:
                 del episode.running[call]
-                self.calls.pop(call, None)
-                self.alone.pop(call, None)
+                self.place_by_call.pop(call, None)
+                self.reading_alone.pop(call, None)
                 self.telemetry.count["placesReclaimed"] += 1
                 episode.idle_since_s = now_s
-        self._end_idle(book, 0 if len(book.queue) else self.pause_ms)
+        self._close_idle(slots, 0 if len(slots.queue) else self.pause_ms)
 
-    def _end_idle(self, book, pause_ms):
-        for episode in book.ended(self._now(), pause_ms):
-            self._leave(book, episode)
+    def _close_idle(self, slots, pause_ms):
+        for episode in slots.ended(self._now(), pause_ms):
+            self._close(slots, episode)
             self.telemetry.count["episodesEnded"] += 1
 
-    def _leave(self, book, episode):
-        book.leave(episode)
-        self.sizes.pop((book.worker, episode.name), None)
+    def _close(self, slots, episode):
+        slots.leave(episode)
+        self.episode_tokens.pop((slots.worker, episode.name), None)
 
-    def pump(self, book):
-        """Let the next ones begin while there is room."""
-        self._reclaim(book)
-        while len(book.queue) and self._has_room(book, book.queue.first().ask.tokens):
-            waiting = book.queue.take()
-            if waiting.is_asking():
-                self._begin(book, waiting.ask)
-                waiting.done.set_result(True)
+    def admit_queued(self, slots):
+        """Admit queued calls in their order while there is room."""
+        self._reclaim(slots)
+        while len(slots.queue) and self._has_room(slots, slots.queue.first().ask.tokens):
+            queued_call = slots.queue.take()
+            if queued_call.is_asking():
+                self._admit(slots, queued_call.ask)
+                queued_call.done.set_result(True)
 
     def tick(self, names):
-        """Give back what lapsed, and forget workers that are gone or owned elsewhere and have nothing open."""
-        self.left = {call: until_s for call, until_s in self.left.items() if until_s > self._now()}
-        for worker, book in list(self.place_table.items()):
-            self.pump(book)
-            if worker not in names and not book.open and not len(book.queue):
-                del self.place_table[worker], self.tokens[worker]
-                self.unread.pop(worker, None)
+        """Reclaim what has expired, and drop the slots of workers that are gone.
+
+        Slots that are now owned elsewhere are dropped as well, in both cases only if nothing is
+        open or queued.
+        """
+        self.early_ends = {
+            call: until_s for call, until_s in self.early_ends.items() if until_s > self._now()
+        }
+        for worker, slots in list(self.slots_by_worker.items()):
+            self.admit_queued(slots)
+            if worker not in names and not slots.open and not len(slots.queue):
+                del self.slots_by_worker[worker], self.mean_tokens[worker]
+                self.backlogs.pop(worker, None)
 
     def status(self):
-        """The books in their outward form."""
+        """Return the slots as shown in the router's status."""
         return {
-            name: {"open": len(book.open), "cap": book.cap, "line": len(book.queue)}
-            for name, book in sorted(self.place_table.items())
+            name: {"open": len(slots.open), "cap": slots.cap, "line": len(slots.queue)}
+            for name, slots in sorted(self.slots_by_worker.items())
         }
 
 
 class Owners:
-    """Which router owns which worker's book, remembered while the routers stay the same."""
+    """Maps each worker to the router that owns its slots.
+
+    Results are cached while the list of routers stays the same.
+    """
 
     def __init__(self):
-        self.routers, self.ring, self.known = [], Ring([]), {}
+        self.routers, self.ring, self.owner_by_worker = [], Ring([]), {}
 
     def of(self, worker: str, routers: list) -> str:
-        """The owner's address."""
+        """Return the address of the owner, empty without routers."""
         if routers is not self.routers and routers != self.routers:
-            self.routers, self.ring, self.known = routers, Ring(routers, 16), {}
-        if worker not in self.known:
-            self.known[worker] = next(self.ring.walk(worker.encode()), "")
-        return self.known[worker]
+            self.routers, self.ring, self.owner_by_worker = routers, Ring(routers, 16), {}
+        if worker not in self.owner_by_worker:
+            self.owner_by_worker[worker] = next(self.ring.walk(worker.encode()), "")
+        return self.owner_by_worker[worker]
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -61,7 +61,7 @@
 
     def open(self):
         return {
-            addr: sum(len(book.open) for book in part.place_table.place_table.values())
+            addr: sum(len(book.open) for book in part.place_table.slots_by_worker.values())
             for addr, part in self.parts.items()
         }
 
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -81,8 +81,8 @@
                 left,
                 first,
                 await waits,
-                len(place_table.of("w1").queue),
-                len(place_table.of("w1").open),
+                len(place_table.slots_of("w1").queue),
+                len(place_table.slots_of("w1").open),
             )
 
         self.assertEqual(self.do(go), (False, True, False, 0, 1))
