--- a/swiftdeck/gateway/pace.py
+++ b/swiftdeck/gateway/pace.py
@@ -1,48 +1,53 @@
-"""How fast a worker reads prompts, as the first events of its answers show."""
+"""Estimates how fast a worker reads prompts, from the first events of its answers."""
 
 import math
 
 import attrs
 
 PRIOR_TOKENS_PER_MS = 40.0
-"""The pace that is assumed until any answer was seen."""
-LEAST_TOKENS = 4096
-"""Shorter readings say little of the pace: most of their time is something else."""
-GAIN = 0.5
-STEP_MOST = 2.0
-"""How far one sample may lie from the estimate; a kept prompt that was believed lost looks fast."""
-FADE_S = 15.0
-"""In this time half of what sets a worker apart is forgotten, so that one that was slow is tried again."""
-START_MS = 20.0
-"""What a first event takes beside the reading."""
+"""Assumed pace before any answer was observed."""
+MIN_SAMPLE_TOKENS = 4096
+"""Smaller samples are ignored, as most of their time isn't spent on reading."""
+SAMPLE_WEIGHT = 0.5
+"""Weight of a new sample in the moving average."""
+MAX_STEP = 2.0
+"""Factor by which a sample may differ from the estimate; a cached prompt that was thought to be
+evicted looks very fast.
+"""
+HALF_LIFE_S = 15.0
+"""Time in which half of a worker's deviation from the usual pace is forgotten, so that a slow one
+is tried again.
+"""
+OVERHEAD_MS = 20.0
+"""Part of the time to the first event that isn't spent on reading."""
 
 
 @attrs.define
 class Pace:
-    """The pace of one worker in tokens a millisecond, 0 while nothing was seen of it."""
+    """The estimated pace of one worker in tokens per millisecond, 0 before the first sample."""
 
     tokens_per_ms: float = 0.0
-    seen_s: float = -math.inf
+    updated_s: float = -math.inf
 
     def observe(self, tokens: float, elapsed_ms: float, now_s: float, usual: float):
-        """Take in that so many tokens were read before an event that came after so many milliseconds.
+        """Add a sample: the tokens read before a first event and the time until it.
 
-        `usual` is the pace of the workers at large, which the first sample is weighed against.
+        `usual` is the average pace of all workers, against which the first sample is weighed.
         """
-        if tokens < LEAST_TOKENS or elapsed_ms <= 0:
+        if tokens < MIN_SAMPLE_TOKENS or elapsed_ms <= 0:
             return
-        before = self.at(now_s, usual)
-        sample = tokens / max(1.0, elapsed_ms - START_MS)
-        sample = min(max(sample, before / STEP_MOST), before * STEP_MOST)
-        self.hear(before + GAIN * (sample - before), now_s)
+        estimate = self.at(now_s, usual)
+        sample = tokens / max(1.0, elapsed_ms - OVERHEAD_MS)
+        sample = min(max(sample, estimate / MAX_STEP), estimate * MAX_STEP)
+        self.hear(estimate + SAMPLE_WEIGHT * (sample - estimate), now_s)
 
     def hear(self, tokens_per_ms: float, now_s: float):
-        """Take over an estimate that was made now."""
-        self.tokens_per_ms, self.seen_s = tokens_per_ms, now_s
+        """Replace the estimate by one that was made now."""
+        self.tokens_per_ms, self.updated_s = tokens_per_ms, now_s
 
     def at(self, now_s: float, usual: float) -> float:
-        """Return the estimate as of now: it fades to the usual pace while nothing is seen."""
+        """Return the estimate as of now, which decays to the usual pace without samples."""
         if not self.tokens_per_ms:
             return usual
-        weight = 0.5 ** ((now_s - self.seen_s) / FADE_S)
+        weight = 0.5 ** ((now_s - self.updated_s) / HALF_LIFE_S)
         return usual + (self.tokens_per_ms - usual) * weight
--- a/swiftdeck/gateway/routes.py
+++ b/swiftdeck/gateway/routes.py
@@ -5,27 +5,27 @@
 
 @attrs.frozen
 class Route:
-    """One route, with the tables of services that it names."""
+    """A route with the services that it splits calls between, by share."""
 
     name: str
     path: object
     shares: tuple
 
     def service(self, draw: float) -> str:
-        """The service that a number from 0 up to 1 falls on."""
+        """Return the service for a random number in [0, 1)."""
         total = sum(share for _, share in self.shares)
-        at, chosen = draw * total, self.shares[-1][0]
+        position, chosen = draw * total, self.shares[-1][0]
         for name, share in self.shares:
             if share > 0:
                 chosen = name
-                if at < share:
+                if position < share:
                     break
-            at -= share
+            position -= share
         return chosen
 
 
 class RouteTable:
-    """For each host its prefixes, longest first."""
+    """The routes of a configuration by host and path prefix."""
 
     def __init__(self, document):
         self.hosts = {}
@@ -34,14 +34,17 @@
             self.hosts.setdefault(path.host.lower(), {})[path.prefix] = route
 
     def find(self, host: str, path: str):
-        """The route of the longest prefix that begins a path, or None."""
+        """Return the route with the longest prefix of a path, or None.
+
+        Prefixes are matched at slashes, and a port of the host is ignored.
+        """
         prefixes = self.hosts.get(host.partition(":")[0].lower())
         if not prefixes:
             return None
         end = len(path)
         while end > 0:
-            found = prefixes.get(path[:end])
-            if found is not None:
-                return found
+            route = prefixes.get(path[:end])
+            if route is not None:
+                return route
             end = path.rfind("/", 0, end - 1) + 1
         return None
--- a/swiftdeck/gateway/share.py
+++ b/swiftdeck/gateway/share.py
@@ -1,17 +1,22 @@
-"""This router's share of the one budget of further tries."""
+"""This router's share of the fleet's retry budget."""
 
 import asyncio
 
 from swiftdeck.traffic.budget import Budget
 
-SAFE = 0.9
+SAFETY_FACTOR = 0.9
+"""Share of the budget that is used, as a margin below the limit."""
 
 
 class BudgetShare:
-    """A part of its own calls, and of the allowance what falls on one of as many routers as were ever known at once.
+    """Grants further attempts of this router's calls.
 
-    Known are those that this router hears of and those that hold a lease of the cores, so that routers which are cut off from each
-    other, but not from the cores, don't each take the whole.
+    The budget is a ratio of its own calls plus its part of the fleet's fixed allowance.
+
+    The allowance is divided by the largest number of routers that were ever known at once.
+    `routers` returns those that this router hears of, and `at_least` the number of routers that
+    hold a lease of the cores. So routers that are cut off from each other, but not from the cores,
+    don't each take the whole allowance.
     """
 
     def __init__(self, routers, ratio, extra, window_s, at_least=lambda: 1):
@@ -22,27 +27,27 @@
             window_s,
             at_least,
         )
-        self.most, self.budgets = 1, {}
+        self.max_routers, self.budgets = 1, {}
 
-    def _of(self, service):
+    def _budget_of(self, service):
         if service not in self.budgets:
             self.budgets[service] = Budget(
-                self.ratio * SAFE, self.window_s, start_s=asyncio.get_running_loop().time()
+                self.ratio * SAFETY_FACTOR, self.window_s, start_s=asyncio.get_running_loop().time()
             )
         return self.budgets[service]
 
     def _allowance(self):
-        self.most = max(self.most, len(self.routers()), self.at_least())
-        return int(self.extra * SAFE) // self.most
+        self.max_routers = max(self.max_routers, len(self.routers()), self.at_least())
+        return int(self.extra * SAFETY_FACTOR) // self.max_routers
 
     def call(self, service: str):
         """Count a request for a service."""
-        self._of(service).call(asyncio.get_running_loop().time())
+        self._budget_of(service).call(asyncio.get_running_loop().time())
 
     def has(self, service: str) -> bool:
-        """Whether a further try could be had."""
-        return self._of(service).has(asyncio.get_running_loop().time(), self._allowance())
+        """Return whether a further attempt would be granted."""
+        return self._budget_of(service).has(asyncio.get_running_loop().time(), self._allowance())
 
     def draw(self, service: str) -> bool:
-        """Take a further try."""
-        return self._of(service).draw(asyncio.get_running_loop().time(), self._allowance())
+        """Take a further attempt and return whether it was granted."""
+        return self._budget_of(service).draw(asyncio.get_running_loop().time(), self._allowance())
--- a/tests/gateway/test_kept.py
+++ b/tests/gateway/test_kept.py
@@ -1,4 +1,4 @@
-"""Tests of the table of kept parts."""
+"""Tests of the table of cached parts."""
 
 import unittest
 
@@ -12,7 +12,7 @@
     def setUp(self):
         self.kept = KeptTable()
 
-    def test_parts_count_up_to_the_first_that_is_lacking(self):
+    def test_tokens_count_up_to_the_first_missing_part(self):
         self.kept.keep("w1", "1", "a", 100)
         self.kept.keep("w1", "1", "c", 10)
         self.assertEqual(self.kept.tokens("w1", "1", PROMPT), 100)
@@ -29,13 +29,13 @@
         self.assertEqual(self.kept.tokens("w2", "1", PROMPT), 0)
         self.assertEqual(self.kept.holders("2", PROMPT), [])
 
-    def test_holders_stand_by_what_they_keep_from_the_beginning(self):
+    def test_holders_are_ordered_by_the_leading_tokens_that_they_have(self):
         for holder, part in (("w1", "b"), ("w2", "a"), ("w3", "a"), ("w3", "b")):
             self.kept.keep(holder, "1", part, {"a": 100, "b": 50}[part])
         self.assertEqual(self.kept.holders("1", PROMPT), ["w3", "w2", "w1"])
         self.assertEqual(self.kept.holders("1", []), [])
 
-    def test_what_was_dropped_or_forgotten_leaves_nothing_behind(self):
+    def test_dropped_and_forgotten_parts_leave_nothing_behind(self):
         for holder in ("w1", "w2"):
             self.kept.keep(holder, "1", "a", 100)
             self.kept.keep(holder, "1", "b", 50)
--- a/tests/gateway/test_pace.py
+++ b/tests/gateway/test_pace.py
@@ -1,42 +1,42 @@
-"""Tests of the pace at which workers read."""
+"""Tests of the estimated reading pace of workers."""
 
 import unittest
 
-from swiftdeck.gateway.pace import FADE_S, LEAST_TOKENS, START_MS, Pace
+from swiftdeck.gateway.pace import HALF_LIFE_S, MIN_SAMPLE_TOKENS, OVERHEAD_MS, Pace
 from tests.gateway.parts import worker_registry
 
 USUAL = 40.0
 
 
 class PaceTest(unittest.TestCase):
-    def seen(self, tokens_per_ms, count=20, tokens=16_000):
+    def observed_pace(self, tokens_per_ms, count=20, tokens=16_000):
         pace = Pace()
-        for at in range(count):
-            pace.observe(tokens, tokens / tokens_per_ms + START_MS, at * 1.0, USUAL)
+        for index in range(count):
+            pace.observe(tokens, tokens / tokens_per_ms + OVERHEAD_MS, index * 1.0, USUAL)
         return pace
 
-    def test_it_follows_what_is_seen(self):
+    def test_the_estimate_follows_the_samples(self):
         for tokens_per_ms in (8.0, 31.0, 44.0, 90.0):
-            found = self.seen(tokens_per_ms).at(19.0, USUAL)
-            self.assertAlmostEqual(found, tokens_per_ms, delta=0.2 * tokens_per_ms)
+            estimate = self.observed_pace(tokens_per_ms).at(19.0, USUAL)
+            self.assertAlmostEqual(estimate, tokens_per_ms, delta=0.2 * tokens_per_ms)
 
-    def test_short_readings_and_no_time_say_nothing(self):
+    def test_small_samples_and_samples_without_a_duration_are_ignored(self):
         pace = Pace()
-        pace.observe(LEAST_TOKENS - 1, 10, 0.0, USUAL)
+        pace.observe(MIN_SAMPLE_TOKENS - 1, 10, 0.0, USUAL)
         pace.observe(16_000, 0, 0.0, USUAL)
         self.assertEqual(pace.at(0.0, USUAL), USUAL)
 
-    def test_one_prompt_that_was_kept_after_all_moves_it_little(self):
+    def test_one_prompt_that_was_cached_after_all_changes_the_estimate_little(self):
         pace = Pace()
         pace.observe(16_000, 30, 0.0, USUAL)
         self.assertLess(pace.at(0.0, USUAL), 1.6 * USUAL)
 
     def test_a_slow_worker_is_tried_again(self):
-        pace = self.seen(5.0)
+        pace = self.observed_pace(5.0)
         self.assertLess(pace.at(19.0, USUAL), 10)
-        self.assertGreater(pace.at(19.0 + 4 * FADE_S, USUAL), 0.9 * USUAL)
+        self.assertGreater(pace.at(19.0 + 4 * HALF_LIFE_S, USUAL), 0.9 * USUAL)
 
-    def test_workers_of_which_nothing_is_known_read_at_the_usual_pace(self):
+    def test_workers_without_samples_have_the_usual_pace(self):
         registry = worker_registry("i-0", "i-1")
         for _ in range(100):
             registry.hear_pace(registry.workers["i-0"], 20.0, 1.0)
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -7,7 +7,7 @@
 
 
 def table(**paths):
-    """A table of routes by name: (host, prefix, shares by service)."""
+    """Return a table of routes given as name=(host, prefix, shares by service)."""
     return RouteTable(
         Document(
             paths={
@@ -35,10 +35,10 @@
         )
 
     def name(self, host, path):
-        found = self.table.find(host, path)
-        return found and found.name
+        route = self.table.find(host, path)
+        return route and route.name
 
-    def test_the_longest_prefix_that_begins_the_path_wins(self):
+    def test_the_longest_prefix_of_the_path_wins(self):
         for path, name in [
             ("/", "top"),
             ("/a", "top"),
@@ -53,12 +53,12 @@
         ]:
             self.assertEqual(self.name("h.example", path), name, path)
 
-    def test_a_host_comes_in_any_case_and_with_a_port(self):
+    def test_a_host_matches_in_any_case_and_with_a_port(self):
         for host in ("h.example", "H.Example", "h.example:8080"):
             self.assertEqual(self.name(host, "/a/1"), "a", host)
         self.assertEqual(self.name("mixed.example", "/m/1"), "mixed")
 
-    def test_no_route_is_told_where_none_fits(self):
+    def test_no_route_is_found_if_none_matches(self):
         for host, path in [
             ("", "/a/"),
             ("x.example", "/a/"),
@@ -76,7 +76,7 @@
         drawn = [route.service(at / 1000) for at in range(1000)]
         self.assertEqual((drawn.count("a"), drawn.count("b")), (900, 100))
 
-    def test_a_share_of_nothing_is_never_drawn(self):
+    def test_a_share_of_zero_is_never_drawn(self):
         for shares in (
             [("none", 0), ("a", 3)],
             [("a", 3), ("none", 0)],
