--- a/swiftdeck/gateway/old_weights.py
+++ b/swiftdeck/gateway/old_weights.py
@@ -6,8 +6,8 @@
 import math
 
 SUSPICION_MARGIN_S = 1.0
-"""Margin before the bound while only this process suspects trouble in the core; the suspicion may
-be wrong, and the bound holds anyway.
+"""Margin before the bound when only this router suspects trouble in the core: the suspicion may be
+wrong, so the bound must be kept.
 """
 BEGIN_MARGIN_S = 0.4
 """How long before the bound a request without an answer is withdrawn from its worker."""
--- a/swiftdeck/gateway/patience.py
+++ b/swiftdeck/gateway/patience.py
@@ -7,7 +7,9 @@
 """Multiple of the expected reading time that is allowed while another worker could answer in time."""
 HUNG_MIN_LIMIT_S = 1.0
 HUNG_SLACK = 3.0
-"""The same once no other worker could answer in time, so that only a worker that hangs is given up."""
+"""Lower bound and multiple of the reading time once no other worker could answer in time, so that
+only a worker that hangs is given up.
+"""
 
 
 def silence_limit_s(aim_s: float, reading_ms: float) -> float:
--- a/swiftdeck/gateway/place_search.py
+++ b/swiftdeck/gateway/place_search.py
@@ -1,4 +1,4 @@
-"""Finds a worker with a free slot for one long call."""
+"""Finds a worker with a free place for one long call."""
 
 import asyncio
 import math
@@ -9,7 +9,7 @@
 from swiftdeck.gateway.worker_registry import Worker
 
 MAX_REQUESTS = 6
-"""Maximum number of requests for a slot before the call waits at its first choice."""
+"""Maximum number of requests for a place before the call waits at its first choice."""
 WAIT_SHARE = 0.2
 """Share of the target time that a call may wait in queues."""
 FIRST_WAIT_SHARE = 0.3
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class GrantedPlace:
-    """A slot that was granted.
+    """A place that was granted.
 
     Holds what was asked for, the worker, and the expected duration of the reading.
     """
@@ -29,7 +29,7 @@
 
 
 class PlaceSearch:
-    """Asks the routers that own the workers' slots for one, the cheapest worker first.
+    """Asks the routers that own the workers' slots for a place, the cheapest worker first.
 
     An owner declines if its worker has so much to read that the next candidate would be cheaper.
     The candidates are then ranked again with the backlog that it reported.
@@ -48,7 +48,7 @@
         return self.gateway.placing.costs(self.request, workers, self.salts, self.serving)
 
     async def find(self, costs) -> GrantedPlace | None:
-        """Return a granted slot, or None if no worker has one within the wait bound.
+        """Return a granted place, or None if no worker has one within the wait bound.
 
         `costs` are those of all candidates; there is at least one.
         """
@@ -64,7 +64,7 @@
         return await self._wait_at_first(first)
 
     async def _ask_cheapest(self, costs, wait_share):
-        """Ask for a slot at the cheapest worker, unless its backlog is larger than known here."""
+        """Ask for a place at the cheapest worker, unless its backlog is larger than known here."""
         best, now_s = costs[0], asyncio.get_running_loop().time()
         unread_most = math.inf
         if len(costs) > 1:
@@ -74,7 +74,7 @@
         return await self._ask_owner(best.worker, best.missing, wait_share, unread_most)
 
     async def _wait_at_first(self, worker):
-        """Wait for a slot at the worker that was the first choice, whatever its backlog."""
+        """Wait for a place at the worker that was the first choice, whatever its backlog."""
         salt = self.salts[worker.name]
         missing = self.gateway.placing.missing(self.request, worker, salt)
         self._record_trace(())
--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -119,9 +119,9 @@
         if len(slots.queue) >= self.max_queue_length or wait_ms <= 0 or not self.policy.lines:
             self.telemetry.count["linesFull"] += 1
             return False
-        return await self._wait(slots, wish, wait_ms)
+        return await self._wait_in_queue(slots, wish, wait_ms)
 
-    async def _wait(self, slots, wish, wait_ms):
+    async def _wait_in_queue(self, slots, wish, wait_ms):
         queued_call = QueuedCall(
             wish.tenant if self.policy.turns else "",
             wish,
--- a/swiftdeck/gateway/placing.py
+++ b/swiftdeck/gateway/placing.py
@@ -22,8 +22,8 @@
 in milliseconds for a long call inside it.
 """
 SHARED_WEIGHT, RING_STEP_MS = 1.5, 37.5
-"""Weight of reading shared tokens, where reading its own has 1, and the cost of each step along the
-ring.
+"""Weight of reading a shared token relative to one of the prompt's own, and the cost of each step
+along the ring.
 """
 UNKNOWN_TRANSFER_SHARE = 0.5
 """Estimated cost of a transfer as a share of reading the tokens, if the configuration has no sizes
@@ -133,12 +133,13 @@
 
     @staticmethod
     def _add_bounded(table, key, value):
+        """Add an entry to a table and evict the oldest ones beyond its bound."""
         while len(table) >= CACHED_MAX:
             del table[next(iter(table))]
         table[key] = value
 
     def is_long(self, request) -> bool:
-        """Return whether a prompt is so large that the call needs a slot at its worker."""
+        """Return whether a prompt is so large that the call needs a place at its worker."""
         return request.prompt_tokens >= self.long_tokens
 
     def _ring(self, names):
