--- a/swiftdeck/gateway/place_search.py
+++ b/swiftdeck/gateway/place_search.py
@@ -18,10 +18,7 @@
 
 @attrs.frozen
 class GrantedPlace:
-    """A place that was granted.
-
-    Holds what was asked for, the worker, and the expected duration of the reading.
-    """
+    """A place that was granted, with its worker and the expected reading time."""
 
     wish: Wish
     worker: Worker
@@ -52,16 +49,16 @@
 
         `costs` are those of all candidates; there is at least one.
         """
-        first = costs[0].worker
+        first_choice = costs[0].worker
         for attempt in range(MAX_REQUESTS):
             if attempt:
                 costs = self.costs()
             if not costs:
                 break
-            found = await self._ask_cheapest(costs, FIRST_WAIT_SHARE if attempt == 0 else 0.0)
-            if found is not None:
-                return found
-        return await self._wait_at_first(first)
+            place = await self._ask_cheapest(costs, FIRST_WAIT_SHARE if attempt == 0 else 0.0)
+            if place is not None:
+                return place
+        return await self._wait_at_first(first_choice)
 
     async def _ask_cheapest(self, costs, wait_share):
         """Ask for a place at the cheapest worker, unless its backlog is larger than known here."""
@@ -84,14 +81,14 @@
         gateway, salt = self.gateway, self.salts[worker.name]
         wish = self.proxied_request.wish(worker, missing.tokens_to_read)
         wait_ms = int(self._wait_s(wait_share) * 1000)
-        answer = await gateway.admission.ask(wish, wait_ms, self.request, salt, unread_most)
-        if not answer.granted:
-            if not answer.is_busy:
+        response = await gateway.admission.ask(wish, wait_ms, self.request, salt, unread_most)
+        if not response.granted:
+            if not response.is_busy:
                 self.refused.add(worker.name)
             return None
         now_s = asyncio.get_running_loop().time()
         pace = gateway.worker_registry.pace(worker, now_s)
-        reading_ms = (answer.unread + missing.tokens_to_read) / pace + missing.transfer_ms
+        reading_ms = (response.unread + missing.tokens_to_read) / pace + missing.transfer_ms
         return GrantedPlace(wish, worker, reading_ms)
 
     def _wait_s(self, share):
--- a/swiftdeck/gateway/places.py
+++ b/swiftdeck/gateway/places.py
@@ -70,7 +70,7 @@
         self.on_load = lambda worker, backlog, running: None
         self.on_reading = lambda worker, tokens, elapsed_ms: None
 
-    def _now(self):
+    def _now_s(self):
         return asyncio.get_running_loop().time()
 
     def slots_of(self, worker) -> WorkerSlots:
@@ -126,7 +126,7 @@
             wish.tenant if self.policy.turns else "",
             wish,
             asyncio.get_running_loop().create_future(),
-            self._now(),
+            self._now_s(),
         )
         slots.queue.add(queued_call)
         self.queued_calls[wish.call] = queued_call
@@ -169,7 +169,7 @@
             for call, (worker, _) in self.place_by_call.items():
                 if worker == slots.worker:
                     self.reading_alone.pop(call, None)
-        self.backlogs[slots.worker] = (unread + wish.missing, self._now())
+        self.backlogs[slots.worker] = (unread + wish.missing, self._now_s())
 
     def is_open(self, wish: Wish) -> bool:
         """Return whether a call belongs to an episode that was admitted and isn't over."""
@@ -184,7 +184,7 @@
     def _backlog(self, slots):
         """Return the unread tokens of admitted calls, estimated from the worker's usual pace."""
         tokens, since_s = self.backlogs.get(slots.worker, (0, 0.0))
-        return max(0.0, tokens - (self._now() - since_s) * 1000 * self.pace_of(slots.worker))
+        return max(0.0, tokens - (self._now_s() - since_s) * 1000 * self.pace_of(slots.worker))
 
     def _report_load(self, slots):
         self.on_load(
@@ -205,7 +205,7 @@
             if queued_call is not None:
                 queued_call.done.cancel()
             else:
-                self.early_ends[call] = self._now() + EARLY_END_KEPT_S
+                self.early_ends[call] = self._now_s() + EARLY_END_KEPT_S
             return
         worker, name = self.place_by_call.pop(call, ("", ""))
         alone_tokens = self.reading_alone.pop(call, 0)
@@ -217,14 +217,14 @@
             return
         episode.running.pop(call, None)
         if not episode.running:
-            episode.idle_since_s = self._now()
+            episode.idle_since_s = self._now_s()
             if not is_kept:
                 self._close(slots, episode)
         self._report_load(slots)
         self.admit_queued(slots)
 
     def _reclaim(self, slots):
-        now_s = self._now()
+        now_s = self._now_s()
         for episode in list(slots.open.values()):
             for call in [
                 call
@@ -239,7 +239,7 @@
         self._close_idle(slots, 0 if len(slots.queue) else self.pause_ms)
 
     def _close_idle(self, slots, pause_ms):
-        for episode in slots.ended(self._now(), pause_ms):
+        for episode in slots.ended(self._now_s(), pause_ms):
             self._close(slots, episode)
             self.telemetry.count["episodesEnded"] += 1
 
@@ -263,7 +263,7 @@
         open or queued.
         """
         self.early_ends = {
-            call: until_s for call, until_s in self.early_ends.items() if until_s > self._now()
+            call: until_s for call, until_s in self.early_ends.items() if until_s > self._now_s()
         }
         for worker, slots in list(self.slots_by_worker.items()):
             self.admit_queued(slots)
--- a/swiftdeck/gateway/placing.py
+++ b/swiftdeck/gateway/placing.py
@@ -117,8 +117,9 @@
     def short_lane(self, workers):
         """Return the names of the workers that short calls prefer.
 
-        These are a part of all workers, so that short calls don't wait behind the reading of a long
-        prompt. They are chosen by name alone, so all routers choose the same.
+        These are a fraction of all workers, so that short calls don't wait behind the reading of a
+        long prompt. They are chosen by name alone, so all routers choose the same. Without a lane
+        they are all workers.
         """
         names = tuple(sorted(each.name for each in workers))
         if names not in self.lanes:
@@ -183,14 +184,16 @@
     def costs(self, request, workers, salts, serving) -> list[PlacementCost]:
         """Return the estimated cost of a long call at each candidate, cheapest first."""
         lane = self.short_lane(serving) if self._has_lane(serving) else ()
-        good = self.judge.good(workers)
-        distances = self._ring_distances(request, good, lane)
+        healthy = self.judge.good(workers)
+        distances = self._ring_distances(request, healthy, lane)
         now_s = asyncio.get_running_loop().time()
         shared, costs = request.shared(), []
-        held = {salt: self._holders(salt, shared) for salt in {salts[each.name] for each in good}}
-        for worker in good:
+        holders_by_salt = {
+            salt: self._holders(salt, shared) for salt in {salts[each.name] for each in healthy}
+        }
+        for worker in healthy:
             salt = salts[worker.name]
-            missing = self._missing(request, worker, salt, held[salt])
+            missing = self._missing(request, worker, salt, holders_by_salt[salt])
             pace = self.registry.pace(worker, now_s)
             distance = min(distances.get(worker.name, 2), 3) if self.policy.ring else 0
             costs.append(
@@ -211,8 +214,8 @@
         """Return the distance of each worker along the ring from the first shared part."""
         shared = request.shared() or request.parts
         ring = self._ring(
-            sorted(each.name for each in workers if each.name not in lane)
-            or sorted(each.name for each in workers)
+            sorted(worker.name for worker in workers if worker.name not in lane)
+            or sorted(worker.name for worker in workers)
         )
         key = hashlib.blake2b(
             "/".join(part.name for part in shared[:1]).encode(), digest_size=16
@@ -231,27 +234,30 @@
         holders = self.kept.holders(salt, shared)
         return [(name, self.kept.tokens(name, salt, shared)) for name in holders]
 
-    def _missing(self, request, worker, salt, held) -> MissingTokens:
+    def _missing(self, request, worker, salt, holders) -> MissingTokens:
         shared = request.shared()
-        size = sum(part.tokens for part in shared)
+        shared_tokens = sum(part.tokens for part in shared)
         cached_here = self.kept.tokens(worker.name, salt, shared, self.policy.expectations)
         if not self.policy.warmth:
             cached_here = 0
-        transfer = self._best_transfer(worker, held, cached_here)
-        transferred = min(size - cached_here, transfer.tokens) if transfer else 0
-        own = max(0, request.prompt_tokens - size)
+        transfer = self._best_transfer(worker, holders, cached_here)
+        transferred = min(shared_tokens - cached_here, transfer.tokens) if transfer else 0
+        own = max(0, request.prompt_tokens - shared_tokens)
         return MissingTokens(
-            own, size - cached_here - transferred, transferred, transfer.ms if transfer else 0.0
+            own,
+            shared_tokens - cached_here - transferred,
+            transferred,
+            transfer.ms if transfer else 0.0,
         )
 
-    def _best_transfer(self, worker, held, cached_here: int) -> PrefixTransfer | None:
+    def _best_transfer(self, worker, holders, cached_here: int) -> PrefixTransfer | None:
         """Return the transfer that saves a worker most time over reading.
 
         Returns None if reading is as fast.
         """
         pace = self.registry.pace(worker, asyncio.get_running_loop().time())
-        best, most_ms = None, 0.0
-        for name, held_tokens in held:
+        best_transfer, most_saved_ms = None, 0.0
+        for name, held_tokens in holders:
             tokens = held_tokens - cached_here
             link = self._link(name) if name != worker.name else None
             if tokens <= 0 or link is None:
@@ -260,9 +266,9 @@
                 link.address, tokens, self._transfer_ms(link, worker, tokens, pace)
             )
             saved_ms = tokens / pace - transfer.ms
-            if saved_ms > most_ms:
-                best, most_ms = transfer, saved_ms
-        return best
+            if saved_ms > most_saved_ms:
+                best_transfer, most_saved_ms = transfer, saved_ms
+        return best_transfer
 
     def _link(self, holder: str) -> Link | None:
         """Return the link to a holder, or None if it is gone or marked unhealthy."""
@@ -311,8 +317,11 @@
         shared = request.shared()
         if not shared or not self.is_long(request):
             return ""
-        size = sum(part.tokens for part in shared)
-        if any(self.kept.tokens(each, salt, shared) >= KEPT_SHARE * size for each in self.stores):
+        shared_tokens = sum(part.tokens for part in shared)
+        if any(
+            self.kept.tokens(each, salt, shared) >= KEPT_SHARE * shared_tokens
+            for each in self.stores
+        ):
             return ""
         return self.store_of(salt, shared)
 
@@ -320,8 +329,8 @@
         """Return the available store that parts belong in, which is the same at each router."""
         now_s = asyncio.get_running_loop().time()
         available = [store for store in self.stores if not self.kept.is_down(store, now_s)]
-        name = f"{salt}/{shared[0].name}"
-        return max(available, key=lambda store: _digest(f"{store}/{name}"), default="")
+        part_name = f"{salt}/{shared[0].name}"
+        return max(available, key=lambda store: _digest(f"{store}/{part_name}"), default="")
 
 
 def _digest(text):
