--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -97,7 +97,7 @@
         self.next_last, self.pass_failed_s = None, None
         self.last_write_s = None
         agreement.watchers.append(self.on_view)
-        agreement.troubles.append(self.trouble)
+        agreement.fault_checks.append(self.own_fault_text)
         for kind, handler in (
             (Write, self.on_write),
             (ReplicateAsk, self.on_pass),
@@ -153,7 +153,7 @@
             case log_records.CompleteIn():
                 self.complete_in = record.view
 
-    def trouble(self):
+    def own_fault_text(self):
         """Why this member should leave the chain, empty when it need not."""
         if self.journal.stall_ms() > 1000:
             return f"{DISK_STALLED.code} {DISK_STALLED.name}"
--- a/tests/chain/test_agreement.py
+++ b/tests/chain/test_agreement.py
@@ -13,13 +13,13 @@
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
-        world, folder, box = World(), SimFolder(), []
+        world, folder, results = World(), SimFolder(), []
 
         def process(act):
             async def main():
                 agreement = Agreement(folder, Mesh("10.0.0.1:1"), "10.0.0.1:1", world.random)
                 await agreement.start()
-                box.append((agreement.core_id, await act(agreement)))
+                results.append((agreement.core_id, await act(agreement)))
 
             return main
 
@@ -29,8 +29,8 @@
         folder.lose_power()
         world.start("a", "10.0.0.1", process(lambda a: a.on_prepare(Prepare(slot=1, ballot=8), "")))
         world.run(1)
-        self.assertEqual(box[0][0], box[1][0])
-        self.assertEqual([each[1].granted for each in box], [True, False])
+        self.assertEqual(results[0][0], results[1][0])
+        self.assertEqual([each[1].granted for each in results], [True, False])
 
     def test_a_view_that_adds_does_not_forget_the_wait_of_one_that_dropped(self):
         from swiftdeck.sim.world import World
@@ -61,8 +61,11 @@
         world.run(30)
         self.assertEqual(served[1:], [False, False, True])
 
-    def left_after(self, tokens, pause_s=0.2):
-        """How long a voter makes others wait for a dropped member, in ms."""
+    def dropped_lease_ms(self, tokens, pause_s=0.2):
+        """Return how many ms a voter requires others to wait for the lease of a dropped member.
+
+        A positive token is a lease request, a negative one hands that lease back.
+        """
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
@@ -80,20 +83,20 @@
                     ViewLeaseAsk(number=1, core_id="a", token=abs(token), hand_back=token < 0), ""
                 )
                 await asyncio.sleep(pause_s)
-            left.append(voter._left_ms(View(number=2, members=refs[1:], voters=refs)))
+            left.append(voter._dropped_lease_ms(View(number=2, members=refs[1:], voters=refs)))
 
         world.start("a", "10.0.0.1", main)
         world.run(30)
         return left[0]
 
     def test_a_lease_that_is_handed_back_is_not_waited_out(self):
-        self.assertGreater(self.left_after([7]), 1500)
-        self.assertEqual(self.left_after([7, -7]), 0)
+        self.assertGreater(self.dropped_lease_ms([7]), 1500)
+        self.assertEqual(self.dropped_lease_ms([7, -7]), 0)
 
     def test_a_late_return_does_not_take_a_later_lease_back(self):
-        self.assertGreater(self.left_after([7, 8, -7]), 1500)
-        self.assertGreater(self.left_after([7, -7, 8]), 1500)
-        self.assertGreater(self.left_after([7, -7, 8, -7]), 1500)
+        self.assertGreater(self.dropped_lease_ms([7, 8, -7]), 1500)
+        self.assertGreater(self.dropped_lease_ms([7, -7, 8]), 1500)
+        self.assertGreater(self.dropped_lease_ms([7, -7, 8, -7]), 1500)
 
     def test_a_grant_that_was_asked_for_before_a_return_counts_for_nothing(self):
         from swiftdeck.sim.world import World
--- a/tests/sim/model/test_removals.py
+++ b/tests/sim/model/test_removals.py
@@ -84,7 +84,7 @@
             self.journal.append(record)
 
         self.assert_caught(
-            mock.patch.object(Agreement, "_keep", unsynced), schedule(), Invariant.ONLY_RISES
+            mock.patch.object(Agreement, "_persist", unsynced), schedule(), Invariant.ONLY_RISES
         )
 
     def test_serving_without_a_view_lease(self):
@@ -109,7 +109,7 @@
     def test_a_new_view_that_does_not_wait_out_the_old_lease(self):
         """The tail's disk hangs, so that it hears of the next view late."""
         self.assert_caught(
-            mock.patch.object(Agreement, "_wait_out", lambda self, wait_ms=None: None),
+            mock.patch.object(Agreement, "_extend_wait", lambda self, wait_ms=None: None),
             schedule("10:stall:core3:2.5", orders=(0.0, 0.3, 1.0)),
             Invariant.ONE_SERVES,
         )
@@ -143,13 +143,13 @@
 
     def test_proposing_without_a_majority(self):
         """Both sides of a cut agree on a next view."""
-        whole = Agreement._round
+        whole = Agreement._run_phase
 
         async def alone(self, voters, ask, least):
             return await whole(self, voters, ask, 1)
 
         self.assert_caught(
-            mock.patch.object(Agreement, "_round", alone),
+            mock.patch.object(Agreement, "_run_phase", alone),
             schedule("5:cut:core1:9"),
             Invariant.ONE_VIEW,
         )
