--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -1,4 +1,4 @@
-"""The chain: writes enter at the head, are synced at each member, and are answered from the tail."""
+"""Chain replication: writes enter at the head, are synced to disk at each member, and are acknowledged by the tail."""
 
 import asyncio
 import contextlib
@@ -42,13 +42,13 @@
     WriteReturn,
 )
 
-PASS_ENTRIES, PASS_BYTES, KEPT_ENTRIES = 256, 4 << 20, 4096
+REPLICATE_ENTRIES, REPLICATE_BYTES, KEPT_ENTRIES = 256, 4 << 20, 4096
 COMMIT_WAIT_MS, COMMIT_ASK_MS = 600, 800
 
 
 @attrs.frozen
 class Durable:
-    """The newest configuration that a loss of power cannot take back from this member's disk."""
+    """The newest configuration that is synced to this member's disk and so survives a power loss."""
 
     version: int
     config: object
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class Refusal:
-    """A change that the head's own entries speak against, the last of them by its serial in a view."""
+    """The fault of a change that conflicts with the head's entries up to `serial` in a view."""
 
     fault: object
     view: int
@@ -64,7 +64,17 @@
 
 
 class Chain:
-    """One core's copy of the control state and its place in the chain."""
+    """One core's replica of the control state and its role in the chain.
+
+    Attributes:
+        serial: The serial of the last entry that is applied here.
+        synced: The serial of the last entry that is synced to disk.
+        caught_up_view: The view in which this member was known to have all that the chain had at its start.
+        tail_view: The view in which this member was last a caught-up tail, or 0.
+        next_member_serial: The last serial of the next member, None until it has responded in this view.
+        complete_in: The view whose forming makes a partial copy complete, or 0.
+        must_compare: Whether this member has to compare its log with its neighbor's before it serves.
+    """
 
     def __init__(
         self,
@@ -89,19 +99,19 @@
         self.committed_config = self.state.config
         self.fault, self.needs_copy, self.must_compare, self.is_partial = None, False, False, False
         self.complete_in = 0
-        self.whole_in, self.last_in = 0, 0
+        self.caught_up_view, self.tail_view = 0, 0
         self.transfer, self.updates = StateTransfer(self), ConfigUpdates(telemetry)
-        self.incoming, self.committers = [], []
+        self.incoming, self.commit_waiters = [], []
         self.unwritten = []
         self.weight_ages, self.core_calm_ms = WeightAges(), lambda: 0
-        self.next_last, self.pass_failed_s = None, None
+        self.next_member_serial, self.replication_failed_s = None, None
         self.last_write_s = None
         agreement.watchers.append(self.on_view)
         agreement.fault_checks.append(self.own_fault_text)
         for kind, handler in (
             (Write, self.on_write),
-            (ReplicateAsk, self.on_pass),
-            (CopyAsk, self.transfer.on_ask),
+            (ReplicateAsk, self.on_replicate),
+            (CopyAsk, self.transfer.on_copy_ask),
             (LogAsk, self.transfer.on_log_ask),
             (CommitAsk, self.on_commit_ask),
         ):
@@ -109,18 +119,21 @@
         self.queries = TailQueries(self)
 
     async def start(self):
-        """Read what was kept, and go on passing entries down."""
+        """Load the log and start replicating entries to the next member."""
         self.loop = asyncio.get_running_loop()
         self.leases.start()
-        self.owner, self.kick = CommandQueue(), asyncio.Event()
+        self.owner, self.wake_replication = CommandQueue(), asyncio.Event()
         self._load()
         if self.fault is None and not await self._sync():
             self.needs_copy = True
         self.on_view(self.agreement.decided)
-        self.task = asyncio.ensure_future(self._passing())
+        self.task = asyncio.ensure_future(self._replicate_loop())
 
     def _load(self):
-        """Read the log. Its first record is synced before this core knows any view, so that a later log without any is lost."""
+        """Load the log.
+
+        The first record is synced before this core knows any view. So an empty log of a core that knows a view is a lost file.
+        """
         try:
             loaded = self.journal.load()
             records = loaded if is_fault(loaded) else log_records.read(loaded)
@@ -132,7 +145,7 @@
             self.fault, self.needs_copy = records, True
             return
         for record in records:
-            self._restore(record)
+            self._apply_record(record)
         is_known = self.agreement.decided.number > 0
         self.must_compare = is_known
         if not records and not is_known:
@@ -140,7 +153,7 @@
         elif not records and self.agreement.position() >= 0:
             self.fault, self.needs_copy = CORRUPT_RECORD.with_reason("chain.log is missing"), True
 
-    def _restore(self, record):
+    def _apply_record(self, record):
         match record:
             case log_records.State():
                 self.state.from_bytes(record.data)
@@ -154,52 +167,52 @@
                 self.complete_in = record.view
 
     def own_fault_text(self):
-        """Why this member should leave the chain, empty when it need not."""
+        """Return the fault for which this member should leave the chain, or an empty string."""
         if self.journal.stall_ms() > 1000:
             return f"{DISK_STALLED.code} {DISK_STALLED.name}"
         return f"{self.fault.code} {self.fault.reason}" if self.fault is not None else ""
 
     def on_view(self, view):
-        """Start over in a new view."""
-        self.next_last, self.pass_failed_s = None, None
+        """Reset the replication state for a new view."""
+        self.next_member_serial, self.replication_failed_s = None, None
         if self.agreement.position() >= 0:
-            self.transfer.is_copy = False
+            self.transfer.has_tail_copy = False
             if view.number == self.complete_in and self.is_partial:
-                self.owner.send(self._note_joined, view.number)
+                self.owner.send(self._complete_join, view.number)
         if len(view.members) < 2:
             self.must_compare = False
-        self._lead_if_complete()
-        self.kick.set()
+        self._serve_if_complete()
+        self.wake_replication.set()
 
-    def _lead_if_complete(self):
+    def _serve_if_complete(self):
         if self.agreement.position() == 0 and not (self.must_compare or self.lacks_entries()):
             self._become_whole()
 
     def _become_whole(self):
         view = self.agreement.decided.number
-        if self.whole_in != view:
-            stays_last = self.is_last() and self.last_in == self.whole_in == view - 1 > 0
-            self.whole_in = view
-            if not stays_last:
+        if self.caught_up_view != view:
+            stays_tail = self.is_last() and self.tail_view == self.caught_up_view == view - 1 > 0
+            self.caught_up_view = view
+            if not stays_tail:
                 self.leases.begin(max(self.loop.time(), self.agreement.wait_until_s))
-            self._know()
-            self.last_in = view if self.is_last() else 0
+            self._record_durable_version()
+            self.tail_view = view if self.is_last() else 0
 
-    def _know(self):
-        """Remember when this tail first had the newest version on its disk, and the weights that it names."""
+    def _record_durable_version(self):
+        """On the tail, record when the newest version and its models' weights were first on its disk."""
         if self.is_last():
             self.weight_ages.note(self.durable.config.document.models, self.loop.time())
-            self.leases.know(self.durable.version)
+            self.leases.record_version(self.durable.version)
 
     def lacks_entries(self):
-        """Whether this member may lack what was committed, so that no view may keep such members only.
+        """Return whether this member may lack committed entries; a view of such members only would lose them.
 
-        A core that joins copies while changes go on; it has all of them once it was whole.
+        A joining core copies the state while changes go on, and has all entries once it has caught up as a member.
         """
         return self.is_partial or self.needs_copy
 
-    async def _note_complete(self):
-        """Put on the disk that this member has been whole, before it acts as one; gives whether that is done."""
+    async def _persist_complete(self):
+        """Sync a record that this member has caught up, before it acts on that; return whether the disk took it."""
         if not self.is_partial:
             return True
         try:
@@ -212,17 +225,17 @@
         return True
 
     async def expect_join(self, view):
-        """Put on the disk that the view after this one makes the copy here complete, if that can be said.
+        """Sync a record that the next view makes the copy here complete, where the current view is too small.
 
-        A view that acknowledges nothing leaves nothing that its whole tail's log did not have, and what
-        the next one acknowledges passes through all its members. A later view may hold what was
-        acknowledged without this core. Gives whether the disk is well.
+        A view that is too small acknowledges nothing beyond the log of its caught-up tail, and whatever the next view
+        acknowledges passes through all its members. Any later view may have acknowledged entries without this core, so the
+        record names just that one. Returns False after a disk fault.
         """
-        return await self.owner.send(self._expect_join, view)
+        return await self.owner.send(self._persist_expected_join, view)
 
-    async def _expect_join(self, view):
+    async def _persist_expected_join(self, view):
         number = view.number + 1
-        if self._bears_losses(view) or self.complete_in == number:
+        if self._tolerates_losses(view) or self.complete_in == number:
             return True
         try:
             self.journal.append(log_records.CompleteIn(number))
@@ -233,10 +246,10 @@
         self.complete_in = number
         return True
 
-    async def _note_joined(self, number):
-        """Act on the record of `expect_join`, unless another copy has taken the place of that one."""
-        if self.complete_in == number and await self._note_complete():
-            self._lead_if_complete()
+    async def _complete_join(self, number):
+        """Act on the record of `expect_join`, unless that copy has been replaced by another one."""
+        if self.complete_in == number and await self._persist_complete():
+            self._serve_if_complete()
 
     def is_first(self):
         return self.agreement.position() == 0
@@ -246,16 +259,16 @@
         return bool(members) and self.agreement.position() == len(members) - 1
 
     def is_whole(self):
-        """Whether this member has all that the chain before it had at the start of the view."""
-        return self.whole_in == self.agreement.decided.number > 0 and not self.needs_copy
+        """Return whether this member has all that the members before it had at the start of the view."""
+        return self.caught_up_view == self.agreement.decided.number > 0 and not self.needs_copy
 
     def may_tell(self):
-        """Whether this is the tail and may speak for the chain now."""
+        """Return whether this is the tail and may answer queries for the chain now."""
         return self.is_last() and self.is_whole() and self.agreement.may_serve()
 
     def _apply(self, serial, body):
         self.state.apply(msgspec.msgpack.decode(body))
-        if not self.state.is_true:
+        if not self.state.is_consistent:
             self.fault, self.needs_copy = (
                 CORRUPT_RECORD.with_reason("a change gave another configuration here"),
                 True,
@@ -265,23 +278,23 @@
         while len(self.entries) > KEPT_ENTRIES:
             del self.entries[next(iter(self.entries))]
 
-    def _bears_losses(self, view):
+    def _tolerates_losses(self, view):
         return len(view.members) > self.losses_borne
 
     def has_copies(self):
-        """Whether this view has more members than may be lost, without which nothing is acknowledged."""
-        return self._bears_losses(self.agreement.decided)
+        """Return whether the view has more members than may be lost; otherwise nothing is acknowledged."""
+        return self._tolerates_losses(self.agreement.decided)
 
     def awaits_last_sync(self):
-        """Whether this member of a view that takes no changes has yet to sync what it had before that view.
+        """Return whether a member of a view that takes no changes still has to sync older entries.
 
-        Until then it makes no other member whole, nor gives its log away: a core that joins such a view
-        counts as complete with the log of its tail, to which nothing may be added.
+        Until then it neither replicates nor serves its log: a core that joins such a view counts as complete
+        with the log of its tail, so nothing may be added to that log afterwards.
         """
         return not self.has_copies() and self.serial > self.synced
 
     def _may_write(self):
-        """Whether this is the head and may take changes now."""
+        """Return whether this is the head and may take changes now."""
         return self.is_first() and self.agreement.may_serve() and self.is_whole()
 
     async def on_write(self, ask, sender):
@@ -298,39 +311,39 @@
             change["t"]
         except (msgspec.DecodeError, KeyError, TypeError) as error:
             return BAD_FRAME.with_reason(error)
-        done = self.loop.create_future()
-        self.incoming.append((change, done))
-        self.owner.send(self._take_incoming)
-        got = await done
-        return await self._confirmed(got) if isinstance(got, Refusal) else got
-
-    async def _take_incoming(self):
-        taken, self.incoming = self.incoming, []
-        if not taken:
+        result = self.loop.create_future()
+        self.incoming.append((change, result))
+        self.owner.send(self._process_incoming)
+        outcome = await result
+        return await self._confirm_refusal(outcome) if isinstance(outcome, Refusal) else outcome
+
+    async def _process_incoming(self):
+        pending, self.incoming = self.incoming, []
+        if not pending:
             return
-        view, waiting = self.agreement.decided.number, []
-        for change, done in taken:
+        view, accepted = self.agreement.decided.number, []
+        for change, result in pending:
             may_take = self._may_write() and self.has_copies()
-            got = self._take_one(change) if may_take else NOT_HEAD
-            if is_fault(got):
-                self._finish(done, got)
+            outcome = self._process_change(change) if may_take else NOT_HEAD
+            if is_fault(outcome):
+                self._resolve(result, outcome)
             else:
-                waiting.append((done, got or WriteReturn(serial=self.serial, view=view)))
+                accepted.append((result, outcome or WriteReturn(serial=self.serial, view=view)))
         if await self._sync():
-            for done, got in waiting:
-                self._finish(done, got)
-            self.kick.set()
+            for result, outcome in accepted:
+                self._resolve(result, outcome)
+            self.wake_replication.set()
             if self.is_last():
-                self._know()
-                self.wake_committers()
+                self._record_durable_version()
+                self.notify_commit_waiters()
         else:
-            for done, _ in waiting:
-                self._finish(done, STALE_VIEW.with_reason("synced nowhere"))
+            for result, _ in accepted:
+                self._resolve(result, STALE_VIEW.with_reason("synced nowhere"))
 
-    async def _confirmed(self, refusal):
-        """A refusal, once what it rests on is committed.
+    async def _confirm_refusal(self, refusal):
+        """Return the fault of a refusal once the entries that it depends on are committed, else NOT_HEAD.
 
-        Until then another head may have none of it, and the change is proper after all.
+        Before that, another head may lack those entries and accept the change.
         """
         is_same = self.agreement.decided.number == refusal.view
         if is_same and await self.is_committed(refusal.serial):
@@ -339,28 +352,28 @@
         return NOT_HEAD.with_reason("what speaks against the change is not committed")
 
     async def is_committed(self, serial):
-        """Whether the tail of the view has this head's entries up to a serial, hence every member and each later view."""
+        """Return whether the tail has this head's entries up to a serial; then every member and later view has them."""
         view = self.agreement.decided
         if self.committed_in == view.number and self.committed >= serial:
             return True
         ask = CommitAsk(view=view.number, serial=serial, wait_ms=COMMIT_WAIT_MS)
         if self.is_last():
-            got = await self.on_commit_ask(ask, "")
+            response = await self.on_commit_ask(ask, "")
         else:
-            got = await self.mesh.request(view.members[-1].addr, ask, COMMIT_ASK_MS)
-        if is_fault(got):
+            response = await self.mesh.request(view.members[-1].addr, ask, COMMIT_ASK_MS)
+        if is_fault(response):
             return False
         if view is self.agreement.decided:
-            known = self.committed if self.committed_in == view.number else 0
-            self.committed_in, self.committed = view.number, max(known, got.count)
+            known_serial = self.committed if self.committed_in == view.number else 0
+            self.committed_in, self.committed = view.number, max(known_serial, response.count)
         return True
 
     async def on_commit_ask(self, ask, sender):
-        """Whether entries of a view are on this tail's disk; both sides must be in that very view."""
+        """Return the last synced serial once it reaches the requested one; both sides must be in the same view."""
         end_s = self.loop.time() + min(ask.wait_ms, 30000) / 1000
         while True:
-            is_its_tail = ask.view == self.agreement.decided.number and self.is_last()
-            if not is_its_tail or not self.is_whole() or not self.has_copies():
+            is_tail_of_view = ask.view == self.agreement.decided.number and self.is_last()
+            if not is_tail_of_view or not self.is_whole() or not self.has_copies():
                 return NOT_TAIL
             if self.synced >= ask.serial:
                 return Done(count=self.synced)
@@ -369,19 +382,19 @@
             await self.await_commit(end_s)
 
     async def known_committed(self):
-        """The newest configuration of this head that is known to be committed; where it has a newer one, the tail is asked."""
+        """Return the newest configuration of this head known to be committed, after asking the tail about a newer one."""
         config, serial = self.state.config, self.serial
-        is_new = config is not self.committed_config
-        if is_new and self.is_whole() and await self.is_committed(serial):
+        is_newer = config is not self.committed_config
+        if is_newer and self.is_whole() and await self.is_committed(serial):
             self.committed_config = config
         return self.committed_config
 
     @staticmethod
-    def _finish(done, got):
-        if not done.done():
-            done.set_result(got)
+    def _resolve(result, outcome):
+        if not result.done():
+            result.set_result(outcome)
 
-    def _take_one(self, change):
+    def _process_change(self, change):
         try:
             entry = self.state.examine(change)
         except (KeyError, TypeError, ValueError) as error:
@@ -398,7 +411,7 @@
         return None
 
     def _append(self, serial, body):
-        """Take an entry in; `_sync` writes it with all others that came since the last one."""
+        """Apply an entry and queue it; the next `_sync` writes all queued entries."""
         self._apply(serial, body)
         self.unwritten.append(log_records.Entry(serial, body))
 
@@ -420,10 +433,10 @@
             return False
 
     def _write(self):
-        """Write all that is unwritten at once.
+        """Append all queued records in a single write.
 
-        Of several writes a loss of power may keep the last without the first, and the log would
-        read as damaged although nothing that was synced is gone.
+        Of several writes, a power loss may keep a later one without an earlier one, and the log would
+        read as damaged although nothing that was synced is lost.
         """
         unwritten, self.unwritten = self.unwritten, []
         if unwritten:
@@ -448,7 +461,7 @@
         self.telemetry.count["rewrites"] += 1
 
     async def heal(self):
-        """After a fault of the disk: try to write the whole state anew."""
+        """After a disk fault, try to rewrite the log with the whole state."""
         if (
             self.fault is not None
             and not self.needs_copy
@@ -474,86 +487,101 @@
             self._fail(error)
 
     async def sweep(self):
-        """Read the own file back, and mend it from memory where it no longer reads."""
+        """Read the log back and rewrite it from memory if it is damaged."""
         await self.owner.send(self._sweep)
 
-    async def _passing(self):
+    async def _replicate_loop(self):
         while True:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.kick.wait(), 0.25)
-            self.kick.clear()
-            while await self._pass_on():
+                await asyncio.wait_for(self.wake_replication.wait(), 0.25)
+            self.wake_replication.clear()
+            while await self._replicate_batch():
                 pass
 
-    def has_unpassed(self):
-        """Whether this head has taken a change that the next member does not have yet."""
-        is_passed = self.next_last is not None and self.next_last >= self.serial
-        return self.is_first() and (bool(self.incoming) or not is_passed)
+    def has_unreplicated(self):
+        """Return whether this head has taken a change that the next member does not have yet."""
+        is_replicated = (
+            self.next_member_serial is not None and self.next_member_serial >= self.serial
+        )
+        return self.is_first() and (bool(self.incoming) or not is_replicated)
 
-    def last_to_pass(self):
-        """The last entry that the next member may have: what a loss of power here cannot take back."""
+    def last_replicable_serial(self):
+        """Return the serial of the last entry that may be replicated: the last one that survives a power loss here."""
         return self.synced
 
-    async def _pass_on(self):
-        view, at = self.agreement.decided, self.agreement.position()
-        is_comparing = at == 0 and self.must_compare and not self.needs_copy
+    async def _replicate_batch(self):
+        view, position = self.agreement.decided, self.agreement.position()
+        is_comparing = position == 0 and self.must_compare and not self.needs_copy
         if (
-            at < 0
-            or at + 1 >= len(view.members)
+            position < 0
+            or position + 1 >= len(view.members)
             or not (self.is_whole() or is_comparing)
             or self.awaits_last_sync()
             or self.fault is not None
         ):
             return False
-        last = self.last_to_pass()
-        start = last if self.next_last is None else self.next_last
+        last_serial = self.last_replicable_serial()
+        start_serial = last_serial if self.next_member_serial is None else self.next_member_serial
         entries, size = [], 0
-        for serial in range(start + 1, last + 1):
-            if serial not in self.entries or len(entries) >= PASS_ENTRIES or size > PASS_BYTES:
+        for serial in range(start_serial + 1, last_serial + 1):
+            if (
+                serial not in self.entries
+                or len(entries) >= REPLICATE_ENTRIES
+                or size > REPLICATE_BYTES
+            ):
                 break
             entries.append(ChainEntry(serial=serial, body=self.entries[serial]))
             size += len(self.entries[serial])
-        after = view.members[at + 1].addr
+        next_addr = view.members[position + 1].addr
         ask = ReplicateAsk(
-            view=view.number, entries=entries, last=last, must_copy=start < last and not entries
+            view=view.number,
+            entries=entries,
+            last=last_serial,
+            must_copy=start_serial < last_serial and not entries,
         )
-        got = await self.mesh.request(after, ask, 1500)
+        response = await self.mesh.request(next_addr, ask, 1500)
         if view is not self.agreement.decided:
             return True
-        if is_fault(got):
-            self.pass_failed_s = self.pass_failed_s or self.loop.time()
+        if is_fault(response):
+            self.replication_failed_s = self.replication_failed_s or self.loop.time()
             return False
-        self.pass_failed_s, before, self.next_last = None, self.next_last, got.last
-        if got.last > max(last, self.synced):
-            return not is_fault(await self.owner.send(self._copy_from, after, self.synced))
+        self.replication_failed_s, previous_serial, self.next_member_serial = (
+            None,
+            self.next_member_serial,
+            response.last,
+        )
+        if response.last > max(last_serial, self.synced):
+            return not is_fault(
+                await self.owner.send(self._copy_state_from, next_addr, self.synced)
+            )
         if is_comparing:
-            await self._end_comparing(view)
-        return got.last < self.synced and got.last != before
+            await self._finish_comparing(view)
+        return response.last < self.synced and response.last != previous_serial
 
-    async def _end_comparing(self, view):
-        """The next member has no more than this head: it has all that the chain had before the view."""
-        if await self.owner.send(self._note_complete) and view is self.agreement.decided:
+    async def _finish_comparing(self, view):
+        """Start serving as head: the next member has nothing more, so this one has all that the chain had before the view."""
+        if await self.owner.send(self._persist_complete) and view is self.agreement.decided:
             self.must_compare = False
             self._become_whole()
 
-    async def on_pass(self, ask, sender):
-        return await self.owner.send(self._take_pass, ask, sender)
+    async def on_replicate(self, ask, sender):
+        return await self.owner.send(self._handle_replicate, ask, sender)
 
-    async def _take_pass(self, ask, sender):
-        view, at = self.agreement.decided, self.agreement.position()
-        if ask.view != view.number or at < 1 or view.members[at - 1].addr != sender:
+    async def _handle_replicate(self, ask, sender):
+        view, position = self.agreement.decided, self.agreement.position()
+        if ask.view != view.number or position < 1 or view.members[position - 1].addr != sender:
             return STALE_VIEW.with_reason(f"pass in view {ask.view}, here {view.number}")
         is_behind = ask.must_copy or (ask.entries and ask.entries[0].serial > self.serial + 1)
         has_copied = self.needs_copy or is_behind and self.serial < ask.last
         if has_copied:
-            got = await self._copy_from(sender)
-            if is_fault(got):
-                return got
-        fault = await self.take_entries(ask.entries)
+            copied = await self._copy_state_from(sender)
+            if is_fault(copied):
+                return copied
+        fault = await self.append_new_entries(ask.entries)
         if is_fault(fault):
             return fault
         is_level = self.serial == ask.last or has_copied and self.serial > ask.last
-        if is_level and not await self._note_complete():
+        if is_level and not await self._persist_complete():
             return self.fault
         if ask.view != self.agreement.decided.number:
             return STALE_VIEW
@@ -563,36 +591,36 @@
             self.must_compare = False
             self._become_whole()
         if self.is_whole():
-            self._know()
-        self.kick.set()
-        self.wake_committers()
+            self._record_durable_version()
+        self.wake_replication.set()
+        self.notify_commit_waiters()
         return ReplicateReturn(last=self.serial)
 
-    async def take_entries(self, entries):
-        """Append those that are new here, and sync them; gives a fault or None."""
-        fresh = [entry for entry in entries if entry.serial > self.serial]
-        for entry in fresh:
+    async def append_new_entries(self, entries):
+        """Append and sync the entries that are new here; return a fault or None."""
+        new_entries = [entry for entry in entries if entry.serial > self.serial]
+        for entry in new_entries:
             if entry.serial != self.serial + 1:
                 return MISSING_ENTRIES.with_reason(f"{entry.serial} after {self.serial}")
             self._append(entry.serial, entry.body)
-        return self.fault if fresh and not await self._sync() else None
-
-    def wake_committers(self):
-        """Let those look again who wait for a commit, and tell routers of a newer version."""
-        waiting, self.committers = self.committers, []
-        for done in waiting:
-            if not done.done():
-                done.set_result(None)
+        return self.fault if new_entries and not await self._sync() else None
+
+    def notify_commit_waiters(self):
+        """Wake the tasks that wait for a commit, and tell routers about a newer version."""
+        waiters, self.commit_waiters = self.commit_waiters, []
+        for waiter in waiters:
+            if not waiter.done():
+                waiter.set_result(None)
         if self.is_last():
             version = self.durable.version
             for addr in self.leases.to_nudge(version):
                 self.mesh.send(addr, ConfigChanged(version=version))
 
-    async def _copy_from(self, addr, above=-1):
-        return await self.transfer.take(addr, above)
+    async def _copy_state_from(self, addr, above=-1):
+        return await self.transfer.copy_state(addr, above)
 
     async def replace_state(self, state, serial, data):
-        """Put a state that was copied in place of this one, on the disk first; gives a fault of the disk or None."""
+        """Replace the state by a copied one, on disk first; return a disk fault or None."""
         try:
             self.unwritten = []
             await self.journal.rewrite([self._state_record(serial, data)])
@@ -609,15 +637,15 @@
         return None
 
     async def copy_from(self, addr, view):
-        """Get level with the tail of a view at an address before joining; gives a fault or None."""
-        return await self.owner.send(self.transfer.join_up, addr, view)
+        """Catch up with the tail of a view, at an address, before joining; return a fault or None."""
+        return await self.owner.send(self.transfer.catch_up, addr, view)
 
     def is_synced(self, serial):
-        """Whether a loss of power takes back no entry up to a serial here."""
+        """Return whether all entries up to a serial are synced to disk here."""
         return self.synced >= serial
 
     async def await_commit(self, end_s):
-        """Wait until something was committed or confirmed, for a moment and no longer than given."""
-        done = self.loop.create_future()
-        self.committers.append(done)
-        await asyncio.wait([done], timeout=min(0.1, max(0.001, end_s - self.loop.time())))
+        """Wait until something was committed or confirmed, for at most 100 ms and not past `end_s`."""
+        waiter = self.loop.create_future()
+        self.commit_waiters.append(waiter)
+        await asyncio.wait([waiter], timeout=min(0.1, max(0.001, end_s - self.loop.time())))
--- a/swiftdeck/chain/router_leases.py
+++ b/swiftdeck/chain/router_leases.py
@@ -45,7 +45,7 @@
         """Start over, knowing nothing of the leases of the tail before."""
         self.begun_s, self.holders, self.known_s = begun_s, {}, {}
 
-    def know(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Remember when a version was first on this tail's disk."""
         if version in self.known_s:
             return
--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -57,7 +57,7 @@
         self.outcomes = Outcomes(self.stored)
         self.keepMs, self.claimsMost = keepMs, claimsMost
         self.on_config = lambda entry: None
-        self.config, self.deltas, self.is_true = Configuration.empty(), {}, True
+        self.config, self.deltas, self.is_consistent = Configuration.empty(), {}, True
 
     def to_bytes(self) -> bytes:
         """The whole state."""
@@ -70,7 +70,7 @@
         config = Configuration.read(stored.document)
         if is_fault(config):
             raise msgspec.DecodeError(config.reason)
-        self.stored, self.config, self.deltas, self.is_true = stored, config, {}, True
+        self.stored, self.config, self.deltas, self.is_consistent = stored, config, {}, True
         self.outcomes = Outcomes(stored)
 
     def since(self, version: int, digest: bytes, newest: int | None = None):
@@ -233,7 +233,7 @@
         before = self.config.digest()
         if "delta" in entry:
             self.config = self.config.apply(entry["delta"])
-            self.is_true = self.is_true and self.config.digest() == entry["mark"]
+            self.is_consistent = self.is_consistent and self.config.digest() == entry["mark"]
             self.deltas[entry["version"]] = (before, msgspec.msgpack.encode(entry["delta"]))
             self._bound(self.deltas, DELTAS_KEPT)
         else:
--- a/swiftdeck/chain/tail_queries.py
+++ b/swiftdeck/chain/tail_queries.py
@@ -90,13 +90,13 @@
         now_s, durable = chain.loop.time(), chain.durable
         if ask.hand_back:
             self.leases.hand_back(ask.router)
-            chain.wake_committers()
+            chain.notify_commit_waiters()
             return LeaseReturn(version=durable.version)
         if ask.held > durable.version:
             return STALE_VIEW.with_reason("router knows a newer version")
         chain.weight_ages.merge(ask.named, now_s)
         if self.leases.renew(ask) >= durable.version:
-            chain.wake_committers()
+            chain.notify_commit_waiters()
         told = LeaseReturn(
             lease_ms=self.leases.lease_ms,
             routers=len(self.leases.holders),
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -114,8 +114,8 @@
         chain_faults.ChainFaultsCase,
         "test_what_the_tail_answered_outlasts_a_head_that_loses_power_before_it_has_synced",
         [
-            (Chain, "last_to_pass", lambda self: self.serial),
-            (Chain, "_copy_from", replacements.copies_nothing_from_behind),
+            (Chain, "last_replicable_serial", lambda self: self.serial),
+            (Chain, "_copy_state_from", replacements.copies_nothing_from_behind),
         ],
     ),
     (
@@ -124,14 +124,14 @@
         "test_a_damaged_last_record_is_not_taken_for_a_torn_one",
         [
             (Journal, "_is_torn", staticmethod(lambda data, at: True)),
-            (Chain, "_copy_from", replacements.copies_nothing_from_behind),
+            (Chain, "_copy_state_from", replacements.copies_nothing_from_behind),
         ],
     ),
     (
         "the shorter log copies from the longer",
         chain_faults.ChainFaultsCase,
         "test_a_head_that_lost_the_end_of_its_file_copies_from_the_longer_one",
-        [(Chain, "_copy_from", replacements.copies_nothing_from_behind)],
+        [(Chain, "_copy_state_from", replacements.copies_nothing_from_behind)],
     ),
     (
         "key on each request",
@@ -209,7 +209,7 @@
         "the view is mended",
         chain_faults.ChainFaultsCase,
         "test_each_member_may_be_killed_in_turn",
-        [(ViewManager, "_mend", replacements.syncs_nothing)],
+        [(ViewManager, "_repair_view", replacements.syncs_nothing)],
     ),
     (
         "routers renew often and are nudged",
--- a/tests/cases/replacements.py
+++ b/tests/cases/replacements.py
@@ -57,7 +57,7 @@
     return None
 
 
-async def copies_nothing_from_behind(self, addr, above=-1, copy_from=Chain._copy_from):
+async def copies_nothing_from_behind(self, addr, above=-1, copy_from=Chain._copy_state_from):
     return STALE_VIEW if above >= 0 else await copy_from(self, addr)
 
 
--- a/tests/chain/test_complete_in.py
+++ b/tests/chain/test_complete_in.py
@@ -163,12 +163,12 @@
                 core.learn(JOINED, [core.own(), *OTHERS][:members])
                 chain, agreement = core.chain, core.agreement
                 chain.must_compare = False
-                chain._lead_if_complete()
+                chain._serve_if_complete()
                 now_s = chain.loop.time()
                 agreement.wait_until_s, agreement.lease_until_s = now_s, now_s + 9
                 self.assertTrue(chain._may_write())
                 chain.incoming.append((CHANGE, core.world.loops[NAME].create_future()))
-                core.world.run_task(NAME, chain._take_incoming)
+                core.world.run_task(NAME, chain._process_incoming)
                 self.assertEqual(chain.serial, taken)
 
     def test_the_log_of_such_a_view_is_given_once_all_of_it_is_synced(self):
@@ -191,10 +191,10 @@
 
         with mock.patch.object(chain.mesh, "request", ask):
             chain._append(1, msgspec.msgpack.encode(CHANGE))
-            core.world.run_task(NAME, chain._pass_on)
+            core.world.run_task(NAME, chain._replicate_batch)
             self.assertEqual(passed, [])
             core.world.run_task(NAME, chain._sync)
-            core.world.run_task(NAME, chain._pass_on)
+            core.world.run_task(NAME, chain._replicate_batch)
         self.assertEqual(passed[0], 1)
 
     def test_the_records_read_back_in_their_form_on_the_disk(self):
--- a/tests/chain/test_editions.py
+++ b/tests/chain/test_editions.py
@@ -138,7 +138,7 @@
             router = router.apply(msgspec.msgpack.decode(delta))
         copied = ChainState()
         copied.from_bytes(self.state.to_bytes())
-        self.assertTrue(follower.is_true)
+        self.assertTrue(follower.is_consistent)
         self.assertEqual((follower.to_bytes(), copied.to_bytes()), (self.state.to_bytes(),) * 2)
         self.assertEqual(
             (router.digest(), router.raws, router.document),
--- a/tests/chain/test_state_transfer.py
+++ b/tests/chain/test_state_transfer.py
@@ -20,7 +20,7 @@
             name = next(name for name in cluster.core_names() if cluster.up[name] is core)
 
             async def ask(transfer=core.chain.transfer):
-                copied = await transfer.on_ask(CopyAsk(core_id=OUTSIDER), "10.9.9.9:1")
+                copied = await transfer.on_copy_ask(CopyAsk(core_id=OUTSIDER), "10.9.9.9:1")
                 return copied, transfer.on_log_ask(LogAsk(serial=0), "10.9.9.9:1")
 
             copied, log = cluster.world.run_task(name, ask)
@@ -37,10 +37,10 @@
 
         async def ask():
             chain = tail.chain
-            old = await chain.transfer.on_ask(CopyAsk(core_id=OUTSIDER), "10.9.9.9:1")
+            old = await chain.transfer.on_copy_ask(CopyAsk(core_id=OUTSIDER), "10.9.9.9:1")
             data = chain.state.to_bytes()
             await chain.replace_state(chain.state, chain.serial + 1, data)
-            return old, await chain.transfer.on_ask(
+            return old, await chain.transfer.on_copy_ask(
                 CopyAsk(core_id=OUTSIDER, digest=old.digest), "10.9.9.9:1"
             )
 
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -19,7 +19,7 @@
 FIRST = 3
 
 
-def early_refusal(self, change, take_one=Chain._take_one):
+def early_refusal(self, change, take_one=Chain._process_change):
     """A refusal that waits for nothing."""
     got = take_one(self, change)
     return got.fault if isinstance(got, Refusal) else got
@@ -177,7 +177,7 @@
     def test_no_order_is_refused_for_one_that_goes_with_the_power(self):
         self.assertEqual(self.orders_at_a_head_whose_disk_hangs(), [])
         self.assert_falls_without(
-            mock.patch.object(Chain, "_take_one", early_refusal),
+            mock.patch.object(Chain, "_process_change", early_refusal),
             self.orders_at_a_head_whose_disk_hangs,
         )
 
--- a/tests/gateway/cases/overlapping_losses.py
+++ b/tests/gateway/cases/overlapping_losses.py
@@ -17,7 +17,7 @@
 PAUSE_S = 2.0
 
 
-def slow_join_up(taking=StateTransfer.join_up):
+def slow_join_up(taking=StateTransfer.catch_up):
     """A core that stands still for a moment between its copy and its wish to join."""
 
     async def join_up(self, *args):
@@ -25,7 +25,7 @@
         await asyncio.sleep(PAUSE_S)
         return fault
 
-    return mock.patch.object(StateTransfer, "join_up", join_up)
+    return mock.patch.object(StateTransfer, "catch_up", join_up)
 
 
 class PartialMember:
@@ -40,7 +40,7 @@
             cluster.back(emptied)
             cluster.world.run(0.01)
             chain = cluster.up[emptied].chain
-            cluster.world.run(until=lambda: chain.transfer.is_copy, limit_s=5)
+            cluster.world.run(until=lambda: chain.transfer.has_tail_copy, limit_s=5)
             self.acknowledged = cluster.change()
             agreement = cluster.up[emptied].agreement
             cluster.world.run(until=lambda: agreement.position() >= 0, limit_s=5)
