--- a/swiftdeck/chain/config_updates.py
+++ b/swiftdeck/chain/config_updates.py
@@ -24,7 +24,7 @@
         digest = durable.config.digest()
         if ask.held >= durable.version and ask.digest == digest:
             return
-        deltas = state.since(ask.held, ask.digest, durable.version) if ask.digest else None
+        deltas = state.deltas_since(ask.held, ask.digest, durable.version) if ask.digest else None
         told.digest = digest
         self.telemetry.count["wholesSent"] += not deltas
         parts = deltas or [durable.config.bytes()]
--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -1,4 +1,4 @@
-"""What the chain keeps: the configuration, outcomes of changes, and once-only claims."""
+"""The replicated state of the chain: the configuration, the outcomes of changes, and once-only claims."""
 
 import hashlib
 
@@ -23,7 +23,7 @@
 
 
 class Stored(msgspec.Struct):
-    """The state in the form that is copied and written to disk."""
+    """The state in its serialized form, as copied between cores and written to disk."""
 
     version: int = 0
     document: bytes = b"{}"
@@ -37,20 +37,25 @@
 
 
 def invalid_by_itself(change: dict):
-    """The fault of an operator's change that no configuration could take, None where it takes one to tell."""
+    """Return the fault of an operator's change that is invalid for any configuration, else None."""
     edition, base = change.get("edition"), change.get("onEdition")
     if edition is not None and edition <= base:
         return INVALID_CONFIG.with_reason(f"$.edition: {edition} is not above {base}")
     if change["op"] != "replace" or edition is None:
         return None
-    told = change["document"].get("edition", {}).get(EDITION, {})
-    tables = change["document"] | {"edition": {EDITION: told | {"number": edition}}}
-    made = Configuration.empty().replace(tables, change.get("ensure", {}))
-    return made if is_fault(made) else None
+    edition_fields = change["document"].get("edition", {}).get(EDITION, {})
+    tables = change["document"] | {"edition": {EDITION: edition_fields | {"number": edition}}}
+    config = Configuration.empty().replace(tables, change.get("ensure", {}))
+    return config if is_fault(config) else None
 
 
 class ChainState:
-    """A deterministic machine: the same entries in the same order give the same state at each member."""
+    """A deterministic state machine: the same entries in the same order give the same state at each member.
+
+    Attributes:
+        deltas: By version, the digest of the configuration before it and the encoded delta that leads to it.
+        is_consistent: False once a delta gave a configuration whose digest differs from the head's.
+    """
 
     def __init__(self, keepMs=86400000, claimsMost=200000):
         self.stored = Stored()
@@ -60,12 +65,12 @@
         self.config, self.deltas, self.is_consistent = Configuration.empty(), {}, True
 
     def to_bytes(self) -> bytes:
-        """The whole state."""
+        """Return the whole state, serialized."""
         self.stored.document = self.config.bytes()
         return msgspec.msgpack.encode(self.stored)
 
     def from_bytes(self, data: bytes):
-        """Take a whole state over."""
+        """Replace the state by a serialized one; raise `msgspec.DecodeError` if it cannot be read."""
         stored = msgspec.msgpack.decode(data, type=Stored)
         config = Configuration.read(stored.document)
         if is_fault(config):
@@ -73,8 +78,8 @@
         self.stored, self.config, self.deltas, self.is_consistent = stored, config, {}, True
         self.outcomes = Outcomes(stored)
 
-    def since(self, version: int, digest: bytes, newest: int | None = None):
-        """The changes that lead from a version with this digest to a newer one, or none if they are not kept."""
+    def deltas_since(self, version: int, digest: bytes, newest: int | None = None):
+        """Return the encoded deltas from a version with this digest to `newest`, or None if they are not all kept."""
         versions = range(version + 1, (self.stored.version if newest is None else newest) + 1)
         if (
             not all(each in self.deltas for each in versions)
@@ -85,44 +90,48 @@
         return [self.deltas[each][1] for each in versions]
 
     def examine(self, change: dict):
-        """Turn an asked change into an entry, None when it was made already, or a fault; only the head does this."""
+        """Turn a requested change into an entry; only the head does this.
+
+        Returns:
+            The entry, None when the change was made already, or a fault.
+        """
         if change["t"] != "config":
             return change | {"keepMs": self.keepMs, "most": self.claimsMost}
-        digest = self._digest(change)
-        old = self.outcomes.find(change["id"])
-        if old:
-            is_same = old.digest == digest[:DIGEST_CHARS]
+        digest = self._change_digest(change)
+        previous = self.outcomes.find(change["id"])
+        if previous:
+            is_same = previous.digest == digest[:DIGEST_CHARS]
             return None if is_same else CHANGE_ID_REUSED.with_reason(change["id"])
-        delta = self._delta(change)
+        delta = self._compute_delta(change)
         if is_fault(delta):
             return delta
-        made = {"id": change["id"], "digest": digest, "author": change.get("author", "")}
+        common_fields = {"id": change["id"], "digest": digest, "author": change.get("author", "")}
         if delta is None:
-            return {"t": "noted", "version": self.stored.version} | made
+            return {"t": "noted", "version": self.stored.version} | common_fields
         return {
             "t": "config",
             "version": self.stored.version + 1,
             "delta": delta,
             "mark": self.config.apply(delta).digest(),
-        } | made
+        } | common_fields
 
     @staticmethod
-    def _digest(change):
-        """What tells one change from another under the same id."""
-        told = (
+    def _change_digest(change):
+        """Return the digest that detects another change under the same id."""
+        content = (
             [change[name] for name in ("base", "op", "document")]
             if change["op"] in ("put", "patch")
             else {name: part for name, part in change.items() if name not in ("t", "id", "author")}
         )
         return hashlib.sha256(
-            msgspec.json.encode(told, order="sorted" if isinstance(told, dict) else None)
+            msgspec.json.encode(content, order="sorted" if isinstance(content, dict) else None)
         ).hexdigest()
 
-    def _delta(self, change):
-        """The entries that a change touches, as they will be, None where there is nothing to do, or a fault."""
+    def _compute_delta(self, change):
+        """Return the new values of the entries that a change touches, None where nothing changes, or a fault."""
         if change["op"] == "raise":
-            return self._raised(change["model"], change["weights"])
-        fault = self._outpaced(change)
+            return self._raise_weights(change["model"], change["weights"])
+        fault = self._check_base(change)
         if is_fault(fault):
             return fault
         op, document = change["op"], change["document"]
@@ -130,15 +139,17 @@
             return self.config.put(document) if op == "put" else self.config.patch(document)
         if op not in ("replace", "items"):
             return INVALID_CONFIG.with_reason(f"op `{op}` is not known")
-        tables = document | ({"edition": self._edition(change)} if "edition" in change else {})
+        tables = document | (
+            {"edition": self._edition_table(change)} if "edition" in change else {}
+        )
         return (self.config.replace if op == "replace" else self.config.items)(
             tables, change.get("ensure", {})
         )
 
-    def _outpaced(self, change):
-        """A fault where the change builds on another version or edition than the present one."""
+    def _check_base(self, change):
+        """Return a fault if a change is based on another version or edition than the current one."""
         if "edition" in change:
-            return self._outpaced_edition(change["edition"], change["onEdition"])
+            return self._check_base_edition(change["edition"], change["onEdition"])
         base, newest = change["base"], self.stored.version
         if base < newest and base < self.outcomes.horizon().version:
             return CHANGE_FORGOTTEN.with_reason(f"base {base}, newest {newest}")
@@ -148,14 +159,14 @@
             else VERSION_CONFLICT.with_reason(f"base {base}, newest {newest}")
         )
 
-    def _outpaced_edition(self, edition, base):
-        """A fault where a change of the operator's own numbers is not the next one.
+    def _check_base_edition(self, edition, base):
+        """Return a fault if a change with the operator's own numbers is not based on the current edition.
 
-        One that is told to have lost can never be taken later, since numbers only go up. For one that builds on a number to
-        come this cannot be said: another copy of it, held up on its way, may be taken once that number is there.
+        Numbers only grow, so a change refused with VERSION_CONFLICT can never be accepted later. A change based on a future
+        number gets BASE_VERSION_AHEAD, as a delayed duplicate of it may be accepted once that number is current.
         """
-        held = self.config.document.edition.get(EDITION)
-        number = held.number if held else 0
+        current = self.config.document.edition.get(EDITION)
+        number = current.number if current else 0
         if edition <= base:
             return INVALID_CONFIG.with_reason(f"$.edition: {edition} is not above {base}")
         if base > number:
@@ -168,79 +179,84 @@
             else VERSION_CONFLICT.with_reason(f"on edition {base}, newest {number}")
         )
 
-    def _edition(self, change):
-        """The table of the edition after a change: whole where it is replaced, else what is told of it merged in."""
-        told, held = (
+    def _edition_table(self, change):
+        """Return the edition table after a change: replaced where `op` is `replace` and gives one, else merged.
+
+        `walls` counts the changes that set an existing tenant apart.
+        """
+        given, current = (
             change["document"].get("edition", {}).get(EDITION),
             self.config.raws.get("edition", {}).get(EDITION, {}),
         )
-        is_whole = told is not None and change["op"] == "replace"
+        is_replaced = given is not None and change["op"] == "replace"
         tenants = self.config.document.tenants
-        is_walled = any(
+        separates_tenant = any(
             entry and entry.get("apart") and name in tenants and not tenants[name].apart
             for name, entry in change["document"].get("tenants", {}).items()
         )
-        walls = held.get("walls", 0) + is_walled
+        walls = current.get("walls", 0) + separates_tenant
         return {
-            EDITION: (told if is_whole else merge(held, told or {}))
+            EDITION: (given if is_replaced else merge(current, given or {}))
             | {"number": change["edition"]}
             | ({"walls": walls} if walls else {})
         }
 
-    def _raised(self, model, weights):
-        held = self.config.raws.get("models", {}).get(model)
-        if held is None or not held["weights"].isdecimal():
+    def _raise_weights(self, model, weights):
+        current = self.config.raws.get("models", {}).get(model)
+        if current is None or not current["weights"].isdecimal():
             return INVALID_CONFIG.with_reason(
                 f"$.models.{model}: no such model with numbered weights"
             )
         return (
             None
-            if int(held["weights"]) >= weights
-            else self.config.items({"models": {model: held | {"weights": str(weights)}}}, {})
+            if int(current["weights"]) >= weights
+            else self.config.items({"models": {model: current | {"weights": str(weights)}}}, {})
         )
 
     def apply(self, entry: dict):
-        """Take one entry in."""
+        """Apply one entry."""
         stored = self.stored
         if entry["t"] == "config":
-            self._change(entry)
-            self._note(entry)
+            self._apply_config(entry)
+            self._record_outcome(entry)
             self.on_config(entry | {"document": self.config})
         elif entry["t"] == "noted":
-            self._note(entry)
+            self._record_outcome(entry)
         elif entry["t"] == "claims":
             stored.elapsedMs += entry["elapsedMs"]
             self._expire(stored.claims, entry.get("keepMs", self.keepMs))
             self._expire(stored.freed, FREED_KEPT_MS)
             if entry["id"] not in stored.batches:
-                most = entry.get("most", self.claimsMost)
-                stored.batches[entry["id"]] = [self._claim(most, *each) for each in entry["ops"]]
-                self._bound(stored.batches, BATCHES_KEPT)
+                max_claims = entry.get("most", self.claimsMost)
+                stored.batches[entry["id"]] = [
+                    self._claim(max_claims, *each) for each in entry["ops"]
+                ]
+                self._trim(stored.batches, BATCHES_KEPT)
 
-    def _note(self, entry):
-        """Keep what became of a change."""
-        held = self.config.document.edition.get(EDITION)
+    def _record_outcome(self, entry):
+        """Store the outcome of a change."""
+        edition = self.config.document.edition.get(EDITION)
         self.outcomes.note(
             entry["id"],
             entry["version"],
             entry["digest"],
             entry["author"],
-            held.number if held else 0,
+            edition.number if edition else 0,
         )
 
-    def _change(self, entry):
-        """The next configuration, from its change, or from its whole text as an earlier form of the log has it."""
-        before = self.config.digest()
+    def _apply_config(self, entry):
+        """Set the next configuration from its delta, or from the whole document that an earlier log format has."""
+        base_digest = self.config.digest()
         if "delta" in entry:
             self.config = self.config.apply(entry["delta"])
             self.is_consistent = self.is_consistent and self.config.digest() == entry["mark"]
-            self.deltas[entry["version"]] = (before, msgspec.msgpack.encode(entry["delta"]))
-            self._bound(self.deltas, DELTAS_KEPT)
+            self.deltas[entry["version"]] = (base_digest, msgspec.msgpack.encode(entry["delta"]))
+            self._trim(self.deltas, DELTAS_KEPT)
         else:
             self.config, self.deltas = Configuration.read(bytes(entry["document"])), {}
         self.stored.version = entry["version"]
 
-    def _claim(self, most, key, run, digest, op):
+    def _claim(self, max_claims, key, run, digest, op):
         stored = self.stored
         held = stored.claims.get(key)
         if op == CLAIM:
@@ -248,7 +264,7 @@
                 return WITHDRAWN
             if held and held[0] != run:
                 return held[2] if held[1] == digest else "other body"
-            if not held and len(stored.claims) >= most:
+            if not held and len(stored.claims) >= max_claims:
                 return FULL
             stored.claims[key] = held or [run, digest, HELD, stored.elapsedMs]
         elif op == RELEASE:
@@ -261,15 +277,15 @@
             stored.claims[key] = [run, digest, OVER, stored.elapsedMs]
         return ""
 
-    def _expire(self, table, keepMs):
-        """Forget what is old; a table is in the order of its times."""
+    def _expire(self, table, keep_ms):
+        """Remove the rows of a table that are older than `keep_ms`; a table is ordered by time."""
         while table:
             key = next(iter(table))
-            if self.stored.elapsedMs - table[key][-1] <= keepMs:
+            if self.stored.elapsedMs - table[key][-1] <= keep_ms:
                 return
             del table[key]
 
     @staticmethod
-    def _bound(table, limit):
+    def _trim(table, limit):
         while len(table) > limit:
             del table[next(iter(table))]
--- a/tests/chain/test_config_updates.py
+++ b/tests/chain/test_config_updates.py
@@ -35,7 +35,7 @@
 class State:
     deltas: list
 
-    def since(self, version, digest, newest):
+    def deltas_since(self, version, digest, newest):
         return self.deltas
 
 
--- a/tests/chain/test_editions.py
+++ b/tests/chain/test_editions.py
@@ -134,7 +134,7 @@
         follower, router = ChainState(), Configuration.empty()
         for entry in self.entries:
             follower.apply(entry)
-        for delta in self.state.since(0, router.digest()):
+        for delta in self.state.deltas_since(0, router.digest()):
             router = router.apply(msgspec.msgpack.decode(delta))
         copied = ChainState()
         copied.from_bytes(self.state.to_bytes())
--- a/tests/chain/test_state.py
+++ b/tests/chain/test_state.py
@@ -64,7 +64,7 @@
         self.assertEqual(
             (copy.config.digest(), copy.to_bytes()), (state.config.digest(), state.to_bytes())
         )
-        first = state.since(1, ChainState().config.digest())
+        first = state.deltas_since(1, ChainState().config.digest())
         self.assertIsNone(first)
         old = ChainState()
         old.apply(
@@ -77,7 +77,7 @@
                 "document": msgspec.json.encode(whole),
             }
         )
-        last = state.since(1, old.config.digest())
+        last = state.deltas_since(1, old.config.digest())
         self.assertEqual(
             old.config.apply(msgspec.msgpack.decode(last[0])).digest(), state.config.digest()
         )
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -102,7 +102,7 @@
         )
         self.cluster.world.run(1)
         self.assertEqual((self.core(-1).chain.state.stored.version, self.number()), (version, 7))
-        with mock.patch.object(ChainState, "_outpaced", lambda self, change: None):
+        with mock.patch.object(ChainState, "_check_base", lambda self, change: None):
             self.assertFalse(is_fault(self.bring(self.write_of(self.lost), 0, -1)))
         self.cluster.world.run(1)
         self.assertEqual(self.number(), 5)
--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -226,13 +226,13 @@
         for seed, cores in ((3, 3), (4, 5)):
             self.assertEqual(self.chain_of_orders(seed, cores), [])
 
-        def refuses_what_is_ahead(self, edition, base, outpaced=ChainState._outpaced_edition):
+        def refuses_what_is_ahead(self, edition, base, outpaced=ChainState._check_base_edition):
             got = outpaced(self, edition, base)
             is_ahead = is_fault(got) and got.code == BASE_VERSION_AHEAD.code
             return VERSION_CONFLICT_FAULT if is_ahead else got
 
         self.assert_falls_without(
-            mock.patch.object(ChainState, "_outpaced_edition", refuses_what_is_ahead),
+            mock.patch.object(ChainState, "_check_base_edition", refuses_what_is_ahead),
             self.chain_of_orders,
         )
 
