--- a/swiftdeck/chain/__init__.py
+++ b/swiftdeck/chain/__init__.py
@@ -1,1 +1,1 @@
-"""Control state: the chain of cores and the agreed view that mends it."""
+"""Control state: chain replication among the cores, and agreement on its view."""
--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -613,7 +613,7 @@
                 waiter.set_result(None)
         if self.is_last():
             version = self.durable.version
-            for addr in self.leases.to_nudge(version):
+            for addr in self.leases.take_unaware_addrs(version):
                 self.mesh.send(addr, ConfigChanged(version=version))
 
     async def _copy_state_from(self, addr, above=-1):
--- a/swiftdeck/chain/change_writer.py
+++ b/swiftdeck/chain/change_writer.py
@@ -1,4 +1,4 @@
-"""Takes a change to the head and its outcome from the tail."""
+"""Client side of writes: sends a change to the head and reads its outcome from the tail."""
 
 import asyncio
 
@@ -24,33 +24,39 @@
 from swiftdeck.wire.messages import OutcomeAsk, Write
 
 REFUSALS = {VERSION_CONFLICT.code, INVALID_CONFIG.code, CHANGE_ID_REUSED.code, BAD_FRAME.code}
-NEVER_TAKEN = {PEER_UNREACHABLE.code, NOT_HEAD.code, NO_VIEW.code, BASE_VERSION_AHEAD.code}
+NEVER_ACCEPTED = {PEER_UNREACHABLE.code, NOT_HEAD.code, NO_VIEW.code, BASE_VERSION_AHEAD.code}
 
 
 class ChangeWriter:
-    """Writes through the chain; what may have been taken is undecided until the tail knows, never refused."""
+    """Writes changes through the chain and reads from its tail.
+
+    A change that a head may have accepted counts as undecided, never as refused, until the tail knows its outcome.
+    """
 
     def __init__(self, mesh, cluster_map):
         self.mesh, self.cluster_map = mesh, cluster_map
 
     async def write(self, change_id: str, change: dict, deadline_ms=11000):
-        """The outcome of a change, a refusal, or undecided."""
+        """Write a change; return its outcome, the fault that refuses it, or OUTCOME_UNDECIDED.
+
+        Returns NO_VIEW at the deadline if no head can have accepted the change.
+        """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + deadline_ms / 1000
         body = msgspec.msgpack.encode(change | {"id": change_id})
-        may_be_taken, last = False, NO_VIEW
+        may_be_accepted, last_fault = False, NO_VIEW
         while loop.time() < end_s:
             left_ms = int((end_s - loop.time()) * 1000) + 1
             head = self.cluster_map.head()
-            got = (
+            response = (
                 NO_VIEW
                 if head is None
                 else await self.mesh.request(
                     head, Write(change_id=change_id, body=body), min(2000, left_ms)
                 )
             )
-            if not is_fault(got):
-                may_be_taken = True
+            if not is_fault(response):
+                may_be_accepted = True
                 outcome = await self.outcome(change_id, max(1, int((end_s - loop.time()) * 1000)))
                 if not is_fault(outcome) or outcome.code != UNKNOWN_CHANGE.code:
                     return (
@@ -59,39 +65,41 @@
                         else OUTCOME_UNDECIDED.with_reason(change_id)
                     )
                 continue
-            if got.code in REFUSALS:
+            if response.code in REFUSALS:
                 return (
-                    got
-                    if not may_be_taken or got.code == CHANGE_ID_REUSED.code
-                    else await self._settle(change_id, got, end_s)
+                    response
+                    if not may_be_accepted or response.code == CHANGE_ID_REUSED.code
+                    else await self._resolve_refusal(change_id, response, end_s)
                 )
-            if got.code == CHANGE_FORGOTTEN.code:
-                return OUTCOME_UNDECIDED.with_reason(f"{change_id}: {got.reason}")
-            may_be_taken = may_be_taken or got.code not in NEVER_TAKEN
-            last = got
+            if response.code == CHANGE_FORGOTTEN.code:
+                return OUTCOME_UNDECIDED.with_reason(f"{change_id}: {response.reason}")
+            may_be_accepted = may_be_accepted or response.code not in NEVER_ACCEPTED
+            last_fault = response
             self.cluster_map.refresh()
             await asyncio.sleep(0.1)
         return (
-            OUTCOME_UNDECIDED.with_reason(f"{change_id}: {last.reason or last.name}")
-            if may_be_taken
-            else NO_VIEW.with_reason(last.name)
+            OUTCOME_UNDECIDED.with_reason(f"{change_id}: {last_fault.reason or last_fault.name}")
+            if may_be_accepted
+            else NO_VIEW.with_reason(last_fault.name)
         )
 
-    async def _settle(self, change_id, refusal, end_s):
+    async def _resolve_refusal(self, change_id, refusal, end_s):
         loop = asyncio.get_running_loop()
-        got = await self.outcome(change_id, max(1, min(2000, int((end_s - loop.time()) * 1000))))
-        if is_fault(got) and got.code == UNKNOWN_CHANGE.code:
+        outcome = await self.outcome(
+            change_id, max(1, min(2000, int((end_s - loop.time()) * 1000)))
+        )
+        if is_fault(outcome) and outcome.code == UNKNOWN_CHANGE.code:
             return refusal
-        return got if not is_fault(got) else OUTCOME_UNDECIDED.with_reason(change_id)
+        return outcome if not is_fault(outcome) else OUTCOME_UNDECIDED.with_reason(change_id)
 
     async def outcome(self, change_id: str, deadline_ms=2000):
-        """What the tail knows of a change: its outcome, an unknown change, or undecided."""
+        """Ask the tail for the outcome of a change; return it, UNKNOWN_CHANGE or OUTCOME_UNDECIDED."""
         loop = asyncio.get_running_loop()
-        end_s, last = loop.time() + deadline_ms / 1000, NOT_TAIL
+        end_s, last_fault = loop.time() + deadline_ms / 1000, NOT_TAIL
         while loop.time() < end_s:
             left_ms = max(1, int((end_s - loop.time()) * 1000))
             tail, wait_ms = self.cluster_map.tail(), min(1000, left_ms)
-            got = (
+            response = (
                 NOT_TAIL
                 if tail is None
                 else await self.mesh.request(
@@ -100,32 +108,34 @@
                     wait_ms + 200,
                 )
             )
-            if not is_fault(got):
-                return got
-            last = got
-            if got.code == UNKNOWN_CHANGE.code and left_ms <= 1100:
-                return got
-            if got.code != UNKNOWN_CHANGE.code:
+            if not is_fault(response):
+                return response
+            last_fault = response
+            if response.code == UNKNOWN_CHANGE.code and left_ms <= 1100:
+                return response
+            if response.code != UNKNOWN_CHANGE.code:
                 self.cluster_map.refresh()
                 await asyncio.sleep(0.05)
         return (
-            last if last.code == UNKNOWN_CHANGE.code else OUTCOME_UNDECIDED.with_reason(change_id)
+            last_fault
+            if last_fault.code == UNKNOWN_CHANGE.code
+            else OUTCOME_UNDECIDED.with_reason(change_id)
         )
 
     async def read_tail(self, ask, deadline_ms=3000):
-        """Ask the tail, wherever it is now."""
+        """Send a request to the tail, retrying while the tail changes or cannot be reached."""
         loop = asyncio.get_running_loop()
-        end_s, got = loop.time() + deadline_ms / 1000, NOT_TAIL
+        end_s, response = loop.time() + deadline_ms / 1000, NOT_TAIL
         while loop.time() < end_s:
             tail = self.cluster_map.tail()
-            got = NOT_TAIL if tail is None else await self.mesh.request(tail, ask, 1000)
-            if not is_fault(got) or got.code not in (
+            response = NOT_TAIL if tail is None else await self.mesh.request(tail, ask, 1000)
+            if not is_fault(response) or response.code not in (
                 NOT_TAIL.code,
                 PEER_UNREACHABLE.code,
                 PEER_TIMEOUT.code,
                 STALE_VIEW.code,
             ):
-                return got
+                return response
             self.cluster_map.refresh()
             await asyncio.sleep(0.1)
-        return got
+        return response
--- a/swiftdeck/chain/cluster_map.py
+++ b/swiftdeck/chain/cluster_map.py
@@ -1,4 +1,4 @@
-"""The newest view that a process outside the chain has heard of."""
+"""The newest view known to a process that uses the chain."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 class ClusterMap:
-    """Follows the view by news, and asks the cores when it seems old."""
+    """Learns views from gossiped news, and polls the cores when the known view may be stale."""
 
     def __init__(self, mesh, membership, news):
         self.mesh, self.membership = mesh, membership
@@ -15,10 +15,10 @@
         news.watch("view", self.on_news)
 
     def start(self):
-        """Go on asking while no view is known."""
-        self.task = asyncio.ensure_future(self._following())
+        """Start polling the cores until a view is known."""
+        self.task = asyncio.ensure_future(self._poll_loop())
 
-    async def _following(self):
+    async def _poll_loop(self):
         while True:
             if not self.view.number:
                 await self.ask()
@@ -28,7 +28,7 @@
         self.learn(View().parse(body))
 
     def learn(self, view):
-        """Take a view in, if it is newer."""
+        """Adopt a view if it is newer."""
         if view.number > self.view.number:
             self.view = view
 
@@ -36,30 +36,30 @@
         return self.view.voters
 
     def head(self):
-        """The address where writes enter, if known."""
+        """Return the address of the head, which takes writes, or None."""
         return self.view.members[0].addr if self.view.members else None
 
     def tail(self):
-        """The address that answers, if known."""
+        """Return the address of the tail, which answers queries, or None."""
         return self.view.members[-1].addr if self.view.members else None
 
     def refresh(self):
-        """Ask the cores soon; many calls make one."""
+        """Poll the cores, unless a poll is running or finished less than 200 ms ago."""
         if self.asking is None or self.asking.done():
-            self.asking = asyncio.ensure_future(self._ask_soon())
+            self.asking = asyncio.ensure_future(self._poll_and_pause())
 
-    async def _ask_soon(self):
+    async def _poll_and_pause(self):
         await self.ask()
         await asyncio.sleep(0.2)
 
     async def ask(self):
-        """Ask all cores that are known."""
-        addrs = {each.addr for each in self.membership.alive("core")} | {
+        """Ask all known cores for their view and adopt the newest."""
+        addrs = {member.addr for member in self.membership.alive("core")} | {
             ref.addr for ref in self.view.members
         }
-        got = await asyncio.gather(
+        responses = await asyncio.gather(
             *(self.mesh.request(addr, ViewAsk(), 500) for addr in sorted(addrs))
         )
-        for each in got:
-            if not is_fault(each):
-                self.learn(each.view)
+        for response in responses:
+            if not is_fault(response):
+                self.learn(response.view)
--- a/swiftdeck/chain/config_updates.py
+++ b/swiftdeck/chain/config_updates.py
@@ -1,4 +1,4 @@
-"""What a router is sent to get from its configuration to the newest one, packed once for all routers."""
+"""Configuration updates for routers: deltas or the whole document, compressed once for all routers."""
 
 import zlib
 
@@ -8,61 +8,61 @@
 from swiftdeck.wire.messages import LeaseReturn
 
 PACKED_KEPT = 8
-LEVEL = 1
-PACK_FROM_BYTES = 1024
+COMPRESSION_LEVEL = 1
+MIN_PACK_BYTES = 1024
 
 
 class ConfigUpdates:
-    """Changes since a version, or the whole text; a large one is compressed, and kept for the next router."""
+    """Builds updates from the deltas since a version or the whole document; a large one is compressed and cached."""
 
     def __init__(self, telemetry):
         self.telemetry = telemetry
         self.packed: dict[tuple, bytes] = {}
 
-    def add(self, told: LeaseReturn, ask, state, durable):
-        """Add to a lease what its router lacks, if it lacks anything."""
+    def add_update(self, lease: LeaseReturn, ask, state, durable):
+        """Add to a lease the update that its router lacks, if any."""
         digest = durable.config.digest()
         if ask.held >= durable.version and ask.digest == digest:
             return
         deltas = state.deltas_since(ask.held, ask.digest, durable.version) if ask.digest else None
-        told.digest = digest
+        lease.digest = digest
         self.telemetry.count["wholesSent"] += not deltas
         parts = deltas or [durable.config.bytes()]
-        if ask.takes_packed and sum(map(len, parts)) >= PACK_FROM_BYTES:
+        if ask.takes_packed and sum(map(len, parts)) >= MIN_PACK_BYTES:
             key = (ask.digest if deltas else b"", bool(deltas), digest)
-            told.packed, told.is_whole = self._pack(key, parts), not deltas
+            lease.packed, lease.is_whole = self._pack(key, parts), not deltas
         elif deltas:
-            told.deltas = deltas
+            lease.deltas = deltas
         else:
-            told.document = parts[0]
+            lease.document = parts[0]
 
     def pack_whole(self, config) -> bytes:
-        """The compressed form of a whole configuration, empty for one that is too small to gain by it."""
-        text = config.bytes()
-        if len(text) < PACK_FROM_BYTES:
+        """Return a compressed whole configuration, or empty bytes if it is too small to gain from compression."""
+        document = config.bytes()
+        if len(document) < MIN_PACK_BYTES:
             return b""
-        return self._pack((b"", False, config.digest()), [text])
+        return self._pack((b"", False, config.digest()), [document])
 
     def _pack(self, key, parts):
-        """The compressed form of an update, made once; a tail sends the same one to most routers."""
+        """Return the compressed update for a key, from the cache if possible: most routers get the same one."""
         if key not in self.packed:
-            self.packed[key] = zlib.compress(msgspec.msgpack.encode(parts), LEVEL)
+            self.packed[key] = zlib.compress(msgspec.msgpack.encode(parts), COMPRESSION_LEVEL)
             while len(self.packed) > PACKED_KEPT:
                 del self.packed[next(iter(self.packed))]
         return self.packed[key]
 
 
-def unpack(told: LeaseReturn):
-    """The same lease with its update as it was before it was packed, or a fault."""
-    if not told.packed:
-        return told
+def unpack(lease: LeaseReturn):
+    """Decompress the update of a lease in place; return the lease or a fault."""
+    if not lease.packed:
+        return lease
     try:
-        parts = msgspec.msgpack.decode(zlib.decompress(told.packed), type=list[bytes])
+        parts = msgspec.msgpack.decode(zlib.decompress(lease.packed), type=list[bytes])
     except (zlib.error, msgspec.DecodeError) as error:
         return BAD_FRAME.with_reason(f"packed configuration: {error}")
-    if told.is_whole:
-        told.document = parts[0] if parts else b""
+    if lease.is_whole:
+        lease.document = parts[0] if parts else b""
     else:
-        told.deltas = parts
-    told.packed = b""
-    return told
+        lease.deltas = parts
+    lease.packed = b""
+    return lease
--- a/swiftdeck/chain/log_records.py
+++ b/swiftdeck/chain/log_records.py
@@ -1,4 +1,4 @@
-"""The records of a member's log, as they stand on its disk."""
+"""The records of a member's log on disk."""
 
 import msgspec
 
@@ -23,13 +23,13 @@
 
 
 class Complete(msgspec.Struct, tag_field="k", tag="complete", frozen=True):
-    """From here on this member has, or is passed, all that is committed."""
+    """From here on this member has all committed entries, or gets them by replication."""
 
 
 class CompleteIn(msgspec.Struct, tag_field="k", tag="complete-in", frozen=True):
-    """The copy here is complete if the view of this very number has this core as a member.
+    """The copy here is complete if the view with exactly this number has this core as a member.
 
-    It was made of the view before, which was too small to acknowledge anything.
+    It was copied in the previous view, which was too small to acknowledge anything.
     """
 
     view: int
@@ -39,5 +39,5 @@
 
 
 def read(records: list[dict]) -> list[Record]:
-    """The records of a log; a `msgspec.ValidationError` where one is of no known form."""
+    """Convert the records of a log; raise `msgspec.ValidationError` if one has no known form."""
     return msgspec.convert(records, list[Record])
--- a/swiftdeck/chain/outcomes.py
+++ b/swiftdeck/chain/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of changes: the newest in full, those before them as digests, and how far back nothing is known any more."""
+"""Outcomes of changes: the newest in full, older ones in compact form, and a horizon before which they may be forgotten."""
 
 import hashlib
 import struct
@@ -7,12 +7,12 @@
 
 CHANGES_KEPT, OLDER_KEPT = 5000, 100000
 ID_BYTES, DIGEST_CHARS = 16, 16
-OLDER = struct.Struct(f">QQ{DIGEST_CHARS}s")
+OLDER_ROW = struct.Struct(f">QQ{DIGEST_CHARS}s")
 
 
 @attrs.frozen
 class Outcome:
-    """The version that a change gave, and the first part of its digest."""
+    """The version that a change produced, and a prefix of the change's digest."""
 
     version: int
     digest: str
@@ -20,51 +20,51 @@
 
 @attrs.frozen
 class Horizon:
-    """The newest version, and the newest of the operator's own numbers, whose change may be forgotten."""
+    """The newest version and the newest edition (the operator's own number) whose change may be forgotten."""
 
     version: int
     edition: int
 
 
-def _key(change_id):
+def _hash_id(change_id):
     return hashlib.blake2b(change_id.encode(), digest_size=ID_BYTES).digest()
 
 
 class Outcomes:
-    """The tables of outcomes within what the chain stores; each is bounded, and the oldest goes first."""
+    """The tables of outcomes in the chain's stored state; each is bounded and drops its oldest rows."""
 
     def __init__(self, stored):
         self.stored = stored
 
-    def note(self, change_id: str, version: int, digest: str, author: str, edition: int):
-        """Keep what became of a change."""
+    def record(self, change_id: str, version: int, digest: str, author: str, edition: int):
+        """Store the outcome of a change; move the oldest to the compact table and the oldest there out."""
         changes, older = self.stored.changes, self.stored.older
         changes[change_id] = [version, digest, author, edition]
         while len(changes) > CHANGES_KEPT:
-            first = next(iter(changes))
-            row = changes.pop(first)
-            older[_key(first)] = OLDER.pack(
+            oldest_id = next(iter(changes))
+            row = changes.pop(oldest_id)
+            older[_hash_id(oldest_id)] = OLDER_ROW.pack(
                 row[0], row[3] if len(row) > 3 else edition, row[1][:DIGEST_CHARS].encode()
             )
         while len(older) > OLDER_KEPT:
-            version, edition, _ = OLDER.unpack(older.pop(next(iter(older))))
-            known = self.horizon()
+            version, edition, _ = OLDER_ROW.unpack(older.pop(next(iter(older))))
+            horizon = self.horizon()
             self.stored.forgotten = (
-                max(version, known.version),
-                max(edition, known.edition),
+                max(version, horizon.version),
+                max(edition, horizon.edition),
             )
 
     def find(self, change_id: str) -> Outcome | None:
-        """What became of a change, as far as it is kept."""
+        """Return the outcome of a change, or None if it is unknown or forgotten."""
         row = self.stored.changes.get(change_id)
         if row is not None:
             return Outcome(row[0], row[1][:DIGEST_CHARS])
-        packed = self.stored.older.get(_key(change_id))
+        packed = self.stored.older.get(_hash_id(change_id))
         if packed is None:
             return None
-        version, _, digest = OLDER.unpack(packed)
+        version, _, digest = OLDER_ROW.unpack(packed)
         return Outcome(version, digest.rstrip(b"\0").decode())
 
     def horizon(self) -> Horizon:
-        """How far back a change that is not found may have been taken and forgotten."""
+        """Return up to where a change that is not found may have been applied and forgotten."""
         return Horizon(*self.stored.forgotten)
--- a/swiftdeck/chain/router_leases.py
+++ b/swiftdeck/chain/router_leases.py
@@ -1,4 +1,4 @@
-"""The leases that a tail gave to routers, and which versions all of them have confirmed."""
+"""The leases that a tail granted to routers, and which versions all their holders have confirmed."""
 
 import asyncio
 
@@ -10,97 +10,105 @@
 
 
 @attrs.define
-class Holder:
+class LeaseHolder:
     """A router that may hold a lease for a configuration.
 
-    `held` is the newest version that it has confirmed, `nudged` the newest that it was told of.
+    `held` is the newest version that it has confirmed, `notified` the newest that it was notified of.
     """
 
     addr: str
     until_s: float
     held: int
-    nudged: int = 0
+    notified: int = 0
 
 
 class RouterLeases:
-    """Who may obey which version.
+    """The configuration leases of this tail.
 
     Attributes:
-        holders: the routers by name and life.
-        known_s: when this tail first had a version on its disk, for the newest versions.
-        begun_s: since when this tail gives leases; those of the one before may outlast that.
+        holders: The routers, by name and incarnation.
+        first_synced_s: When this tail first had a version on its disk, for the newest versions.
+        serving_since_s: Since when this tail grants leases; those of the previous tail may outlast that.
     """
 
     def __init__(self, lease_ms: int, ack_wait_ms: int):
         self.lease_ms, self.ack_wait_ms = lease_ms, ack_wait_ms
-        self.holders: dict[str, Holder] = {}
-        self.known_s: dict[int, float] = {}
-        self.begun_s = 0.0
+        self.holders: dict[str, LeaseHolder] = {}
+        self.first_synced_s: dict[int, float] = {}
+        self.serving_since_s = 0.0
 
     def start(self) -> None:
-        """Take the clock of the running loop."""
+        """Use the clock of the running event loop."""
         self.loop = asyncio.get_running_loop()
 
-    def begin(self, begun_s: float) -> None:
-        """Start over, knowing nothing of the leases of the tail before."""
-        self.begun_s, self.holders, self.known_s = begun_s, {}, {}
+    def begin(self, serving_since_s: float) -> None:
+        """Reset for a new tail, which does not know the leases of the previous one."""
+        self.serving_since_s, self.holders, self.first_synced_s = serving_since_s, {}, {}
 
     def record_version(self, version: int) -> None:
-        """Remember when a version was first on this tail's disk."""
-        if version in self.known_s:
+        """Record when a version was first synced to this tail's disk."""
+        if version in self.first_synced_s:
             return
-        self.known_s[version] = self.loop.time()
-        if len(self.known_s) > VERSIONS_REMEMBERED:
-            del self.known_s[next(iter(self.known_s))]
+        self.first_synced_s[version] = self.loop.time()
+        if len(self.first_synced_s) > VERSIONS_REMEMBERED:
+            del self.first_synced_s[next(iter(self.first_synced_s))]
 
     def is_in_force(self, version: int) -> bool:
-        """Whether every router that may hold a lease has confirmed a version.
+        """Return whether every router that may hold a lease has confirmed a version.
 
-        Without knowledge all may hold one. Where `ack_wait_ms` is set, a version that this tail has
-        had for so long counts as confirmed.
+        During the first `lease_ms` of this tail, unknown routers may hold leases of the previous one. If `ack_wait_ms`
+        is set, a version that this tail has had on disk for that long counts as confirmed.
         """
         now_s = self.loop.time()
-        known_s = self._known_since(version) if self.ack_wait_ms else None
-        if known_s is not None and now_s >= known_s + self.ack_wait_ms / 1000:
+        first_synced_s = self._first_synced(version) if self.ack_wait_ms else None
+        if first_synced_s is not None and now_s >= first_synced_s + self.ack_wait_ms / 1000:
             return True
-        if now_s < self.begun_s + self.lease_ms / 1000:
+        if now_s < self.serving_since_s + self.lease_ms / 1000:
             return False
         return all(
             holder.held >= version or holder.until_s <= now_s for holder in self.holders.values()
         )
 
-    def confirmed_by_s(self, version: int) -> float:
-        """When a version counts as confirmed at the latest, as far as is known."""
-        known_s = self._known_since(version)
-        if known_s is None or not self.ack_wait_ms:
+    def confirmation_deadline_s(self, version: int) -> float:
+        """Return when a version counts as confirmed at the latest, or 1 s from now if that is not known."""
+        first_synced_s = self._first_synced(version)
+        if first_synced_s is None or not self.ack_wait_ms:
             return self.loop.time() + 1
-        return known_s + self.ack_wait_ms / 1000
+        return first_synced_s + self.ack_wait_ms / 1000
 
-    def _known_since(self, version: int) -> float | None:
-        times_s = (at_s for known, at_s in self.known_s.items() if known >= version)
+    def _first_synced(self, version: int) -> float | None:
+        times_s = (
+            at_s
+            for synced_version, at_s in self.first_synced_s.items()
+            if synced_version >= version
+        )
         return min(times_s, default=None)
 
     def renew(self, ask: LeaseAsk) -> int:
-        """Give a router a lease; returns the newest version that it has confirmed."""
-        now_s, old = self.loop.time(), self.holders.get(ask.router)
-        held = max(ask.held, old.held if old else 0)
+        """Grant or renew a router's lease; return the newest version that it has confirmed."""
+        now_s, previous = self.loop.time(), self.holders.get(ask.router)
+        held = max(ask.held, previous.held if previous else 0)
         until_s = now_s + self.lease_ms / 1000
-        self.holders[ask.router] = Holder(ask.addr, until_s, held, old.nudged if old else 0)
-        self.holders = {name: each for name, each in self.holders.items() if each.until_s > now_s}
+        self.holders[ask.router] = LeaseHolder(
+            ask.addr, until_s, held, previous.notified if previous else 0
+        )
+        self.holders = {
+            name: holder for name, holder in self.holders.items() if holder.until_s > now_s
+        }
         return held
 
     def hand_back(self, router: str) -> None:
-        """Take a lease back that its router no longer wants."""
+        """Remove the lease of a router that hands it back."""
         self.holders.pop(router, None)
 
-    def to_nudge(self, version: int) -> list[str]:
-        """Addresses of routers that don't know of a version yet; each is named once."""
+    def take_unaware_addrs(self, version: int) -> list[str]:
+        """Return the addresses of routers that do not know of a version yet, and mark these as notified."""
         now_s = self.loop.time()
         unaware = [
             holder
             for holder in self.holders.values()
-            if max(holder.held, holder.nudged) < version and holder.until_s > now_s
+            if max(holder.held, holder.notified) < version and holder.until_s > now_s
         ]
         for holder in unaware:
-            holder.nudged = version
+            holder.notified = version
         return [holder.addr for holder in unaware]
--- a/swiftdeck/chain/state.py
+++ b/swiftdeck/chain/state.py
@@ -236,7 +236,7 @@
     def _record_outcome(self, entry):
         """Store the outcome of a change."""
         edition = self.config.document.edition.get(EDITION)
-        self.outcomes.note(
+        self.outcomes.record(
             entry["id"],
             entry["version"],
             entry["digest"],
--- a/swiftdeck/chain/tail_queries.py
+++ b/swiftdeck/chain/tail_queries.py
@@ -1,4 +1,4 @@
-"""What a tail answers: outcomes of changes, the configuration in force, leases for routers."""
+"""Queries that the tail answers: outcomes of changes, the configuration in force, leases of routers."""
 
 from swiftdeck.fault import NOT_TAIL, STALE_VIEW, UNKNOWN_CHANGE
 from swiftdeck.wire.messages import (
@@ -12,36 +12,36 @@
     OutcomeReturn,
 )
 
-OUTCOME_WAIT_MOST_MS = 30000
+MAX_OUTCOME_WAIT_MS = 30000
 
 
 class TailQueries:
-    """Answers for the chain; only while the member is its tail and may speak for it, but for peeks."""
+    """Answers queries while this member is the tail and may serve; a durable-configuration query needs no lease."""
 
     def __init__(self, chain):
         self.chain, self.leases = chain, chain.leases
         for kind, handler in (
             (OutcomeAsk, self.on_outcome_ask),
             (ConfigAsk, self.on_config_ask),
-            (DurableConfigAsk, self.on_peek_ask),
+            (DurableConfigAsk, self.on_durable_config_ask),
             (LeaseAsk, self.on_lease_ask),
         ):
             chain.mesh.register(kind, handler)
 
     async def on_outcome_ask(self, ask, sender):
-        """What became of a change, once this tail's disk has all that was applied when it was found."""
-        chain, found, serial = self.chain, None, 0
-        end_s = chain.loop.time() + min(ask.wait_ms, OUTCOME_WAIT_MOST_MS) / 1000
+        """Return the outcome of a change, once all entries that were applied when it was found are synced here."""
+        chain, outcome, serial = self.chain, None, 0
+        end_s = chain.loop.time() + min(ask.wait_ms, MAX_OUTCOME_WAIT_MS) / 1000
         while True:
             if not chain.may_tell() or not chain.has_copies():
                 return NOT_TAIL
-            if found is None:
-                found, serial = self._outcome(ask.change_id), chain.serial
-            if found is not None and chain.is_synced(serial):
-                return found
+            if outcome is None:
+                outcome, serial = self._outcome(ask.change_id), chain.serial
+            if outcome is not None and chain.is_synced(serial):
+                return outcome
             if chain.loop.time() >= end_s:
                 return UNKNOWN_CHANGE.with_reason(ask.change_id)
-            await chain.await_commit(min(end_s, self._confirmed_by_s(ask.change_id)))
+            await chain.await_commit(min(end_s, self._confirmation_deadline_s(ask.change_id)))
 
     def _outcome(self, change_id: str) -> OutcomeReturn | None:
         state = self.chain.state
@@ -53,14 +53,18 @@
         self.chain.telemetry.count["acksHeld"] += bool(change)
         return None
 
-    def _confirmed_by_s(self, change_id: str) -> float:
+    def _confirmation_deadline_s(self, change_id: str) -> float:
         change = self.chain.state.outcomes.find(change_id)
-        return self.leases.confirmed_by_s(change.version) if change else self.chain.loop.time() + 1
+        return (
+            self.leases.confirmation_deadline_s(change.version)
+            if change
+            else self.chain.loop.time() + 1
+        )
 
-    def on_peek_ask(self, ask, sender):
-        """What this tail has synced, without a word on whether it is the newest.
+    def on_durable_config_ask(self, ask, sender):
+        """Return the configuration that this tail has synced, which need not be the newest.
 
-        Whatever a tail has was committed.
+        Whatever a tail has is committed.
         """
         chain = self.chain
         if not chain.is_last() or chain.needs_copy or chain.fault is not None:
@@ -76,14 +80,14 @@
         )
 
     def on_config_ask(self, ask, sender):
-        """The configuration in force."""
+        """Return the configuration in force."""
         if not self.chain.may_tell():
             return NOT_TAIL
         durable = self.chain.durable
         return ConfigReturn(version=durable.version, document=durable.config.bytes())
 
     def on_lease_ask(self, ask, sender):
-        """Give a router a lease with what it lacks of the configuration, or take one back."""
+        """Grant a router a lease, with the configuration update that it lacks, or take one back."""
         chain = self.chain
         if not chain.may_tell():
             return NOT_TAIL
@@ -97,7 +101,7 @@
         chain.weight_ages.merge(ask.named, now_s)
         if self.leases.renew(ask) >= durable.version:
             chain.notify_commit_waiters()
-        told = LeaseReturn(
+        lease = LeaseReturn(
             lease_ms=self.leases.lease_ms,
             routers=len(self.leases.holders),
             version=durable.version,
@@ -105,5 +109,5 @@
             named=chain.weight_ages.told(now_s),
             core_calm_ms=chain.core_calm_ms(),
         )
-        chain.updates.add(told, ask, chain.state, durable)
-        return told
+        chain.updates.add_update(lease, ask, chain.state, durable)
+        return lease
--- a/swiftdeck/duty/__init__.py
+++ b/swiftdeck/duty/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one node does, won by ballots."""
+"""Duties held by one node at a time, elected by majority votes of the cores."""
--- a/swiftdeck/duty/ballots.py
+++ b/swiftdeck/duty/ballots.py
@@ -1,4 +1,7 @@
-"""Votes of one core on who does a duty; kept in memory, so a new start casts none for one lease."""
+"""Votes of one core on who holds a duty.
+
+They are kept in memory only, so a restarted core abstains for one lease.
+"""
 
 import asyncio
 
@@ -11,8 +14,8 @@
 
 
 @attrs.define
-class Cast:
-    """A vote that this core has given."""
+class GrantedVote:
+    """A vote that this core has granted."""
 
     term: int
     holder: str
@@ -21,62 +24,64 @@
 
 
 class Ballots:
-    """The table of votes of one core."""
+    """The votes of one core, by duty."""
 
     def __init__(self, mesh, agreement, lease_ms=3000):
         self.agreement, self.lease_ms = agreement, lease_ms
-        self.casts = {}
+        self.votes = {}
         self.released: dict[tuple[str, str], int] = {}
         agreement.watchers.append(self.on_view)
         mesh.register(Nominate, self.on_nominate)
 
     def start(self):
-        """Begin, voting for nobody yet."""
+        """Start, abstaining for one lease."""
         self.loop = asyncio.get_running_loop()
-        self.quiet_until_s = self.loop.time() + self.lease_ms / 1000
+        self.abstain_until_s = self.loop.time() + self.lease_ms / 1000
         self.was_voter = self.agreement.is_voter()
 
     def on_view(self, view):
-        """Cast no vote for one lease after this core became a voter."""
+        """Abstain for one lease after this core became a voter."""
         if self.agreement.is_voter() and not self.was_voter:
-            self.quiet_until_s = self.loop.time() + self.lease_ms / 1000
+            self.abstain_until_s = self.loop.time() + self.lease_ms / 1000
         self.was_voter = self.agreement.is_voter()
 
     def on_nominate(self, ask, sender):
-        """Answer a candidate: a vote, or a fault when this core may not vote in that view."""
-        now_s, held = self.loop.time(), self.casts.get(ask.duty)
+        """Answer a candidate with a vote, or a fault when this core may not vote in its view."""
+        now_s, current = self.loop.time(), self.votes.get(ask.duty)
         if not self.agreement.is_voter():
             return NOT_VOTER
         if ask.view != self.agreement.decided.number or self.agreement.slot.accepted is not None:
             return STALE_VIEW.with_reason(f"view {self.agreement.decided.number}")
         if ask.release:
-            self._release(ask, held, now_s)
+            self._release(ask, current, now_s)
             return Vote(granted=True)
-        is_busy = held and held.until_s > now_s and held.holder != ask.holder
-        is_old = (
-            held
-            and ask.term < held.term
-            or held
-            and ask.term == held.term
-            and held.holder != ask.holder
+        is_busy = current and current.until_s > now_s and current.holder != ask.holder
+        is_outdated = (
+            current
+            and ask.term < current.term
+            or current
+            and ask.term == current.term
+            and current.holder != ask.holder
         )
         is_released = ask.term <= self.released.get((ask.duty, ask.holder), 0)
-        if is_busy or is_old or is_released or now_s < self.quiet_until_s:
-            left_s = max(self.quiet_until_s, held.until_s if held else 0) - now_s
+        if is_busy or is_outdated or is_released or now_s < self.abstain_until_s:
+            left_s = max(self.abstain_until_s, current.until_s if current else 0) - now_s
             return Vote(
                 granted=False,
-                term=held.term if held else 0,
-                holder=held.holder if held else "",
-                addr=held.addr if held else "",
+                term=current.term if current else 0,
+                holder=current.holder if current else "",
+                addr=current.addr if current else "",
                 left_ms=max(0, int(left_s * 1000)),
             )
-        self.casts[ask.duty] = Cast(ask.term, ask.holder, ask.addr, now_s + self.lease_ms / 1000)
+        self.votes[ask.duty] = GrantedVote(
+            ask.term, ask.holder, ask.addr, now_s + self.lease_ms / 1000
+        )
         return Vote(granted=True, term=ask.term)
 
-    def _release(self, ask, held, now_s):
-        """Free a vote, and give none for that try any more, should its question come late."""
+    def _release(self, ask, current, now_s):
+        """Release a vote, and refuse that term later: its request may arrive after its release."""
         self.released[ask.duty, ask.holder] = ask.term
         while len(self.released) > RELEASES_KEPT:
             del self.released[next(iter(self.released))]
-        if held and held.holder == ask.holder and held.term == ask.term:
-            held.until_s = now_s
+        if current and current.holder == ask.holder and current.term == ask.term:
+            current.until_s = now_s
--- a/swiftdeck/duty/duty.py
+++ b/swiftdeck/duty/duty.py
@@ -1,4 +1,4 @@
-"""A duty that this process may hold: won by ballots, held by lease."""
+"""A duty that this process may hold: won by election, held by a lease."""
 
 import asyncio
 import json
@@ -8,10 +8,11 @@
 
 
 class Duty:
-    """Stands for a duty whenever it is vacant, and renews it while held.
+    """Runs for a duty whenever it is vacant, and renews the lease while it is held.
 
-    A term that has lapsed is never renewed: the duty is then won again under a higher term. Nor is
-    one stood for twice: a release of the first time that comes late would free the second's votes.
+    A term that has lapsed is never renewed; the duty has to be won again under a higher term. Nor
+    does a candidate use one term twice, as a delayed release from the first try would free the
+    votes of the second.
     """
 
     def __init__(self, name, me, mesh, news, cluster_map, random, lease_ms=3000, telemetry=None):
@@ -28,27 +29,27 @@
         self.wants = True
 
     def start(self):
-        """Go on standing or renewing."""
+        """Start running for the duty, and renewing it once held."""
         self.loop = asyncio.get_running_loop()
-        self.task = asyncio.ensure_future(self._holding())
+        self.task = asyncio.ensure_future(self._run_loop())
 
     def is_held(self):
-        """Whether the duty is held at this moment."""
+        """Return whether the duty is held now."""
         return self.loop.time() < self.until_s
 
-    async def _holding(self):
+    async def _run_loop(self):
         while True:
             if self.is_held():
-                await self._ask(self.term)
+                await self._request_votes(self.term)
                 await asyncio.sleep(0.5)
             elif self.wants and self.cluster_map.voters():
-                await self._stand()
+                await self._run_for_election()
             else:
                 await asyncio.sleep(0.2)
 
-    async def _stand(self):
+    async def _run_for_election(self):
         term = self.seen_term = self.seen_term + 1
-        won, votes = await self._ask(term)
+        won, votes = await self._request_votes(term)
         if won:
             self.term = term
             self.news.post(
@@ -60,10 +61,10 @@
                 self.telemetry.set_fact(f"duty.{self.name}", term)
             return
         left_ms = max((vote.left_ms for vote in votes), default=0)
-        await self._ask(term, release=True)
+        await self._request_votes(term, release=True)
         await asyncio.sleep(min(max(left_ms, 100), 1000) / 1000 + self.random.uniform(0.02, 0.4))
 
-    async def _ask(self, term, release=False):
+    async def _request_votes(self, term, release=False):
         view, sent_s = self.cluster_map.view, self.loop.time()
         ask = Nominate(
             view=view.number,
@@ -74,9 +75,11 @@
             lease_ms=self.lease_ms,
             release=release,
         )
-        got = await asyncio.gather(*(self.mesh.request(ref.addr, ask, 800) for ref in view.voters))
-        votes = [vote for vote in got if not is_fault(vote)]
-        if any(is_fault(vote) for vote in got):
+        responses = await asyncio.gather(
+            *(self.mesh.request(ref.addr, ask, 800) for ref in view.voters)
+        )
+        votes = [vote for vote in responses if not is_fault(vote)]
+        if any(is_fault(vote) for vote in responses):
             self.cluster_map.refresh()
         self.seen_term = max([self.seen_term, *(vote.term for vote in votes)])
         won = sum(vote.granted for vote in votes) * 2 > len(view.voters) > 0
@@ -85,8 +88,8 @@
         return won, votes
 
     async def hand_back(self):
-        """Give the duty up, so that another may win it at once."""
+        """Release the duty, so that another process may win it at once."""
         self.wants = False
         if self.is_held():
             self.until_s = -1.0
-            await self._ask(self.term, release=True)
+            await self._request_votes(self.term, release=True)
--- a/tests/chain/test_config_updates.py
+++ b/tests/chain/test_config_updates.py
@@ -44,7 +44,7 @@
         told = LeaseReturn(version=2)
         asked = LeaseAsk(**({"held": 1, "digest": b"old", "takes_packed": True} | ask))
         updates = updates or ConfigUpdates(Telemetry())
-        updates.add(told, asked, State(deltas), Durable(2, Config(text)))
+        updates.add_update(told, asked, State(deltas), Durable(2, Config(text)))
         return LeaseReturn().parse(bytes(told))
 
     def test_a_large_update_travels_compressed_and_comes_back_as_it_was(self):
--- a/tests/chain/test_outcomes.py
+++ b/tests/chain/test_outcomes.py
@@ -93,7 +93,7 @@
     def test_a_hundred_thousand_old_outcomes_fit_a_small_core(self):
         state = ChainState()
         for number in range(outcomes.CHANGES_KEPT + outcomes.OLDER_KEPT + 10):
-            state.outcomes.note(f"patch-{number:064x}", number, f"{number:064x}", "patch", number)
+            state.outcomes.record(f"patch-{number:064x}", number, f"{number:064x}", "patch", number)
         self.assertEqual(len(state.stored.older), outcomes.OLDER_KEPT)
         self.assertEqual(state.outcomes.horizon(), outcomes.Horizon(9, 9))
         self.assertLess(len(state.to_bytes()), 7 << 20)
--- a/tests/duty/test_ballots.py
+++ b/tests/duty/test_ballots.py
@@ -8,13 +8,13 @@
 
 
 class BallotsTest(unittest.TestCase):
-    def test_one_holder_at_a_time_and_silence_after_a_start(self):
+    def test_one_holder_at_a_time_and_no_votes_after_a_start(self):
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
-        world, got = World(), []
+        world, granted = World(), []
 
-        class Alone:
+        class OnlyVoter:
             decided, watchers = View(number=1), []
             slot = type("Slot", (), {"accepted": None})
 
@@ -22,14 +22,14 @@
                 return True
 
         async def main():
-            ballots = Ballots(Mesh("10.0.0.1:1"), Alone())
+            ballots = Ballots(Mesh("10.0.0.1:1"), OnlyVoter())
             ballots.start()
 
             def ask(holder, term, view=1):
                 vote = ballots.on_nominate(
                     Nominate(duty="keeper/m", holder=holder, term=term, view=view), ""
                 )
-                got.append(getattr(vote, "granted", None))
+                granted.append(getattr(vote, "granted", None))
 
             ask("a", 1)
             await asyncio.sleep(3.1)
@@ -46,4 +46,4 @@
 
         world.start("p", "10.0.0.1", main)
         world.run(20)
-        self.assertEqual(got, [False, True, False, True, False, True, False, None])
+        self.assertEqual(granted, [False, True, False, True, False, True, False, None])
--- a/tests/duty/test_duty.py
+++ b/tests/duty/test_duty.py
@@ -10,15 +10,15 @@
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import CoreRef, Nominate, View
 
-CORES = [f"10.1.0.{at}:7000" for at in (1, 2, 3)]
+CORES = [f"10.1.0.{index}:7000" for index in (1, 2, 3)]
 VIEW = View(
-    number=1, voters=[CoreRef(core_id=f"c{at}", addr=addr) for at, addr in enumerate(CORES)]
+    number=1, voters=[CoreRef(core_id=f"c{index}", addr=addr) for index, addr in enumerate(CORES)]
 )
 LEASE_S = 3.0
 
 
 class Voter:
-    """A core's agreement, as ballots see it, in a view that stays."""
+    """Stand-in for a core's Agreement in a view that does not change."""
 
     decided, watchers = VIEW, []
     slot = type("Slot", (), {"accepted": None})
@@ -28,7 +28,7 @@
 
 
 class ClusterMap:
-    """What a candidate knows of the cores."""
+    """Stand-in for the candidate's ClusterMap."""
 
     view = VIEW
 
@@ -36,10 +36,10 @@
         return self.view.voters
 
     def refresh(self):
-        """Learn nothing new."""
+        """Do nothing."""
 
 
-class NoNeighbours:
+class EmptyMembership:
     """A membership without any other process."""
 
     def some(self, count, role=None):
@@ -53,78 +53,82 @@
             self.world.start(addr, addr.partition(":")[0], lambda addr=addr: self.core(addr))
 
     async def core(self, addr):
-        """A process that votes."""
+        """Run a voter process."""
         mesh = Mesh(addr)
         await mesh.start()
         self.ballots[addr] = Ballots(mesh, Voter())
         self.ballots[addr].start()
 
-    def candidate(self, name, at, seen_term=0):
-        """Start a process that stands for the duty, with the newest term that it has heard of."""
-        addr = f"10.2.0.{at}:7000"
+    def candidate(self, name, index, seen_term=0):
+        """Start a process that runs for the duty, knowing terms up to `seen_term`."""
+        addr = f"10.2.0.{index}:7000"
 
         async def main():
             mesh = Mesh(addr)
             await mesh.start()
-            me = type("Me", (), {"name": name, "addr": addr, "incarnation": at})
-            news = NewsTable(mesh, NoNeighbours())
-            duty = Duty("keeper/m", me, mesh, news, ClusterMap(), random.Random(at))
+            me = type("Me", (), {"name": name, "addr": addr, "incarnation": index})
+            news = NewsTable(mesh, EmptyMembership())
+            duty = Duty("keeper/m", me, mesh, news, ClusterMap(), random.Random(index))
             self.duties[name], duty.seen_term = duty, seen_term
             duty.start()
 
         self.world.start(name, addr.partition(":")[0], main)
 
     def holders(self):
-        """Who holds the duty now, by its own knowledge."""
+        """Return the processes that believe to hold the duty now."""
         return [
             name
             for name, duty in self.duties.items()
             if self.world.loops[name] and duty.until_s > self.world.now
         ]
 
-    def test_a_term_that_was_stood_for_is_never_stood_for_again(self):
-        stood = []
+    def test_a_candidate_never_uses_a_term_twice(self):
+        requested_terms = []
         self.candidate("a", 1)
         self.world.run(0.01)
-        ask = self.duties["a"]._ask
+        request_votes = self.duties["a"]._request_votes
 
-        async def asked(term, release=False):
+        async def recording_request(term, release=False):
             is_renewal = self.duties["a"].term == term
-            stood.extend([] if release or is_renewal else [term])
-            return await ask(term, release)
+            requested_terms.extend([] if release or is_renewal else [term])
+            return await request_votes(term, release)
 
-        self.duties["a"]._ask = asked
+        self.duties["a"]._request_votes = recording_request
         self.world.run(until=lambda: self.holders() == ["a"], limit_s=10)
-        self.assertGreater(len(stood), 2)
-        self.assertEqual(sorted(set(stood)), stood)
+        self.assertGreater(len(requested_terms), 2)
+        self.assertEqual(sorted(set(requested_terms)), requested_terms)
 
-    def test_a_late_try_that_was_released_binds_no_vote(self):
+    def test_a_delayed_request_of_a_released_term_gets_no_vote(self):
         self.world.run(LEASE_S + 0.1)
         ballots, votes = self.ballots[CORES[0]], []
 
-        def ask(holder, term, release=False):
-            wish = Nominate(view=1, duty="keeper/m", term=term, holder=holder, release=release)
-            self.world.run_in(CORES[0], lambda: votes.append(ballots.on_nominate(wish, "").granted))
+        def request(holder, term, release=False):
+            nomination = Nominate(
+                view=1, duty="keeper/m", term=term, holder=holder, release=release
+            )
+            self.world.run_in(
+                CORES[0], lambda: votes.append(ballots.on_nominate(nomination, "").granted)
+            )
 
-        ask("a/1", 3, release=True)
-        ask("a/1", 3)
-        ask("b/2", 3)
-        ask("b/2", 3, release=True)
-        ask("a/1", 2)
-        ask("a/1", 4)
+        request("a/1", 3, release=True)
+        request("a/1", 3)
+        request("b/2", 3)
+        request("b/2", 3, release=True)
+        request("a/1", 2)
+        request("a/1", 4)
         self.assertEqual(votes, [True, False, True, True, False, True])
 
-    def test_a_late_release_does_not_free_the_vote_of_a_later_win(self):
+    def test_a_delayed_release_does_not_free_the_vote_of_a_later_term(self):
         self.candidate("a", 1)
         self.world.run(0.01)
-        released, ask = [], self.duties["a"]._ask
+        released, request_votes = [], self.duties["a"]._request_votes
 
-        async def asked(term, release=False):
+        async def recording_request(term, release=False):
             if release:
                 released.append(term)
-            return await ask(term, release)
+            return await request_votes(term, release)
 
-        self.duties["a"]._ask = asked
+        self.duties["a"]._request_votes = recording_request
         self.world.run(until=lambda: self.holders() == ["a"], limit_s=10)
         self.assertTrue(released)
         self.world.run(0.1)
