--- a/tests/chain/test_agreement.py
+++ b/tests/chain/test_agreement.py
@@ -32,7 +32,7 @@
         self.assertEqual(results[0][0], results[1][0])
         self.assertEqual([each[1].granted for each in results], [True, False])
 
-    def test_a_view_that_adds_does_not_forget_the_wait_of_one_that_dropped(self):
+    def test_a_view_that_adds_a_member_keeps_the_wait_of_one_that_dropped_one(self):
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
@@ -89,16 +89,16 @@
         world.run(30)
         return left[0]
 
-    def test_a_lease_that_is_handed_back_is_not_waited_out(self):
+    def test_a_lease_that_was_handed_back_is_not_waited_for(self):
         self.assertGreater(self.dropped_lease_ms([7]), 1500)
         self.assertEqual(self.dropped_lease_ms([7, -7]), 0)
 
-    def test_a_late_return_does_not_take_a_later_lease_back(self):
+    def test_a_delayed_hand_back_does_not_end_a_later_lease(self):
         self.assertGreater(self.dropped_lease_ms([7, 8, -7]), 1500)
         self.assertGreater(self.dropped_lease_ms([7, -7, 8]), 1500)
         self.assertGreater(self.dropped_lease_ms([7, -7, 8, -7]), 1500)
 
-    def test_a_grant_that_was_asked_for_before_a_return_counts_for_nothing(self):
+    def test_a_grant_requested_before_a_hand_back_is_ignored(self):
         from swiftdeck.sim.world import World
         from swiftdeck.wire.mesh import Mesh
 
--- a/tests/chain/test_batches.py
+++ b/tests/chain/test_batches.py
@@ -1,4 +1,4 @@
-"""Entries of the chain reach the disk in one write for each sync."""
+"""Tests that entries of the chain are written to disk in a single write per sync."""
 
 import asyncio
 import unittest
@@ -10,29 +10,29 @@
 
 
 class WritesSinceSync:
-    """Counts how many writes to the log one loss of power could keep or lose separately."""
+    """Counts the writes to the log since its last sync; a power loss could keep any one alone."""
 
     def __init__(self, folder):
-        self.open, self.most = 0, 0
+        self.open_writes, self.max_open = 0, 0
         self.append, self.sync = folder.append, folder.sync
         folder.append, folder.sync = self.count_append, self.count_sync
 
     def count_append(self, name, data):
-        """Stand in for `append`."""
+        """Replace `append`."""
         if name == LOG:
-            self.open += 1
-            self.most = max(self.most, self.open)
+            self.open_writes += 1
+            self.max_open = max(self.max_open, self.open_writes)
         self.append(name, data)
 
     async def count_sync(self, name):
-        """Stand in for `sync`."""
+        """Replace `sync`."""
         await self.sync(name)
         if name == LOG:
-            self.open = 0
+            self.open_writes = 0
 
 
-class BatchesTest(unittest.TestCase):
-    def test_orders_that_come_at_once_are_one_write_at_every_member(self):
+class SingleWriteTest(unittest.TestCase):
+    def test_concurrent_changes_are_one_write_at_every_member(self):
         cluster = SimCluster(4, routers=1).start()
         counts = {name: WritesSinceSync(cluster.folders[name]) for name in cluster.core_names()}
         writer = cluster.up["core1"].change_writer
@@ -43,11 +43,11 @@
                 for number in range(8)
             ]
             return await asyncio.gather(
-                *(writer.write(f"batch{at}", claim) for at, claim in enumerate(claims))
+                *(writer.write(f"batch{index}", claim) for index, claim in enumerate(claims))
             )
 
         outcomes = cluster.world.run_task("core1", claim_many)
         self.assertEqual([outcome.results for outcome in outcomes], [[""]] * 8)
         self.assertEqual(
-            {name: count.most for name, count in counts.items()}, dict.fromkeys(counts, 1)
+            {name: count.max_open for name, count in counts.items()}, dict.fromkeys(counts, 1)
         )
--- a/tests/chain/test_complete_in.py
+++ b/tests/chain/test_complete_in.py
@@ -1,4 +1,4 @@
-"""Which views make the copy of a core that asked to join a complete one."""
+"""Tests of which views make the partial copy of a joining core complete."""
 
 import unittest
 from unittest import mock
@@ -22,7 +22,7 @@
 
 
 class JoiningCore:
-    """The chain and the agreement of one core on one disk, with nobody else there."""
+    """The chain and the agreement of a single core, with no other core running."""
 
     def __init__(self, losses_borne=1):
         self.world, self.folder, self.losses_borne = World(), SimFolder(), losses_borne
@@ -30,7 +30,7 @@
         self.learn(JOINED - 1, OTHERS[:1])
 
     def start(self):
-        """Begin a life on what the disk has."""
+        """Start the core from its disk."""
 
         async def main():
             mesh, telemetry = Mesh(ADDR), Telemetry()
@@ -50,117 +50,117 @@
         self.folder.lose_power()
         self.start()
 
-    def copy(self):
-        """Take a copy as from a tail, which leaves this core partial."""
+    def copy_state(self):
+        """Install a state as if copied from a tail, which leaves this core partial."""
 
-        async def take():
+        async def replace_state():
             chain = self.chain
             chain.is_partial = True
             await chain.replace_state(chain.state, 3, chain.state.to_bytes())
 
-        self.world.run_task(NAME, take)
+        self.world.run_task(NAME, replace_state)
 
     def expect_join(self):
-        """Do what stands before the wish to join the present view."""
+        """Record the expected join, as a core does before it asks to join the current view."""
         return self.world.run_task(NAME, lambda: self.chain.expect_join(self.agreement.decided))
 
     def learn(self, number, members):
-        """Learn a view, and let what follows come to its end."""
+        """Learn a view and run until its effects are done."""
         view = View(number=number, members=members, voters=OTHERS)
         self.world.run_task(NAME, lambda: self.agreement.learn(view))
         self.world.run(0.1)
 
-    def own(self):
-        """This core as a member."""
+    def member_ref(self):
+        """Return this core as a member of a view."""
         return CoreRef(core_id=self.agreement.core_id, addr=ADDR)
 
 
 class CompleteInTest(unittest.TestCase):
-    def joining(self, **more):
-        core = JoiningCore(**more)
-        core.copy()
+    def joining_core(self, **options):
+        core = JoiningCore(**options)
+        core.copy_state()
         self.assertTrue(core.expect_join())
         self.assertTrue(core.chain.is_partial)
         return core
 
     def assert_partial(self, core, is_partial=True):
-        """Now and after a restart."""
+        """Check whether the core is partial, now and after a restart."""
         self.assertEqual(core.chain.is_partial, is_partial)
         core.restart()
         self.assertEqual(core.chain.is_partial, is_partial)
 
-    def test_the_view_that_was_asked_for_makes_it_complete(self):
-        core = self.joining()
-        core.learn(JOINED, [*OTHERS[:1], core.own()])
+    def test_the_expected_view_makes_the_copy_complete(self):
+        core = self.joining_core()
+        core.learn(JOINED, [*OTHERS[:1], core.member_ref()])
         self.assert_partial(core, False)
-        core.learn(JOINED + 1, [core.own()])
+        core.learn(JOINED + 1, [core.member_ref()])
         self.assertTrue(core.chain.is_whole())
 
-    def test_so_it_does_when_it_is_learned_after_a_restart(self):
-        core = self.joining()
+    def test_the_expected_view_learned_after_a_restart_makes_the_copy_complete(self):
+        core = self.joining_core()
         self.assert_partial(core)
-        core.learn(JOINED, [*OTHERS[:1], core.own()])
+        core.learn(JOINED, [*OTHERS[:1], core.member_ref()])
         self.assert_partial(core, False)
 
-    def test_so_it_does_when_only_the_view_is_on_the_disk_at_a_start(self):
-        core = self.joining()
-        agreed = core.agreement.journal
-        view = View(number=JOINED, members=[*OTHERS[:1], core.own()], voters=OTHERS)
+    def test_the_expected_view_read_from_disk_at_a_start_makes_the_copy_complete(self):
+        core = self.joining_core()
+        journal = core.agreement.journal
+        view = View(number=JOINED, members=[*OTHERS[:1], core.member_ref()], voters=OTHERS)
 
         async def decide():
-            agreed.append({"k": "decided", "view": bytes(view)})
-            await agreed.sync()
+            journal.append({"k": "decided", "view": bytes(view)})
+            await journal.sync()
 
         core.world.run_task(NAME, decide)
         core.restart()
         self.assert_partial(core, False)
 
-    def test_so_it_does_after_the_log_was_written_anew(self):
-        core = self.joining()
+    def test_the_record_of_the_expected_view_outlasts_a_rewrite_of_the_log(self):
+        core = self.joining_core()
         core.world.run_task(NAME, core.chain._rewrite)
         core.restart()
-        core.learn(JOINED, [*OTHERS[:1], core.own()])
+        core.learn(JOINED, [*OTHERS[:1], core.member_ref()])
         self.assert_partial(core, False)
 
-    def test_that_view_without_it_does_not(self):
-        core = self.joining()
+    def test_the_expected_view_without_the_core_does_not_make_it_complete(self):
+        core = self.joining_core()
         core.learn(JOINED, OTHERS[:2])
-        core.learn(JOINED + 1, [OTHERS[0], core.own(), OTHERS[1]])
+        core.learn(JOINED + 1, [OTHERS[0], core.member_ref(), OTHERS[1]])
         self.assert_partial(core)
 
-    def test_a_later_view_does_not(self):
-        core = self.joining()
-        core.learn(JOINED + 1, [OTHERS[0], core.own()])
+    def test_a_later_view_does_not_make_the_copy_complete(self):
+        core = self.joining_core()
+        core.learn(JOINED + 1, [OTHERS[0], core.member_ref()])
         self.assert_partial(core)
 
-    def test_a_copy_that_was_made_since_does_not_count(self):
-        core = self.joining()
-        core.copy()
-        core.learn(JOINED, [*OTHERS[:1], core.own()])
+    def test_a_newer_copy_is_not_made_complete_by_the_expected_view(self):
+        core = self.joining_core()
+        core.copy_state()
+        core.learn(JOINED, [*OTHERS[:1], core.member_ref()])
         self.assert_partial(core)
 
-    def test_a_view_that_may_acknowledge_makes_no_copy_complete(self):
+    def test_copies_from_a_view_that_may_acknowledge_stay_partial(self):
         for losses_borne, members, is_partial in ((1, 2, True), (2, 2, False), (2, 3, True)):
             with self.subTest(losses_borne=losses_borne, members=members):
                 core = JoiningCore(losses_borne)
                 core.learn(JOINED, OTHERS[:members])
-                core.copy()
+                core.copy_state()
                 core.expect_join()
-                core.learn(JOINED + 1, [*OTHERS[:members], core.own()])
+                core.learn(JOINED + 1, [*OTHERS[:members], core.member_ref()])
                 self.assert_partial(core, is_partial)
 
-    def test_a_disk_that_fails_keeps_it_from_joining(self):
+    def test_a_disk_fault_keeps_the_core_from_joining(self):
         core = JoiningCore()
-        core.copy()
+        core.copy_state()
         core.folder.full = True
         self.assertFalse(core.expect_join())
         self.assertEqual(core.chain.complete_in, 0)
 
-    def test_a_view_that_acknowledges_nothing_takes_nothing_that_was_under_way(self):
+    def test_a_view_that_is_too_small_takes_no_queued_change(self):
         for members, taken in ((1, 0), (2, 1)):
             with self.subTest(members=members):
                 core = JoiningCore()
-                core.learn(JOINED, [core.own(), *OTHERS][:members])
+                core.learn(JOINED, [core.member_ref(), *OTHERS][:members])
                 chain, agreement = core.chain, core.agreement
                 chain.must_compare = False
                 chain._serve_if_complete()
@@ -171,33 +171,33 @@
                 core.world.run_task(NAME, chain._process_incoming)
                 self.assertEqual(chain.serial, taken)
 
-    def test_the_log_of_such_a_view_is_given_once_all_of_it_is_synced(self):
+    def test_a_too_small_view_serves_its_log_only_once_it_is_synced(self):
         core = JoiningCore()
-        core.learn(JOINED, [core.own()])
+        core.learn(JOINED, [core.member_ref()])
         chain, ask = core.chain, LogAsk(serial=0, view=JOINED)
         chain._append(1, msgspec.msgpack.encode(CHANGE))
         self.assertEqual(chain.transfer.on_log_ask(ask, "").code, NOT_TAIL.code)
         core.world.run_task(NAME, chain._sync)
         self.assertEqual(chain.transfer.on_log_ask(ask, "").last, 1)
 
-    def test_such_a_view_passes_nothing_before_all_of_it_is_synced(self):
+    def test_a_too_small_view_replicates_nothing_before_the_sync(self):
         core = JoiningCore(losses_borne=2)
-        core.learn(JOINED, [core.own(), OTHERS[0]])
-        chain, passed = core.chain, []
+        core.learn(JOINED, [core.member_ref(), OTHERS[0]])
+        chain, replicated = core.chain, []
 
-        async def ask(addr, message, timeout_ms):
-            passed.append(message.last)
+        async def request(addr, message, timeout_ms):
+            replicated.append(message.last)
             return ReplicateReturn(last=message.last)
 
-        with mock.patch.object(chain.mesh, "request", ask):
+        with mock.patch.object(chain.mesh, "request", request):
             chain._append(1, msgspec.msgpack.encode(CHANGE))
             core.world.run_task(NAME, chain._replicate_batch)
-            self.assertEqual(passed, [])
+            self.assertEqual(replicated, [])
             core.world.run_task(NAME, chain._sync)
             core.world.run_task(NAME, chain._replicate_batch)
-        self.assertEqual(passed[0], 1)
+        self.assertEqual(replicated[0], 1)
 
-    def test_the_records_read_back_in_their_form_on_the_disk(self):
+    def test_log_records_round_trip(self):
         records = [
             log_records.State(3, b"s", True),
             log_records.CompleteIn(5),
@@ -207,7 +207,7 @@
         self.assertEqual(stored[1], {"k": "complete-in", "view": 5})
         self.assertEqual(log_records.read(stored), records)
 
-    def test_a_log_from_before_there_was_such_a_record_is_read_as_ever(self):
+    def test_a_log_without_a_complete_in_record_is_readable(self):
         stored = [{"k": "state", "n": 3, "state": b"s", "partial": True}, {"k": "complete"}]
         self.assertEqual(
             log_records.read(stored),
--- a/tests/chain/test_config_updates.py
+++ b/tests/chain/test_config_updates.py
@@ -1,4 +1,4 @@
-"""What routers are sent of a configuration, packed once."""
+"""Tests of the configuration updates sent to routers."""
 
 import unittest
 
@@ -41,16 +41,16 @@
 
 class ConfigUpdatesTest(unittest.TestCase):
     def update(self, deltas, text=LARGE, updates=None, **ask):
-        told = LeaseReturn(version=2)
-        asked = LeaseAsk(**({"held": 1, "digest": b"old", "takes_packed": True} | ask))
+        lease = LeaseReturn(version=2)
+        ask_message = LeaseAsk(**({"held": 1, "digest": b"old", "takes_packed": True} | ask))
         updates = updates or ConfigUpdates(Telemetry())
-        updates.add_update(told, asked, State(deltas), Durable(2, Config(text)))
-        return LeaseReturn().parse(bytes(told))
+        updates.add_update(lease, ask_message, State(deltas), Durable(2, Config(text)))
+        return LeaseReturn().parse(bytes(lease))
 
-    def test_a_large_update_travels_compressed_and_comes_back_as_it_was(self):
+    def test_a_large_update_is_compressed_and_unpacks_unchanged(self):
         changed, whole = self.update([LARGE, b"second"]), self.update(None)
-        for told in (changed, whole):
-            self.assertLess(len(bytes(told)), len(LARGE) // 5)
+        for lease in (changed, whole):
+            self.assertLess(len(bytes(lease)), len(LARGE) // 5)
         self.assertEqual(unpack(changed).deltas, [LARGE, b"second"])
         self.assertEqual(unpack(whole).document, LARGE)
 
@@ -59,20 +59,20 @@
         packed = updates.pack_whole(Config(LARGE))
         self.assertLess(len(packed), len(LARGE) // 5)
         self.assertIs(updates.pack_whole(Config(LARGE)), packed)
-        told = LeaseReturn(packed=packed, is_whole=True)
-        self.assertEqual(unpack(told).document, LARGE)
+        lease = LeaseReturn(packed=packed, is_whole=True)
+        self.assertEqual(unpack(lease).document, LARGE)
         self.assertEqual(updates.pack_whole(Config(b"{}")), b"")
 
-    def test_small_updates_and_routers_that_take_none_packed_get_them_plain(self):
-        for told in (self.update([b"small"]), self.update([LARGE], takes_packed=False)):
-            self.assertEqual((told.packed, len(told.deltas)), (b"", 1))
+    def test_small_updates_and_routers_without_packing_get_plain_ones(self):
+        for lease in (self.update([b"small"]), self.update([LARGE], takes_packed=False)):
+            self.assertEqual((lease.packed, len(lease.deltas)), (b"", 1))
         self.assertEqual(self.update(None, b"{}").document, b"{}")
 
-    def test_a_router_that_has_the_newest_is_sent_nothing(self):
-        told = self.update([LARGE], held=2, digest=b"new")
-        self.assertEqual((told.packed, told.deltas, told.document), (b"", [], b""))
+    def test_a_router_with_the_newest_version_is_sent_nothing(self):
+        lease = self.update([LARGE], held=2, digest=b"new")
+        self.assertEqual((lease.packed, lease.deltas, lease.document), (b"", [], b""))
 
-    def test_an_update_is_packed_once_and_few_are_kept(self):
+    def test_an_update_is_packed_once_and_the_cache_is_bounded(self):
         updates = ConfigUpdates(Telemetry())
         for _ in range(3):
             self.update([LARGE], updates=updates)
@@ -81,5 +81,5 @@
             self.update([LARGE], updates=updates, held=0, digest=b"%d" % held)
         self.assertLessEqual(len(updates.packed), PACKED_KEPT)
 
-    def test_what_does_not_unpack_is_a_fault(self):
+    def test_a_damaged_update_is_a_fault(self):
         self.assertTrue(is_fault(unpack(LeaseReturn(packed=b"no"))))
--- a/tests/chain/test_editions.py
+++ b/tests/chain/test_editions.py
@@ -1,4 +1,4 @@
-"""Tests of changes that build on an operator's own numbers."""
+"""Tests of changes that are based on editions, the operator's own numbers."""
 
 import unittest
 
@@ -37,7 +37,7 @@
         )
 
     def change(self, change_id, op, document, edition, on_edition, **more):
-        return self.take(
+        return self.propose(
             {
                 "id": change_id,
                 "op": op,
@@ -48,7 +48,7 @@
             | more
         )
 
-    def take(self, change):
+    def propose(self, change):
         entry = self.state.examine({"t": "config"} | change)
         if entry is not None and not is_fault(entry):
             entry = msgspec.msgpack.decode(msgspec.msgpack.encode(entry))
@@ -56,12 +56,12 @@
             self.state.apply(entry)
         return entry
 
-    def raws(self, table):
+    def raw_table(self, table):
         return self.state.config.raws[table]
 
-    def test_whole_tables_are_replaced_in_their_order_and_others_stay(self):
+    def test_replace_keeps_the_order_of_tables_and_leaves_others(self):
         before = self.state.config
-        self.take(
+        self.propose(
             {
                 "id": "r",
                 "op": "put",
@@ -81,9 +81,14 @@
             self.entries[-1]["delta"]["paths"],
             [{"b": None, "n": path("/n/"), "a": path("/a/", tries=2)}, ["c", "n", "a"]],
         )
-        self.assertEqual(list(self.raws("paths")), ["c", "n", "a"])
+        self.assertEqual(list(self.raw_table("paths")), ["c", "n", "a"])
         self.assertEqual(
-            (self.raws("routes"), self.raws("models"), self.raws("services"), self.raws("edition")),
+            (
+                self.raw_table("routes"),
+                self.raw_table("models"),
+                self.raw_table("services"),
+                self.raw_table("edition"),
+            ),
             (
                 {"x": {"model": "m"}},
                 {"m": {"weights": "1"}, "n": {"weights": "1"}},
@@ -92,7 +97,7 @@
             ),
         )
 
-    def test_items_are_put_whole_and_cost_what_they_touch(self):
+    def test_items_are_put_whole_and_the_delta_has_only_those(self):
         self.change(
             "second",
             "items",
@@ -115,22 +120,22 @@
                 "edition": {"operator": {"number": 5}},
             },
         )
-        self.assertEqual(list(self.raws("paths")), ["b", "c", "d"])
+        self.assertEqual(list(self.raw_table("paths")), ["b", "c", "d"])
         self.change(
             "third", "items", {"edition": {"operator": {"keyed": False, "told": {"x": [1]}}}}, 6, 5
         )
         self.change("fourth", "items", {"edition": {"operator": {"told": {"y": [None]}}}}, 7, 6)
         self.assertEqual(
-            self.raws("edition")["operator"],
+            self.raw_table("edition")["operator"],
             {"number": 7, "keyed": False, "told": {"x": [1], "y": [None]}},
         )
         self.change("fifth", "replace", {"edition": {"operator": {"told": {"z": None}}}}, 8, 7)
-        self.assertEqual(self.raws("edition")["operator"], {"number": 8, "told": {"z": None}})
+        self.assertEqual(self.raw_table("edition")["operator"], {"number": 8, "told": {"z": None}})
 
-    def test_members_and_those_that_take_changes_come_to_the_same(self):
+    def test_members_routers_and_copies_reach_the_same_state(self):
         self.change("second", "replace", {"paths": {"b": path("/b/"), "a": path("/a/")}}, 5, 4)
-        self.take({"id": "w", "op": "raise", "model": "m", "weights": 3})
-        self.take({"id": "w2", "op": "raise", "model": "m", "weights": 2})
+        self.propose({"id": "w", "op": "raise", "model": "m", "weights": 3})
+        self.propose({"id": "w2", "op": "raise", "model": "m", "weights": 2})
         follower, router = ChainState(), Configuration.empty()
         for entry in self.entries:
             follower.apply(entry)
@@ -145,7 +150,7 @@
             (self.state.config.digest(), self.state.config.raws, self.state.config.document),
         )
 
-    def test_an_edition_builds_on_the_present_one_and_is_above_it(self):
+    def test_an_edition_must_be_based_on_the_current_one_and_above_it(self):
         for edition, on_edition, code in (
             (9, 3, VERSION_CONFLICT.code),
             (9, 0, VERSION_CONFLICT.code),
@@ -171,19 +176,19 @@
             )
         )
         self.assertEqual(self.change("first", "replace", {}, 4, 0).code, CHANGE_ID_REUSED.code)
-        self.take(
+        self.propose(
             {"id": "p", "op": "patch", "base": 1, "document": {"routes": {"r": {"model": "m"}}}}
         )
         self.assertEqual(self.change("second", "items", {}, 9, 4)["version"], 3)
 
-    def test_without_an_edition_the_base_counts(self):
+    def test_without_an_edition_the_base_version_counts(self):
         change = {"id": "i", "op": "items", "document": {"paths": {"a": None}}}
-        self.assertEqual(self.take(change | {"base": 0}).code, VERSION_CONFLICT.code)
-        self.assertEqual(self.take(change | {"base": 1})["version"], 2)
-        self.assertEqual(self.raws("edition"), {"operator": {"number": 4}})
+        self.assertEqual(self.propose(change | {"base": 0}).code, VERSION_CONFLICT.code)
+        self.assertEqual(self.propose(change | {"base": 1})["version"], 2)
+        self.assertEqual(self.raw_table("edition"), {"operator": {"number": 4}})
 
-    def test_paths_that_cannot_stand_are_refused(self):
-        for document, word in [
+    def test_invalid_paths_are_refused(self):
+        for document, location in [
             ({"paths": {"d": path("/a/")}}, "$.paths.d.prefix"),
             ({"services": {"s": None}}, "$.paths.a.services[0]"),
             (
@@ -198,7 +203,7 @@
         ]:
             fault = self.change("x", "items", document, 9, 4)
             self.assertEqual(
-                (fault.code, fault.reason.startswith(word)), (INVALID_CONFIG.code, True), fault
+                (fault.code, fault.reason.startswith(location)), (INVALID_CONFIG.code, True), fault
             )
         self.assertTrue(
             all(
@@ -207,30 +212,30 @@
             )
         )
 
-    def test_weights_are_raised_only_and_each_change_has_an_outcome(self):
-        for change_id, weights, version, held in (
+    def test_weights_are_only_raised_and_each_change_has_an_outcome(self):
+        for change_id, weights, version, current in (
             ("w2", 2, 2, "2"),
             ("again", 2, 2, "2"),
             ("w1", 1, 2, "2"),
             ("w10", 10, 3, "10"),
             ("w9", 9, 3, "10"),
         ):
-            self.take({"id": change_id, "op": "raise", "model": "m", "weights": weights})
+            self.propose({"id": change_id, "op": "raise", "model": "m", "weights": weights})
             self.assertEqual(
-                (self.state.stored.changes[change_id][0], self.raws("models")["m"]["weights"]),
-                (version, held),
+                (self.state.stored.changes[change_id][0], self.raw_table("models")["m"]["weights"]),
+                (version, current),
             )
-        self.assertIsNone(self.take({"id": "w2", "op": "raise", "model": "m", "weights": 2}))
+        self.assertIsNone(self.propose({"id": "w2", "op": "raise", "model": "m", "weights": 2}))
         self.assertEqual(
-            self.take({"id": "w2", "op": "raise", "model": "m", "weights": 3}).code,
+            self.propose({"id": "w2", "op": "raise", "model": "m", "weights": 3}).code,
             CHANGE_ID_REUSED.code,
         )
         self.assertEqual(
-            self.take({"id": "u", "op": "raise", "model": "u", "weights": 3}).code,
+            self.propose({"id": "u", "op": "raise", "model": "u", "weights": 3}).code,
             INVALID_CONFIG.code,
         )
         self.change("named", "items", {"models": {"m": {"weights": "w1"}}}, 9, 4)
         self.assertEqual(
-            self.take({"id": "v", "op": "raise", "model": "m", "weights": 3}).code,
+            self.propose({"id": "v", "op": "raise", "model": "m", "weights": 3}).code,
             INVALID_CONFIG.code,
         )
--- a/tests/chain/test_founding.py
+++ b/tests/chain/test_founding.py
@@ -1,4 +1,4 @@
-"""What one voter promises for the first view, and what it tells of its leases."""
+"""Tests of a single voter: promises for the first view, and the leases of dropped members."""
 
 import asyncio
 import unittest
@@ -11,19 +11,19 @@
 
 
 class FoundingTest(unittest.TestCase):
-    """One agreement alone, asked directly."""
+    """Calls the handlers of a single Agreement directly."""
 
-    def ask(self, folder, act, **more):
-        world, box = World(), []
+    def run_agreement(self, folder, act, **more):
+        world, results = World(), []
 
         async def main():
             agreement = Agreement(folder, Mesh("10.0.0.1:1"), "10.0.0.1:1", world.random, **more)
             await agreement.start()
-            box.append(await act(agreement))
+            results.append(await act(agreement))
 
         world.start("a", "10.0.0.1", main)
         world.run(30)
-        return box[0]
+        return results[0]
 
     def test_a_wiped_core_promises_and_accepts_nothing_for_the_first_view(self):
         view = View(number=1, members=[CoreRef(core_id="a", addr="10.0.0.1:1")])
@@ -34,27 +34,31 @@
                 await agreement.on_accept(Accept(slot=1, ballot=9, view=view), ""),
             ]
 
-        self.assertFalse(any(self.ask(SimFolder(), act, may_found=False)))
-        self.assertTrue(all(self.ask(SimFolder(), act, may_found=True)))
+        self.assertFalse(any(self.run_agreement(SimFolder(), act, may_found=False)))
+        self.assertTrue(all(self.run_agreement(SimFolder(), act, may_found=True)))
 
-    def test_the_record_of_the_identity_keeps_who_may_found(self):
-        async def kept(agreement):
+    def test_the_identity_record_keeps_may_found_and_the_founders(self):
+        async def read_record(agreement):
             return agreement.may_found, agreement.founders
 
         for may_found in (True, False):
             folder = SimFolder()
-            self.ask(folder, kept, may_found=may_found, founders=["10.0.0.1:1"])
-            got = self.ask(folder, kept, may_found=not may_found, founders=["10.0.0.9:1"])
-            self.assertEqual(got, (may_found, ["10.0.0.1:1"]))
+            self.run_agreement(folder, read_record, may_found=may_found, founders=["10.0.0.1:1"])
+            restored = self.run_agreement(
+                folder, read_record, may_found=not may_found, founders=["10.0.0.9:1"]
+            )
+            self.assertEqual(restored, (may_found, ["10.0.0.1:1"]))
 
-    def test_a_voter_tells_how_long_its_leases_to_a_dropped_member_last(self):
-        refs = [CoreRef(core_id=name, addr=f"10.0.0.{at + 2}:1") for at, name in enumerate("bc")]
+    def test_a_voter_reports_how_long_the_lease_of_a_dropped_member_lasts(self):
+        refs = [
+            CoreRef(core_id=name, addr=f"10.0.0.{index + 2}:1") for index, name in enumerate("bc")
+        ]
 
         async def act(agreement):
             me = CoreRef(core_id=agreement.core_id, addr="10.0.0.1:1")
             await asyncio.sleep(5)
             await agreement.learn(View(number=1, members=[me, *refs], voters=[me, *refs]))
-            never = (
+            without_grant = (
                 await agreement.on_accept(
                     Accept(slot=2, ballot=1, view=View(number=2, members=[me, refs[0]])), ""
                 )
@@ -62,7 +66,7 @@
             agreement.slot.accepted = None
             agreement.on_lease_ask(ViewLeaseAsk(number=1, core_id="c"), "")
             await asyncio.sleep(1)
-            got = [
+            after_grant = [
                 (
                     await agreement.on_accept(
                         Accept(slot=2, ballot=ballot, view=View(number=2, members=members)), ""
@@ -70,13 +74,13 @@
                 ).left_ms
                 for ballot, members in ((2, [me, refs[0]]), (3, [me, refs[1]]))
             ]
-            return never, *got
+            return without_grant, *after_grant
 
-        never, given, other = self.ask(SimFolder(), act)
-        self.assertEqual((never, other), (0, 0))
-        self.assertAlmostEqual(given, 1100, delta=2)
+        without_grant, granted_ms, other_ms = self.run_agreement(SimFolder(), act)
+        self.assertEqual((without_grant, other_ms), (0, 0))
+        self.assertAlmostEqual(granted_ms, 1100, delta=2)
 
-    def test_a_view_that_drops_soon_after_another_waits_out_the_leases_of_both(self):
+    def test_a_view_that_drops_members_soon_after_another_waits_for_the_leases_of_both(self):
         refs = [CoreRef(core_id=name, addr=f"{name}:1") for name in "abcd"]
 
         async def act(agreement):
@@ -93,4 +97,4 @@
                 await asyncio.sleep(pause_s)
             return waits
 
-        self.assertEqual(self.ask(SimFolder(), act)[2:], [1.6, 0.1])
+        self.assertEqual(self.run_agreement(SimFolder(), act)[2:], [1.6, 0.1])
--- a/tests/chain/test_nudges.py
+++ b/tests/chain/test_nudges.py
@@ -1,4 +1,4 @@
-"""A change is announced to each router once."""
+"""Tests of the notifications that tell routers about a newer configuration."""
 
 import unittest
 
@@ -6,24 +6,24 @@
 from swiftdeck.wire.messages import ConfigChanged
 
 
-class NudgesTest(unittest.TestCase):
-    def test_each_router_is_told_of_a_version_once(self):
+class ConfigChangedTest(unittest.TestCase):
+    def test_each_router_is_notified_of_a_version_once(self):
         cluster = SimCluster(4, routers=6).start()
-        told = []
+        notifications = []
         for name in cluster.core_names():
-            mesh, tell = cluster.up[name].mesh, cluster.up[name].mesh.send
-            mesh.send = lambda addr, message, tell=tell: (
-                told.append((addr, message.version))
+            mesh, send = cluster.up[name].mesh, cluster.up[name].mesh.send
+            mesh.send = lambda addr, message, send=send: (
+                notifications.append((addr, message.version))
                 if isinstance(message, ConfigChanged)
                 else None,
-                tell(addr, message),
+                send(addr, message),
             )
         for cap in (5, 6, 7):
             self.assertEqual(
                 cluster.change("PATCH", {"models": {cluster.site.model: {"cap": cap}}})[0], 200
             )
-        self.assertEqual(len(told), len(set(told)))
-        self.assertEqual(len(told), 18)
+        self.assertEqual(len(notifications), len(set(notifications)))
+        self.assertEqual(len(notifications), 18)
         self.assertEqual(
             {cluster.up[name].lease.held.version for name in cluster.router_names()},
             {cluster.version},
--- a/tests/chain/test_outcomes.py
+++ b/tests/chain/test_outcomes.py
@@ -16,8 +16,8 @@
 )
 
 
-def order(number, base, note=""):
-    """A change that an operator makes on a number."""
+def edition_change(number, base, note=""):
+    """Return an operator's change of edition `base` to edition `number`."""
     edition = {"operator": {"told": {"note": {note: [{"name": note}]}}}}
     return {
         "t": "config",
@@ -31,66 +31,72 @@
 
 
 class OutcomesTest(unittest.TestCase):
-    def take(self, state, change):
-        """What a head says to a change: None when it was made already, a fault, or its entry."""
-        got = state.examine(change)
-        if got is not None and not is_fault(got):
-            state.apply(msgspec.msgpack.decode(msgspec.msgpack.encode(got)))
-        return got
+    def propose(self, state, change):
+        """Propose a change to a head; return its entry, None if it was made already, or a fault."""
+        response = state.examine(change)
+        if response is not None and not is_fault(response):
+            state.apply(msgspec.msgpack.decode(msgspec.msgpack.encode(response)))
+        return response
 
     def state_after(self, count):
         state = ChainState()
         for number in range(1, count + 1):
-            self.take(state, order(2 * number, 2 * number - 2))
+            self.propose(state, edition_change(2 * number, 2 * number - 2))
         return state
 
-    def test_an_order_sent_again_ten_thousand_changes_later_was_taken_and_another_has_lost(self):
+    def test_a_change_repeated_ten_thousand_changes_later_is_recognized(self):
         state = self.state_after(10001)
         copied = ChainState()
         copied.from_bytes(state.to_bytes())
-        for each in (state, copied):
-            self.assertIsNone(self.take(each, order(2, 0)))
-            self.assertEqual(self.take(each, order(3, 2)).code, VERSION_CONFLICT.code)
-            self.assertEqual(each.outcomes.find(order(2, 0)["id"]).version, 1)
-            reused = order(2, 0) | {"document": {"edition": {"operator": {}}}}
-            self.assertEqual(self.take(each, reused).code, CHANGE_ID_REUSED.code)
+        for replica in (state, copied):
+            self.assertIsNone(self.propose(replica, edition_change(2, 0)))
+            self.assertEqual(
+                self.propose(replica, edition_change(3, 2)).code, VERSION_CONFLICT.code
+            )
+            self.assertEqual(replica.outcomes.find(edition_change(2, 0)["id"]).version, 1)
+            reused = edition_change(2, 0) | {"document": {"edition": {"operator": {}}}}
+            self.assertEqual(self.propose(replica, reused).code, CHANGE_ID_REUSED.code)
         self.assertEqual(copied.to_bytes(), state.to_bytes())
         with mock.patch.object(outcomes, "OLDER_KEPT", 0):
             self.assertEqual(
-                self.take(self.state_after(5001), order(2, 0)).code, CHANGE_FORGOTTEN.code
+                self.propose(self.state_after(5001), edition_change(2, 0)).code,
+                CHANGE_FORGOTTEN.code,
             )
 
     @mock.patch.object(outcomes, "CHANGES_KEPT", 5)
     @mock.patch.object(outcomes, "OLDER_KEPT", 10)
-    def test_what_may_be_forgotten_is_never_refused_and_what_cannot_be_is(self):
+    def test_changes_that_may_be_forgotten_are_undecided_and_newer_ones_refused(self):
         state = self.state_after(30)
         self.assertEqual((len(state.stored.changes), len(state.stored.older)), (5, 10))
         self.assertEqual(state.outcomes.horizon(), outcomes.Horizon(15, 30))
-        said = {
-            number: self.take(state, order(2 * number, 2 * number - 2)) for number in range(1, 31)
+        responses = {
+            number: self.propose(state, edition_change(2 * number, 2 * number - 2))
+            for number in range(1, 31)
         }
-        self.assertEqual({said[number].code for number in range(1, 16)}, {CHANGE_FORGOTTEN.code})
-        self.assertEqual({said[number] for number in range(16, 31)}, {None})
-        self.assertEqual(self.take(state, order(31, 28)).code, VERSION_CONFLICT.code)
-        self.assertEqual(self.take(state, order(30, 60)).code, INVALID_CONFIG.code)
+        self.assertEqual(
+            {responses[number].code for number in range(1, 16)}, {CHANGE_FORGOTTEN.code}
+        )
+        self.assertEqual({responses[number] for number in range(16, 31)}, {None})
+        self.assertEqual(self.propose(state, edition_change(31, 28)).code, VERSION_CONFLICT.code)
+        self.assertEqual(self.propose(state, edition_change(30, 60)).code, INVALID_CONFIG.code)
         own = {"t": "config", "op": "patch", "document": {}}
         self.assertEqual(
-            self.take(state, own | {"id": "a", "base": 14}).code, CHANGE_FORGOTTEN.code
+            self.propose(state, own | {"id": "a", "base": 14}).code, CHANGE_FORGOTTEN.code
         )
         self.assertEqual(
-            self.take(state, own | {"id": "b", "base": 15}).code, VERSION_CONFLICT.code
+            self.propose(state, own | {"id": "b", "base": 15}).code, VERSION_CONFLICT.code
         )
 
     @mock.patch.object(outcomes, "CHANGES_KEPT", 1)
-    def test_a_row_of_an_earlier_form_is_kept_on(self):
+    def test_a_row_of_an_earlier_format_is_kept(self):
         state = self.state_after(1)
         state.stored.changes = {"old": [1, "d", "author"]}
-        self.take(state, order(4, 2))
+        self.propose(state, edition_change(4, 2))
         self.assertEqual(state.outcomes.find("old"), outcomes.Outcome(1, "d"))
 
 
 class SizeTest(unittest.TestCase):
-    def test_a_hundred_thousand_old_outcomes_fit_a_small_core(self):
+    def test_a_hundred_thousand_old_outcomes_stay_below_7_mib(self):
         state = ChainState()
         for number in range(outcomes.CHANGES_KEPT + outcomes.OLDER_KEPT + 10):
             state.outcomes.record(f"patch-{number:064x}", number, f"{number:064x}", "patch", number)
--- a/tests/chain/test_state.py
+++ b/tests/chain/test_state.py
@@ -9,11 +9,11 @@
 
 
 class ChainStateTest(unittest.TestCase):
-    def test_a_claim_is_remembered_for_a_whole_day(self):
+    def test_a_claim_is_kept_for_a_whole_day(self):
         state, day = ChainState(), 24 * 3600 * 1000
 
-        def batch(name, elapsedMs, *ops):
-            state.apply({"t": "claims", "id": name, "elapsedMs": elapsedMs, "ops": list(ops)})
+        def batch(name, elapsed_ms, *ops):
+            state.apply({"t": "claims", "id": name, "elapsedMs": elapsed_ms, "ops": list(ops)})
             return state.stored.batches[name]
 
         batch(
@@ -32,61 +32,64 @@
             batch("5", 0, ["over", "r2", "d", CLAIM], ["held", "r2", "d", CLAIM]), ["", ""]
         )
 
-    def change(self, state, **fields):
+    def propose(self, state, **fields):
         entry = state.examine({"t": "config", "op": "put", "author": "x"} | fields)
         if entry and not is_fault(entry):
             state.apply(entry)
         return entry
 
-    def test_changes_build_on_versions_and_ids_count_once(self):
+    def test_changes_are_based_on_versions_and_ids_are_used_once(self):
         state = ChainState()
-        whole = {"models": {"m": {"weights": "w1"}}}
-        self.assertEqual(self.change(state, id="a", base=0, document=whole)["version"], 1)
-        self.assertIsNone(self.change(state, id="a", base=0, document=whole))
+        document = {"models": {"m": {"weights": "w1"}}}
+        self.assertEqual(self.propose(state, id="a", base=0, document=document)["version"], 1)
+        self.assertIsNone(self.propose(state, id="a", base=0, document=document))
         self.assertEqual(
-            self.change(state, id="a", base=1, document=whole).code, CHANGE_ID_REUSED.code
+            self.propose(state, id="a", base=1, document=document).code, CHANGE_ID_REUSED.code
         )
         self.assertEqual(
-            self.change(state, id="b", base=0, document=whole).code, VERSION_CONFLICT.code
+            self.propose(state, id="b", base=0, document=document).code, VERSION_CONFLICT.code
         )
         self.assertEqual(
-            self.change(
+            self.propose(
                 state, id="c", base=1, op="patch", document={"models": {"m": {"cap": "x"}}}
             ).code,
             INVALID_CONFIG.code,
         )
-        self.change(
+        self.propose(
             state, id="d", base=1, op="patch", document={"models": {"m": {"weights": "w2"}}}
         )
-        copy = ChainState()
-        copy.from_bytes(state.to_bytes())
-        self.assertEqual((copy.stored.version, copy.config.document.models["m"].weights), (2, "w2"))
+        copied = ChainState()
+        copied.from_bytes(state.to_bytes())
         self.assertEqual(
-            (copy.config.digest(), copy.to_bytes()), (state.config.digest(), state.to_bytes())
+            (copied.stored.version, copied.config.document.models["m"].weights), (2, "w2")
         )
-        first = state.deltas_since(1, ChainState().config.digest())
-        self.assertIsNone(first)
-        old = ChainState()
-        old.apply(
+        self.assertEqual(
+            (copied.config.digest(), copied.to_bytes()), (state.config.digest(), state.to_bytes())
+        )
+        missing = state.deltas_since(1, ChainState().config.digest())
+        self.assertIsNone(missing)
+        earlier_format = ChainState()
+        earlier_format.apply(
             {
                 "t": "config",
                 "id": "a",
                 "version": 1,
                 "digest": "d",
                 "author": "x",
-                "document": msgspec.json.encode(whole),
+                "document": msgspec.json.encode(document),
             }
         )
-        last = state.deltas_since(1, old.config.digest())
+        deltas = state.deltas_since(1, earlier_format.config.digest())
         self.assertEqual(
-            old.config.apply(msgspec.msgpack.decode(last[0])).digest(), state.config.digest()
+            earlier_format.config.apply(msgspec.msgpack.decode(deltas[0])).digest(),
+            state.config.digest(),
         )
 
-    def test_a_claim_is_held_by_one_run_until_its_time_is_counted_out(self):
+    def test_a_claim_is_held_by_one_run_until_it_expires(self):
         state = ChainState(keepMs=100, claimsMost=2)
 
-        def batch(name, elapsedMs, *ops):
-            state.apply({"t": "claims", "id": name, "elapsedMs": elapsedMs, "ops": list(ops)})
+        def batch(name, elapsed_ms, *ops):
+            state.apply({"t": "claims", "id": name, "elapsedMs": elapsed_ms, "ops": list(ops)})
             return state.stored.batches[name]
 
         self.assertEqual(
