--- a/swiftdeck/chain/chain.py
+++ b/swiftdeck/chain/chain.py
@@ -42,7 +42,7 @@
     WriteReturn,
 )
 
-REPLICATE_ENTRIES, REPLICATE_BYTES, KEPT_ENTRIES = 256, 4 << 20, 4096
+MAX_BATCH_ENTRIES, MAX_BATCH_BYTES, MAX_KEPT_ENTRIES = 256, 4 << 20, 4096
 COMMIT_WAIT_MS, COMMIT_ASK_MS = 600, 800
 
 
@@ -73,7 +73,7 @@
         tail_view: The view in which this member was last a caught-up tail, or 0.
         next_member_serial: The last serial of the next member, None until it has responded in this view.
         complete_in: The view whose forming makes a partial copy complete, or 0.
-        must_compare: Whether this member has to compare its log with its neighbor's before it serves.
+        must_compare: Whether this member's log has to be compared with a neighbour's before it serves.
     """
 
     def __init__(
@@ -186,9 +186,9 @@
 
     def _serve_if_complete(self):
         if self.agreement.position() == 0 and not (self.must_compare or self.lacks_entries()):
-            self._become_whole()
+            self._mark_caught_up()
 
-    def _become_whole(self):
+    def _mark_caught_up(self):
         view = self.agreement.decided.number
         if self.caught_up_view != view:
             stays_tail = self.is_last() and self.tail_view == self.caught_up_view == view - 1 > 0
@@ -275,7 +275,7 @@
             )
         self.serial = serial
         self.entries[serial] = body
-        while len(self.entries) > KEPT_ENTRIES:
+        while len(self.entries) > MAX_KEPT_ENTRIES:
             del self.entries[next(iter(self.entries))]
 
     def _tolerates_losses(self, view):
@@ -526,8 +526,8 @@
         for serial in range(start_serial + 1, last_serial + 1):
             if (
                 serial not in self.entries
-                or len(entries) >= REPLICATE_ENTRIES
-                or size > REPLICATE_BYTES
+                or len(entries) >= MAX_BATCH_ENTRIES
+                or size > MAX_BATCH_BYTES
             ):
                 break
             entries.append(ChainEntry(serial=serial, body=self.entries[serial]))
@@ -562,7 +562,7 @@
         """Start serving as head: the next member has nothing more, so this one has all that the chain had before the view."""
         if await self.owner.send(self._persist_complete) and view is self.agreement.decided:
             self.must_compare = False
-            self._become_whole()
+            self._mark_caught_up()
 
     async def on_replicate(self, ask, sender):
         return await self.owner.send(self._handle_replicate, ask, sender)
@@ -589,7 +589,7 @@
             return self.fault
         if is_level:
             self.must_compare = False
-            self._become_whole()
+            self._mark_caught_up()
         if self.is_whole():
             self._record_durable_version()
         self.wake_replication.set()
--- a/swiftdeck/chain/state_transfer.py
+++ b/swiftdeck/chain/state_transfer.py
@@ -20,12 +20,12 @@
 )
 from swiftdeck.wire.messages import ChainEntry, CopyAsk, CopyReturn, LogAsk, LogReturn
 
-BATCH_BYTES, FIRST_BATCH_BYTES, LEAST_BATCH_BYTES, ASK_MS = 256 << 10, 16 << 10, 4 << 10, 2000
-QUICK_S, LONG_S = 0.25, 0.75
+MAX_BATCH_BYTES, FIRST_BATCH_BYTES, MIN_BATCH_BYTES, ASK_MS = 256 << 10, 16 << 10, 4 << 10, 2000
+FAST_RESPONSE_S, SLOW_RESPONSE_S = 0.25, 0.75
 ATTEMPT_S = 5.0
 """How long one attempt may last; the next one resumes the transfer."""
-KEPT_SNAPSHOTS, SHARED_S = 3, 2.0
-COMPRESSION = 1
+MAX_SNAPSHOTS, SNAPSHOT_SHARE_S = 3, 2.0
+COMPRESSION_LEVEL = 1
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
             if is_fault(snapshot):
                 return snapshot
         offset = ask.offset if snapshot.digest == ask.digest else 0
-        batch_bytes = min(max(ask.most, LEAST_BATCH_BYTES), BATCH_BYTES)
+        batch_bytes = min(max(ask.most, MIN_BATCH_BYTES), MAX_BATCH_BYTES)
         batch = snapshot.data[offset : offset + batch_bytes]
         self.chain.telemetry.count["copyBytesSent"] += len(batch)
         return CopyReturn(
@@ -99,12 +99,12 @@
         shareable = self._shareable_snapshot()
         if shareable is not None and not is_member:
             return shareable
-        data = zlib.compress(chain.state.to_bytes(), COMPRESSION)
+        data = zlib.compress(chain.state.to_bytes(), COMPRESSION_LEVEL)
         digest = hashlib.sha256(data).digest()[:16]
         snapshot = Snapshot(chain.serial, view.number, data, digest, chain.loop.time())
         self.snapshots.pop(digest, None)
         self.snapshots[digest] = snapshot
-        while len(self.snapshots) > KEPT_SNAPSHOTS:
+        while len(self.snapshots) > MAX_SNAPSHOTS:
             del self.snapshots[next(iter(self.snapshots))]
         return snapshot
 
@@ -119,7 +119,7 @@
     def _shareable_snapshot(self):
         """Return a recent snapshot that the log continues from, for several joining cores to share, or None."""
         newest = next(reversed(self.snapshots.values()), None)
-        if newest is None or self.chain.loop.time() - newest.made_s > SHARED_S:
+        if newest is None or self.chain.loop.time() - newest.made_s > SNAPSHOT_SHARE_S:
             return None
         is_followed = newest.serial == self.chain.serial or newest.serial + 1 in self.chain.entries
         return newest if is_followed else None
@@ -135,12 +135,12 @@
             return NOT_TAIL
         entries, size = [], 0
         for serial in range(ask.serial + 1, chain.synced + 1):
-            if serial not in chain.entries or size > BATCH_BYTES:
+            if serial not in chain.entries or size > MAX_BATCH_BYTES:
                 break
             entries.append(ChainEntry(serial=serial, body=chain.entries[serial]))
             size += len(chain.entries[serial])
-        is_gap = ask.serial > chain.synced or ask.serial < chain.synced and not entries
-        return MISSING_ENTRIES if is_gap else LogReturn(entries=entries, last=chain.synced)
+        is_missing = ask.serial > chain.synced or ask.serial < chain.synced and not entries
+        return MISSING_ENTRIES if is_missing else LogReturn(entries=entries, last=chain.synced)
 
     async def catch_up(self, addr, view):
         """Catch up with a tail: by its log where the state here was copied from a tail already, else by a copy first.
@@ -234,21 +234,21 @@
             else CORRUPT_RECORD.with_reason("an empty batch")
         )
 
-    def _adapt_batch(self, took_s):
+    def _adapt_batch(self, response_s):
         """Double the batch size after a fast response and halve it after a slow one, within the bounds."""
-        if took_s < QUICK_S:
-            self.batch_bytes = min(BATCH_BYTES, self.batch_bytes * 2)
-        elif took_s > LONG_S:
-            self.batch_bytes = max(LEAST_BATCH_BYTES, self.batch_bytes // 2)
+        if response_s < FAST_RESPONSE_S:
+            self.batch_bytes = min(MAX_BATCH_BYTES, self.batch_bytes * 2)
+        elif response_s > SLOW_RESPONSE_S:
+            self.batch_bytes = max(MIN_BATCH_BYTES, self.batch_bytes // 2)
 
     async def _install(self, received):
         chain = self.chain
         try:
             data = zlib.decompress(received.data)
-            fresh = ChainState(chain.state.keepMs, chain.state.claimsMost)
-            fresh.on_config = chain.state.on_config
-            fresh.from_bytes(data)
+            new_state = ChainState(chain.state.keepMs, chain.state.claimsMost)
+            new_state.on_config = chain.state.on_config
+            new_state.from_bytes(data)
         except (msgspec.DecodeError, zlib.error) as error:
             return CORRUPT_RECORD.with_reason(error)
-        fault = await chain.replace_state(fresh, received.serial, data)
+        fault = await chain.replace_state(new_state, received.serial, data)
         return received if fault is None else fault
--- a/swiftdeck/chain/view_manager.py
+++ b/swiftdeck/chain/view_manager.py
@@ -263,7 +263,7 @@
         self.faulty_since_s = {
             core_id: self.faulty_since_s.get(core_id, now_s) for core_id in faulty
         }
-        silent = {
+        unreachable = {
             core_id: since_s
             for core_id, since_s in self.silent_since_s.items()
             if core_id in ids(view.members) and self._is_unreachable(core_id)
@@ -277,7 +277,7 @@
             }
             | {
                 core_id
-                for core_id, since_s in silent.items()
+                for core_id, since_s in unreachable.items()
                 if now_s - since_s > SILENT_S + RANK_S * rank
             }
         )
@@ -356,5 +356,9 @@
             *ids(view.members),
             *(each.core_id for each in self.membership.alive("core")),
         }
-        lost = same_core or [each for each in view.voters if each.core_id not in present]
-        return [ref if each is lost[0] else each for each in view.voters] if lost else None
+        replaceable = same_core or [each for each in view.voters if each.core_id not in present]
+        return (
+            [ref if each is replaceable[0] else each for each in view.voters]
+            if replaceable
+            else None
+        )
