--- a/tests/chain/test_state.py
+++ b/tests/chain/test_state.py
@@ -9,7 +9,7 @@
 
 
 class ChainStateTest(unittest.TestCase):
-    def test_a_claim_is_kept_for_a_whole_day(self):
+    def test_a_claim_is_remembered_for_a_whole_day(self):
         state, day = ChainState(), 24 * 3600 * 1000
 
         def batch(name, elapsed_ms, *ops):
