--- a/swiftdeck/chain/view_manager.py
+++ b/swiftdeck/chain/view_manager.py
@@ -346,19 +346,19 @@
         It replaces the voter with its own id or address; else it is added while there are fewer than
         2 * losses_borne + 1 voters; else it replaces a voter that is lost.
         """
-        same_core = [each for each in view.voters if each.core_id == ref.core_id] or [
-            each for each in view.voters if each.addr == ref.addr
+        same_core = [voter for voter in view.voters if voter.core_id == ref.core_id] or [
+            voter for voter in view.voters if voter.addr == ref.addr
         ]
         if not same_core and len(view.voters) < 2 * self.losses_borne + 1:
             return [*view.voters, ref]
         present = {
             *self._reachable_ids(),
             *ids(view.members),
-            *(each.core_id for each in self.membership.alive("core")),
+            *(member.core_id for member in self.membership.alive("core")),
         }
-        replaceable = same_core or [each for each in view.voters if each.core_id not in present]
+        replaceable = same_core or [voter for voter in view.voters if voter.core_id not in present]
         return (
-            [ref if each is replaceable[0] else each for each in view.voters]
+            [ref if voter is replaceable[0] else voter for voter in view.voters]
             if replaceable
             else None
         )
