--- a/tests/gateway/cases/orders.py
+++ b/tests/gateway/cases/orders.py
@@ -19,7 +19,7 @@
 FIRST = 3
 
 
-def early_refusal(self, change, take_one=Chain._take_one):
+def early_refusal(self, change, take_one=Chain._process_change):
     """A refusal that waits for nothing."""
     got = take_one(self, change)
     return got.fault if isinstance(got, Refusal) else got
@@ -177,7 +177,7 @@
     def test_no_order_is_refused_for_one_that_goes_with_the_power(self):
         self.assertEqual(self.orders_at_a_head_whose_disk_hangs(), [])
         self.assert_falls_without(
-            mock.patch.object(Chain, "_take_one", early_refusal),
+            mock.patch.object(Chain, "_process_change", early_refusal),
             self.orders_at_a_head_whose_disk_hangs,
         )
 
@@ -226,13 +226,13 @@
         for seed, cores in ((3, 3), (4, 5)):
             self.assertEqual(self.chain_of_orders(seed, cores), [])
 
-        def refuses_what_is_ahead(self, edition, base, outpaced=ChainState._outpaced_edition):
+        def refuses_what_is_ahead(self, edition, base, outpaced=ChainState._check_base_edition):
             got = outpaced(self, edition, base)
             is_ahead = is_fault(got) and got.code == BASE_VERSION_AHEAD.code
             return VERSION_CONFLICT_FAULT if is_ahead else got
 
         self.assert_falls_without(
-            mock.patch.object(ChainState, "_outpaced_edition", refuses_what_is_ahead),
+            mock.patch.object(ChainState, "_check_base_edition", refuses_what_is_ahead),
             self.chain_of_orders,
         )
 
