--- a/swiftdeck/traffic/fair_queue.py
+++ b/swiftdeck/traffic/fair_queue.py
@@ -1,4 +1,4 @@
-"""A waiting line that serves tenants in turn, first come first served within each."""
+"""A queue that serves tenants round robin, and the calls of a tenant in order of waiting."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -8,10 +8,10 @@
 
 @attrs.define(eq=False)
 class QueuedCall:
-    """A call that waits to begin a conversation.
+    """A call that waits to start a conversation.
 
-    `ask` is the newest message that asked for it, `done` the future that takes the answer to it,
-    `since_s` when the wait began, and `sender` and `seen_s` say who asked last, and when.
+    `ask` is the call's newest request, `done` the future that takes the answer to it. `since_s` is
+    when the wait began; `sender` and `seen_s` are the sender and time of the newest request.
     """
 
     tenant: str
@@ -22,12 +22,15 @@
     seen_s: float = 0.0
 
     def is_asking(self) -> bool:
-        """Whether its router has a question open, to which a grant can be given."""
+        """Whether its router has an unanswered request, which a grant can answer."""
         return not self.done.done()
 
 
 class FairQueue:
-    """Calls that wait for one worker."""
+    """The calls that wait for one worker.
+
+    `tenants` has the queue of each tenant, in the order in which they are served next.
+    """
 
     def __init__(self):
         self.tenants: dict[str, deque[QueuedCall]] = {}
@@ -36,35 +39,40 @@
         return sum(len(queue) for queue in self.tenants.values())
 
     def __iter__(self) -> Iterator[QueuedCall]:
-        return (waiting for queue in list(self.tenants.values()) for waiting in list(queue))
+        return (queued_call for queue in list(self.tenants.values()) for queued_call in list(queue))
 
-    def add(self, waiting: QueuedCall):
-        """Stand in the tenant's queue, behind all that have waited as long."""
-        queue = self.tenants.get(waiting.tenant)
+    def add(self, queued_call: QueuedCall):
+        """Add a call to its tenant's queue, behind all that have waited as long or longer."""
+        queue = self.tenants.get(queued_call.tenant)
         if queue is None:
-            return self._add_tenant(waiting)
-        queue.append(waiting)
-        if queue[-2].since_s > waiting.since_s:
+            return self._add_tenant(queued_call)
+        queue.append(queued_call)
+        if queue[-2].since_s > queued_call.since_s:
             in_order = sorted(queue, key=lambda other: other.since_s)
-            self.tenants[waiting.tenant] = deque(in_order)
+            self.tenants[queued_call.tenant] = deque(in_order)
 
-    def _add_tenant(self, waiting: QueuedCall):
-        """Put a tenant before those whose first has waited less, as after a change of coordinator.
+    def _add_tenant(self, queued_call: QueuedCall):
+        """Insert a tenant before those whose first call has waited for a shorter time.
 
-        There calls ask again in any order; who came early then must not pass who waited longer.
+        After a change of coordinator calls ask again in any order, and one that happens to ask
+        early must not overtake one that has waited longer.
         """
-        order = list(self.tenants.items())
-        later = (at for at, (_, queue) in enumerate(order) if queue[0].since_s > waiting.since_s)
-        place = next(later, len(order))
-        order.insert(place, (waiting.tenant, deque([waiting])))
-        self.tenants = dict(order)
+        tenants = list(self.tenants.items())
+        later_positions = (
+            index
+            for index, (_, queue) in enumerate(tenants)
+            if queue[0].since_s > queued_call.since_s
+        )
+        position = next(later_positions, len(tenants))
+        tenants.insert(position, (queued_call.tenant, deque([queued_call])))
+        self.tenants = dict(tenants)
 
     def first(self) -> QueuedCall | None:
-        """Return the next to begin, or None."""
+        """Return the call that is served next, or None."""
         return next((queue[0] for queue in self.tenants.values()), None)
 
     def take(self) -> QueuedCall:
-        """Take the next out; its tenant then goes behind the others."""
+        """Remove and return the next call; its tenant moves behind the others."""
         tenant = next(iter(self.tenants))
         queue = self.tenants.pop(tenant)
         first = queue.popleft()
@@ -72,10 +80,10 @@
             self.tenants[tenant] = queue
         return first
 
-    def remove(self, waiting: QueuedCall):
-        """Leave the line."""
-        queue = self.tenants.get(waiting.tenant)
-        if queue and waiting in queue:
-            queue.remove(waiting)
+    def remove(self, queued_call: QueuedCall):
+        """Remove a call if it is queued."""
+        queue = self.tenants.get(queued_call.tenant)
+        if queue and queued_call in queue:
+            queue.remove(queued_call)
             if not queue:
-                del self.tenants[waiting.tenant]
+                del self.tenants[queued_call.tenant]
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -114,7 +114,7 @@
             (AttemptEnd, self.on_attempt_end, False),
             (GrantDrop, self.on_grant_drop, False),
             (OpenAsk, self.on_open_ask, False),
-            (CallRenewal, self.on_hold, False),
+            (CallRenewal, self.on_call_renewal, False),
         ):
             self.mesh.register(kind, handler, is_bound)
 
@@ -302,10 +302,10 @@
         coordinator = self.coordinators.get(drop.model)
         return coordinator.on_grant_drop(drop, sender) if coordinator else None
 
-    async def on_hold(self, hold, sender):
+    async def on_call_renewal(self, hold, sender):
         """Renew what a router holds, if this process coordinates the model."""
         coordinator = self.coordinators.get(hold.model)
-        return await coordinator.on_hold(hold, sender) if coordinator else NOT_COORDINATOR
+        return await coordinator.on_call_renewal(hold, sender) if coordinator else NOT_COORDINATOR
 
     def on_open_ask(self, ask, sender):
         """A new coordinator gathers: what runs here, and what ran here a short while ago."""
@@ -351,7 +351,7 @@
             heard_ms=heard.stamp_ms if heard.term == coordinator[0] else 0,
         )
         got = await (
-            self.on_hold(hold, self.me.addr)
+            self.on_call_renewal(hold, self.me.addr)
             if coordinator[1] == self.me.addr
             else self.mesh.request(coordinator[1], hold, 1000)
         )
--- a/swiftdeck/traffic/slot_table.py
+++ b/swiftdeck/traffic/slot_table.py
@@ -1,4 +1,4 @@
-"""The admission books of one model: who is open where, and which conversation a prompt extends."""
+"""The slot table of one model: its open conversations, their workers and running attempts."""
 
 import asyncio
 import typing
@@ -8,11 +8,11 @@
 from swiftdeck.traffic.worker_slots import Conversation, RunningAttempt, WorkerSlots
 
 SHUN_S = 2.0
-"""How long a worker that could not be reached gets no starts."""
+"""How long no conversation is started at a worker that could not be reached."""
 
 
 class Coordinator(typing.Protocol):
-    """What the parts of an admission coordinator ask of it."""
+    """What the components of an admission coordinator use of it."""
 
     model: str
     term: int
@@ -21,7 +21,7 @@
         """Return the model's entry in the configuration held, or None."""
 
     def is_ready(self) -> bool:
-        """Whether starts may be granted, all routers having been asked."""
+        """Whether conversations may be started, all routers having been asked for theirs."""
 
     def listed_workers(self) -> list:
         """Return the listed workers of the model."""
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class RunningCall:
-    """An attempt that runs, with its call and its conversation."""
+    """A running attempt with its call and conversation."""
 
     conversation: Conversation
     call: str
@@ -37,11 +37,11 @@
 
 
 class SlotTable:
-    """Owner of the books: the other parts read them, and change them only by its commands.
+    """Owns the slots of all workers; other components may read them but change them only by it.
 
-    `table` has the book of each worker by its name, `conversations` those that are open by their
-    name. `by_last` finds the names of conversations by a tenant and the digest of a prompt, and
-    `routers` has the time until which the slots of each router are held for it, by its address.
+    `table` has the slots of each worker by its name, and `conversations` the open conversations by
+    their name. `names_by_digest` has the names of conversations by tenant and digest of a prompt.
+    `router_lease_ends_s` has the time until which the slots of a router are held, by its address.
     """
 
     def __init__(self, coordinator: Coordinator, telemetry, decisions, hold_lease_ms=3000):
@@ -51,44 +51,44 @@
         self.clear()
 
     def clear(self):
-        """Begin with empty books."""
+        """Forget all slots and conversations."""
         self.table: dict[str, WorkerSlots] = {}
         self.conversations: dict[str, Conversation] = {}
-        self.by_last: dict[tuple[str, bytes], set[str]] = {}
-        self.routers: dict[str, float] = {}
+        self.names_by_digest: dict[tuple[str, bytes], set[str]] = {}
+        self.router_lease_ends_s: dict[str, float] = {}
 
-    def of(self, worker: str) -> WorkerSlots:
-        """Return the book of a worker, a new one if it has none."""
+    def slots_of(self, worker: str) -> WorkerSlots:
+        """Return the slots of a worker, which are created on first use."""
         if worker not in self.table:
             self.table[worker] = WorkerSlots(worker, self._first_cap())
         return self.table[worker]
 
     def _first_cap(self) -> int:
-        """Return the cap that a new book begins with: the least one where it adapts."""
+        """Return the initial cap of a worker: the lower limit where caps adapt."""
         config = self.coordinator.config()
         if config is None:
             return 1
         return config.capLeast if config.adapts else config.cap
 
-    def all(self) -> list[WorkerSlots]:
-        """Return the books as they are now, safe to change meanwhile."""
+    def all_slots(self) -> list[WorkerSlots]:
+        """Return the slots of all workers in a copy, so that the table may change meanwhile."""
         return list(self.table.values())
 
     def open(self, conversation: Conversation):
-        """Enter a new conversation."""
+        """Add a new conversation and take a slot at its worker."""
         self.conversations[conversation.name] = conversation
-        self.of(conversation.worker).entry(conversation)
+        self.slots_of(conversation.worker).entry(conversation)
 
     def move(self, conversation: Conversation, worker: str):
-        """Enter a conversation at another worker, over the cap if need be."""
-        self.of(conversation.worker).leave(conversation)
-        self.of(worker).entry(conversation)
+        """Move a conversation to another worker, exceeding its cap if need be."""
+        self.slots_of(conversation.worker).leave(conversation)
+        self.slots_of(worker).entry(conversation)
 
     def adopt(self, reported, router: str, idle_floor_s: float):
-        """Take over what a router reports of a conversation that it serves or served.
+        """Merge a router's report of a conversation that it serves or served.
 
         `reported` is an OpenConversation; `idle_floor_s` is the earliest time since which the
-        conversation counts as idle. Of reports that name different workers the newest stands.
+        conversation counts as idle. Where reports name different workers, the newest wins.
         """
         now_s = self.loop.time()
         idle_since_s = max(now_s - reported.idle_ms / 1000, idle_floor_s)
@@ -101,13 +101,13 @@
         conversation.parts = max(conversation.parts, reported.parts)
         conversation.turns = max(conversation.turns, reported.turns)
         conversation.idle_since_s = max(conversation.idle_since_s, idle_since_s)
-        self.remember(conversation, reported.last)
+        self.add_prompt_digest(conversation, reported.last)
         if reported.call and reported.is_sent:
             conversation.running[reported.call] = RunningAttempt(router, now_s, reported.attempt)
             self.renew_router(router)
 
     def _open_reported(self, reported, idle_since_s: float) -> Conversation:
-        """Enter a conversation that only a router knew of."""
+        """Add a conversation that is known only from a router's report."""
         conversation = Conversation(
             reported.conversation,
             reported.tenant,
@@ -119,56 +119,56 @@
         self.open(conversation)
         return conversation
 
-    def attempt_granted(self, conversation: Conversation, ask, router: str) -> bool:
-        """Count a granted attempt; returns whether its call is a new one."""
+    def record_grant(self, conversation: Conversation, ask, router: str) -> bool:
+        """Record a granted attempt; return whether it is the first grant of its call."""
         is_new = ask.attempt <= 1 and not ask.was_granted and ask.call not in conversation.running
         conversation.running[ask.call] = RunningAttempt(router, self.loop.time(), ask.attempt)
         conversation.turns += is_new
-        self.remember(conversation, ask.talk[-1])
+        self.add_prompt_digest(conversation, ask.talk[-1])
         conversation.weights = ask.weights
         conversation.parts = max(conversation.parts, len(ask.chain))
         conversation.is_over = False
         self.renew_router(router)
         return is_new
 
-    def attempt_ended(self, conversation: Conversation, end) -> WorkerSlots:
-        """Take in an AttemptEnd, close its conversation if that ends too, and return its book.
+    def record_attempt_end(self, conversation: Conversation, end) -> WorkerSlots:
+        """Apply an AttemptEnd, close its conversation if that ends too; return the worker's slots.
 
-        One that comes after its call's next attempt was granted changes nothing.
+        One that arrives after the next attempt of its call was granted is ignored.
         """
-        book = self.of(conversation.worker)
+        slots = self.slots_of(conversation.worker)
         running = conversation.running.get(end.call)
         if running is not None and running.number > end.attempt:
             self.telemetry.count["attemptEndsLate"] += 1
-            return book
+            return slots
         conversation.is_over = conversation.is_over or end.is_over
         if end.parts and conversation.turns > 1:
-            book.returns += 1
-            book.hits += end.hits >= end.earlier
+            slots.returns += 1
+            slots.hits += end.hits >= end.earlier
         if end.never_sent and end.is_bad:
-            book.shunned_until_s = self.loop.time() + SHUN_S
+            slots.shunned_until_s = self.loop.time() + SHUN_S
         self._stop_running(conversation, end.call)
         conversation.is_served = conversation.is_served or not end.never_sent
         if conversation.running:
-            return book
+            return slots
         if not conversation.is_served:
             self.close(conversation, "never sent")
         elif conversation.is_over:
             self.close(conversation, "said so")
-        return book
+        return slots
 
     def _stop_running(self, conversation: Conversation, call: str):
-        """Take an attempt out; the conversation is idle from now on when it was the last."""
+        """Remove a running attempt; after the last one the conversation is idle."""
         attempt = conversation.running.pop(call, None)
         if attempt is not None and not conversation.running:
             conversation.idle_since_s = self.loop.time()
 
     def close(self, conversation: Conversation, why: str):
-        """End a conversation."""
-        self.of(conversation.worker).leave(conversation)
+        """Close a conversation and free its slot."""
+        self.slots_of(conversation.worker).leave(conversation)
         self.conversations.pop(conversation.name, None)
-        for last in conversation.lasts:
-            self._forget(conversation, last)
+        for digest in conversation.prompt_digests:
+            self._drop_prompt_digest(conversation, digest)
         self.telemetry.count["conversationsEnded"] += 1
         self.decisions.add(
             "end",
@@ -178,65 +178,69 @@
             turns=conversation.turns,
         )
 
-    def _forget(self, conversation: Conversation, last: bytes):
-        names = self.by_last.get((conversation.tenant, last))
+    def _drop_prompt_digest(self, conversation: Conversation, digest: bytes):
+        names = self.names_by_digest.get((conversation.tenant, digest))
         if names:
             names.discard(conversation.name)
             if not names:
-                del self.by_last[(conversation.tenant, last)]
+                del self.names_by_digest[(conversation.tenant, digest)]
 
-    def remember(self, conversation: Conversation, last: bytes):
-        """Know a conversation again by the digest of one of its prompts."""
-        if last in conversation.lasts:
+    def add_prompt_digest(self, conversation: Conversation, digest: bytes):
+        """Remember the digest of a prompt, by which later calls find the conversation.
+
+        When the limit is reached, the oldest digest is dropped.
+        """
+        if digest in conversation.prompt_digests:
             return
-        if len(conversation.lasts) == conversation.lasts.maxlen:
-            self._forget(conversation, conversation.lasts[0])
-        conversation.lasts.append(last)
-        self.by_last.setdefault((conversation.tenant, last), set()).add(conversation.name)
+        if len(conversation.prompt_digests) == conversation.prompt_digests.maxlen:
+            self._drop_prompt_digest(conversation, conversation.prompt_digests[0])
+        conversation.prompt_digests.append(digest)
+        self.names_by_digest.setdefault((conversation.tenant, digest), set()).add(conversation.name)
 
-    def continued(self, ask) -> Conversation | None:
-        """Return the open conversation that a prompt extends, under whatever weights it was begun.
+    def find_conversation(self, ask) -> Conversation | None:
+        """Return the open conversation that a prompt extends, or None; its weights may differ.
 
-        A prompt that the conversation already had extends it only when no other call of it runs:
-        two equal prompts at once are two conversations.
+        Longer prefixes of the prompt are matched first. A prompt that the conversation already had
+        matches only while no other call of the conversation runs: two equal prompts at the same
+        time are two conversations.
         """
-        for last in reversed(ask.talk):
-            for name in sorted(self.by_last.get((ask.tenant, last), ())):
+        for digest in reversed(ask.talk):
+            for name in sorted(self.names_by_digest.get((ask.tenant, digest), ())):
                 conversation = self.conversations[name]
-                is_equal = last == ask.talk[-1]
+                is_repeated = digest == ask.talk[-1]
                 is_busy = conversation.running and ask.call not in conversation.running
-                if conversation.group == ask.group and not (is_equal and is_busy):
+                if conversation.group == ask.group and not (is_repeated and is_busy):
                     return conversation
         return None
 
     def renew_router(self, router: str):
-        """Hold the slots of a router that was heard for another lease."""
-        self.routers[router] = self.loop.time() + self.hold_lease_ms / 1000
+        """Extend by a lease the time for which the slots of a router are held."""
+        self.router_lease_ends_s[router] = self.loop.time() + self.hold_lease_ms / 1000
 
     def reclaim(self):
-        """Give the slots of silent routers back."""
+        """End the running attempts of routers that did not renew within their lease."""
         now_s = self.loop.time()
-        silent = [router for router, until_s in self.routers.items() if until_s < now_s]
+        silent = [router for router, until_s in self.router_lease_ends_s.items() if until_s < now_s]
         for router in silent:
-            del self.routers[router]
-            for found in self._running_at(router):
-                self._stop_running(found.conversation, found.call)
+            del self.router_lease_ends_s[router]
+            for running_call in self._running_at(router):
+                self._stop_running(running_call.conversation, running_call.call)
                 self.telemetry.count["legsReclaimed"] += 1
 
-    def reconcile(self, router: str, calls: set[str], settled_s: float) -> set[str]:
-        """End what a router no longer runs; returns those of its calls that are not known here.
+    def reconcile(self, router: str, calls: set[str], settled_before_s: float) -> set[str]:
+        """End the attempts that a router no longer runs; return its calls that are unknown here.
 
-        An attempt that was granted at `settled_s` or later is left alone: the router may not have
-        had its grant yet when it listed its calls, however long ago that was.
+        An attempt that was granted at `settled_before_s` or later is left alone: the router may
+        have listed its calls before it received the grant, even if the list arrives much later.
         """
-        for found in self._running_at(router):
-            if found.call not in calls and found.attempt.granted_s < settled_s:
-                self._stop_running(found.conversation, found.call)
+        for running_call in self._running_at(router):
+            if running_call.call not in calls and running_call.attempt.granted_s < settled_before_s:
+                self._stop_running(running_call.conversation, running_call.call)
                 self.telemetry.count["legEndsMended"] += 1
-        return calls - {found.call for found in self._running_at(router)}
+        return calls - {running_call.call for running_call in self._running_at(router)}
 
     def _running_at(self, router: str) -> list[RunningCall]:
-        """Return the attempts for which a router holds a grant."""
+        """Return the running attempts of a router."""
         return [
             RunningCall(conversation, call, attempt)
             for conversation in self.conversations.values()
@@ -244,31 +248,31 @@
             if attempt.router == router
         ]
 
-    def end_idle(self, book: WorkerSlots, config):
-        """Close what has been idle for long, and follow the configuration's cap."""
-        for conversation in book.ended(self.loop.time(), config.idleMs):
+    def close_idle(self, slots: WorkerSlots, config):
+        """Close the ended and idle conversations of a worker, and apply a fixed cap."""
+        for conversation in slots.ended(self.loop.time(), config.idleMs):
             self.close(conversation, "over" if conversation.is_over else "idle")
         if not config.adapts:
-            book.cap = config.cap
+            slots.cap = config.cap
 
     def drop_unlisted(self, listed: set[str]):
-        """Forget the books of workers that are no longer listed and have nothing open."""
-        for book in self.all():
-            if book.worker not in listed and not book.open and not len(book.queue):
-                del self.table[book.worker]
+        """Remove workers that are no longer listed and have no conversations or queued calls."""
+        for slots in self.all_slots():
+            if slots.worker not in listed and not slots.open and not len(slots.queue):
+                del self.table[slots.worker]
 
     def status(self, index) -> dict:
-        """Return the books in their outward form, by worker."""
+        """Return the state of each worker by its name, as reported by the router's status."""
         for worker in self.coordinator.listed_workers():
-            self.of(worker.name)
+            self.slots_of(worker.name)
         return {
             name: {
-                "open": len(book.open),
-                "cap": book.cap,
-                "line": len(book.queue),
+                "open": len(slots.open),
+                "cap": slots.cap,
+                "line": len(slots.queue),
                 "up": index.is_up(name),
                 "weights": index.weights(name),
-                "running": sum(len(conversation.running) for conversation in book.open.values()),
+                "running": sum(len(conversation.running) for conversation in slots.open.values()),
             }
-            for name, book in sorted(self.table.items())
+            for name, slots in sorted(self.table.items())
         }
--- a/swiftdeck/traffic/takeover.py
+++ b/swiftdeck/traffic/takeover.py
@@ -1,4 +1,4 @@
-"""How a new coordinator learns what is open before it grants a start."""
+"""Gathers the open conversations from all routers before a new coordinator starts others."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 from swiftdeck.fault import is_fault
 from swiftdeck.wire.messages import OpenAsk
 
-GRACE_S = 1.5
-"""How long a reported conversation stays open at least, so that its next call can come."""
-REPORT_MS = 800
-ASK_AGAIN_S = 0.1
+REPORTED_GRACE_S = 1.5
+"""Minimum time for which a reported conversation stays open, so that its next call can arrive."""
+REPORT_TIMEOUT_MS = 800
+ASK_RETRY_S = 0.1
 NO_FLOOR_S = -1e9
 
 
 @attrs.frozen(eq=False)
-class Arrival:
-    """A question that came while the books were gathered.
+class PendingAsk:
+    """A GrantAsk that arrived before the coordinator was ready.
 
     `since_s` is when its call began to wait.
     """
@@ -26,9 +26,10 @@
 
 
 class Takeover:
-    """Asks every router; who asks meanwhile waits, and is taken in the order of waiting.
+    """Asks every router for its conversations; asks that arrive meanwhile wait.
 
-    No reported conversation counts as idle since before `idle_floor_s`.
+    Afterwards they are handled in the order in which their calls began to wait. No reported
+    conversation counts as idle since before `idle_floor_s`.
     """
 
     def __init__(self, coordinator, slot_table, router, duty):
@@ -39,73 +40,76 @@
             duty,
         )
         self.loop = asyncio.get_running_loop()
-        self.arrivals: list[Arrival] = []
+        self.pending_asks: list[PendingAsk] = []
         self.clear()
 
     def clear(self):
-        """Give no conversation a grace."""
+        """Stop extending the idle time of reported conversations."""
         self.idle_floor_s = NO_FLOOR_S
 
     async def run(self, term: int) -> bool:
-        """Gather until all answered or their leases ran out; returns whether the duty is held.
+        """Gather until all routers answered, or until the leases of the silent ones expired.
 
-        False means that the duty was lost, or won anew under another term, and all begins again.
+        Returns False if the duty was lost meanwhile, or won again under another term: then the
+        gathering must start over.
         """
         now_s = self.loop.time()
-        self.idle_floor_s = self._first_idle_floor_s(now_s)
+        self.idle_floor_s = self._idle_floor_after_takeover_s(now_s)
         end_s = now_s + self.router.settings.holdLicenceMs / 1000
-        heard: set[str] = set()
+        reported: set[str] = set()
         while self.duty.is_held() and self.duty.term == term:
-            missing = sorted(self._routers() - heard)
+            missing = sorted(self._routers() - reported)
             answered = await asyncio.gather(*(self.gather(addr, term) for addr in missing))
-            heard.update(addr for addr, ok in zip(missing, answered, strict=True) if ok)
+            reported.update(
+                addr for addr, has_answered in zip(missing, answered, strict=True) if has_answered
+            )
             if all(answered) or self.loop.time() > end_s:
                 self.clear()
                 return True
-            await asyncio.sleep(ASK_AGAIN_S)
+            await asyncio.sleep(ASK_RETRY_S)
         return False
 
-    def _first_idle_floor_s(self, now_s: float) -> float:
-        """Return a time since which idle conversations have the grace left before they end."""
+    def _idle_floor_after_takeover_s(self, now_s: float) -> float:
+        """Return the idle floor that leaves a conversation REPORTED_GRACE_S before it is closed."""
         config = self.coordinator.config()
         shortest_ms = min(config.idleMs, config.pauseMs) if config else 0
-        return now_s + GRACE_S - shortest_ms / 1000
+        return now_s + REPORTED_GRACE_S - shortest_ms / 1000
 
     def _routers(self) -> set[str]:
-        """Return the addresses of all routers that are alive, with this one."""
+        """Return the addresses of all live routers, including this one."""
         return {router.addr for router in [self.router.me, *self.router.membership.alive("router")]}
 
     async def gather(self, addr: str, term: int) -> bool:
-        """Take in what one router serves and served; returns whether it answered."""
+        """Merge the conversations that one router serves or served; return whether it answered."""
         me = self.router.me.addr
         ask = OpenAsk(term=term, model=self.coordinator.model, keeper=me)
         if addr == me:
             report = self.router.on_open_ask(ask, addr)
         else:
-            report = await self.router.mesh.request(addr, ask, REPORT_MS)
+            report = await self.router.mesh.request(addr, ask, REPORT_TIMEOUT_MS)
         if is_fault(report):
             return False
         for conversation in report.conversations:
             self.slot_table.adopt(conversation, addr, self.idle_floor_s)
         return True
 
-    def release(self):
-        """Let those who asked meanwhile go on, the longest waiting first."""
-        arrivals = sorted(self.arrivals, key=lambda arrival: arrival.since_s)
-        self.arrivals = []
-        for arrival in arrivals:
-            if not arrival.is_released.done():
-                arrival.is_released.set_result(None)
+    def release_pending(self):
+        """Let the pending asks proceed, the call that has waited longest first."""
+        pending_asks = sorted(self.pending_asks, key=lambda pending_ask: pending_ask.since_s)
+        self.pending_asks = []
+        for pending_ask in pending_asks:
+            if not pending_ask.is_released.done():
+                pending_ask.is_released.set_result(None)
 
-    async def gathered(self, since_s: float, wait_s: float) -> bool:
-        """Wait until the books are gathered; who has waited longest then goes first.
+    async def wait_until_ready(self, since_s: float, wait_s: float) -> bool:
+        """Wait until the conversations are gathered; return whether the coordinator is ready.
 
-        `since_s` is when the call began to wait, `wait_s` how long it waits here. Returns whether
-        starts may be granted now.
+        `since_s` is when the call began to wait, by which pending asks are ordered; `wait_s` is
+        the longest wait here.
         """
-        arrival = Arrival(since_s, self.loop.create_future())
-        self.arrivals.append(arrival)
-        await asyncio.wait([arrival.is_released], timeout=wait_s)
-        if arrival in self.arrivals:
-            self.arrivals.remove(arrival)
+        pending_ask = PendingAsk(since_s, self.loop.create_future())
+        self.pending_asks.append(pending_ask)
+        await asyncio.wait([pending_ask.is_released], timeout=wait_s)
+        if pending_ask in self.pending_asks:
+            self.pending_asks.remove(pending_ask)
         return self.coordinator.is_ready()
--- a/swiftdeck/traffic/worker_slots.py
+++ b/swiftdeck/traffic/worker_slots.py
@@ -1,4 +1,4 @@
-"""The admission book of one worker: its open conversations, its cap, and its waiting line."""
+"""The admission slots of one worker: its open conversations, its cap and its queue."""
 
 from collections import deque
 
@@ -8,15 +8,16 @@
 
 PROMPTS_REMEMBERED = 4
 RETURNS_FOR_SURVIVAL = 5
+"""Later calls without which the survival of prefixes is not computed."""
 LOW_SURVIVAL, HIGH_SURVIVAL = 0.8, 0.95
 
 
 @attrs.frozen
 class RunningAttempt:
-    """An attempt that a router holds a grant for.
+    """An attempt for which a router holds a grant.
 
-    `router` is the inner address of the router, `granted_s` the clock of the loop in seconds,
-    `number` counts the attempts of its call from 1.
+    `router` is the router's inner address, `granted_s` the event loop's time in seconds, and
+    `number` the number of the attempt within its call, from 1.
     """
 
     router: str
@@ -26,12 +27,12 @@
 
 @attrs.define(eq=False)
 class Conversation:
-    """An admitted conversation: a growing prompt, from its first call until it has been idle.
+    """An admitted conversation: calls with a growing prompt, until it ends or idles too long.
 
-    `lasts` holds the digests of its newest prompts, oldest first. `parts` is the number of parts of
-    its longest prompt, `turns` the number of its calls. `running` has the attempts under way by the
-    id of their call; `idle_since_s` counts while it is empty. `is_over` says that a call was its
-    last one, `is_served` that a byte may have reached a worker.
+    `prompt_digests` has the digests of its newest prompts, oldest first. `parts` is the number of
+    parts of its longest prompt, `turns` the number of its calls. `running` has the running attempts
+    by the id of their call; `idle_since_s` counts while it is empty. `is_over` is set once a call
+    said that it is the last one, `is_served` once a byte may have reached a worker.
     """
 
     name: str
@@ -39,7 +40,7 @@
     group: str
     worker: str
     weights: str
-    lasts: deque = attrs.Factory(lambda: deque(maxlen=PROMPTS_REMEMBERED))
+    prompt_digests: deque = attrs.Factory(lambda: deque(maxlen=PROMPTS_REMEMBERED))
     parts: int = 0
     turns: int = 0
     running: dict = attrs.Factory(dict)
@@ -48,17 +49,17 @@
     is_served: bool = False
 
     def idle_s(self, now_s: float) -> float:
-        """Seconds for which nothing has run; below zero while an attempt runs."""
+        """Return for how many seconds no attempt has run; negative while one runs."""
         return -1.0 if self.running else now_s - self.idle_since_s
 
 
 @attrs.define(eq=False)
 class WorkerSlots:
-    """Counts open conversations of one worker; only starts look at the cap.
+    """The open conversations of one worker; the cap limits only the start of new ones.
 
-    `returns` counts later calls of conversations since the cap was last adapted, and `hits` those
-    of them whose earlier prompt was still in the worker's cache. No start is placed at the worker
-    before `shunned_until_s`.
+    `returns` counts later calls of conversations since the cap was last updated, and `hits` those
+    of them whose earlier prompt was still in the worker's cache. Before `shunned_until_s` a
+    conversation starts at the worker only if no other can take it.
     """
 
     worker: str
@@ -74,16 +75,16 @@
         return len(self.open) < self.cap
 
     def entry(self, conversation: Conversation):
-        """Enter a conversation; a move may go over the cap, a start may not."""
+        """Add a conversation; a moved one may exceed the cap, a new one must not."""
         self.open[conversation.name] = conversation
         conversation.worker = self.worker
 
     def leave(self, conversation: Conversation):
-        """Take a conversation out."""
+        """Remove a conversation."""
         self.open.pop(conversation.name, None)
 
     def ended(self, now_s: float, idle_ms: float) -> list[Conversation]:
-        """Return the conversations that are over: closed by their caller, or idle for long."""
+        """Return the conversations that were ended by their client or idle for over `idle_ms`."""
         return [
             conversation
             for conversation in self.open.values()
@@ -92,7 +93,10 @@
         ]
 
     def longest_paused(self, now_s: float, pause_ms: float) -> Conversation | None:
-        """Return the conversation to end first when others wait, if one has paused long enough."""
+        """Return the conversation that has been idle longest, if for over `pause_ms`, or None.
+
+        It is closed first when other calls wait.
+        """
         paused = [
             conversation
             for conversation in self.open.values()
@@ -101,13 +105,16 @@
         return min(paused, key=lambda conversation: conversation.idle_since_s, default=None)
 
     def survival(self) -> float | None:
-        """Return the share of returning calls that found their earlier prompt; None if unknown."""
+        """Return the share of later calls that found their earlier prompt in the worker's cache.
+
+        None while there were fewer than RETURNS_FOR_SURVIVAL such calls.
+        """
         return self.hits / self.returns if self.returns >= RETURNS_FOR_SURVIVAL else None
 
-    def adapt(self, model):
-        """Move the cap by prefix survival, not by how full the cache is.
+    def update_cap(self, model):
+        """Update the cap from the survival of prefixes, not from how full the cache is.
 
-        A measured share is used up by it: counting begins anew.
+        Counting restarts after each computed share. `model` is the model's configuration.
         """
         survival = self.survival()
         if survival is not None:
--- a/tests/cases/admission.py
+++ b/tests/cases/admission.py
@@ -249,7 +249,7 @@
                 lambda number=number: cluster.caller.agents("saga", turns=(10, 14), rest_s=0.1)
             )
         caps = []
-        with mock.patch("swiftdeck.traffic.coordinator.ADAPT_S", 5.0):
+        with mock.patch("swiftdeck.traffic.coordinator.CAP_UPDATE_PERIOD_S", 5.0):
             for _ in range(25):
                 cluster.world.run(2)
                 caps += [book.cap for book in cluster.slot_table().values()]
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -19,11 +19,11 @@
 from swiftdeck.traffic.budget import Budget
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
+from swiftdeck.traffic.conversation_mover import ConversationMover
 from swiftdeck.traffic.coordinator import AdmissionCoordinator
 from swiftdeck.traffic.fair_queue import FairQueue
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.ledger import Ledger
-from swiftdeck.traffic.moves import Moves
 from swiftdeck.traffic.slot_table import SlotTable
 from swiftdeck.traffic.takeover import Takeover
 from swiftdeck.traffic.worker_slots import WorkerSlots
@@ -165,7 +165,7 @@
         coordinators.CoordinatorsCase,
         "test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting",
         [
-            (Takeover, "gathered", replacements.polls),
+            (Takeover, "wait_until_ready", replacements.polls),
             (FairQueue, "_add_tenant", replacements.adds_last),
         ],
     ),
@@ -191,7 +191,7 @@
         "later calls pass the line",
         admission.AdmissionCase,
         "test_a_later_call_of_an_admitted_conversation_never_waits_behind_the_line",
-        [(SlotTable, "continued", lambda self, ask: None)],
+        [(SlotTable, "find_conversation", lambda self, ask: None)],
     ),
     (
         "conversations known without their weights",
@@ -203,7 +203,7 @@
         "conversations of a draining worker move",
         admission.AdmissionCase,
         "test_conversations_of_a_draining_worker_move_and_keep_their_admission",
-        [(Moves, "settle", lambda self, conversation, ask: None)],
+        [(ConversationMover, "move_if_needed", lambda self, conversation, ask: None)],
     ),
     (
         "the view is mended",
