--- a/swiftdeck/traffic/call.py
+++ b/swiftdeck/traffic/call.py
@@ -1,4 +1,4 @@
-"""One call on its way through a router: a ledger of attempts from which the next move is derived."""
+"""A call that a router serves; a ledger of its attempts decides what is done next."""
 
 import asyncio
 import hashlib
@@ -32,13 +32,15 @@
 from swiftdeck.traffic.prefix import chain_of, group_of
 from swiftdeck.wire.messages import GrantAsk, GrantDrop
 
-SLICE_MS = 700
-AGAIN_MS = 2000
-CLAIM_MS, RELEASE_MS = 700, 500
+WAIT_SLICE_MS = 700
+RETRY_WAIT_MS = 2000
+"""Longest wait for a grant: of one request, and in total after an attempt that was sent failed."""
+CLAIM_WAIT_MS, RELEASE_WAIT_MS = 700, 500
+"""How long a new conversation's slot waits for a claim, and a final answer for a release."""
 
 
 class CallBody(msgspec.Struct):
-    """What a caller sends."""
+    """The body of a client's request."""
 
     model: Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
     parts: Annotated[list[str], msgspec.Meta(min_length=1)]
@@ -47,7 +49,7 @@
 
 
 class Call:
-    """Drives one exchange to its final return."""
+    """Serves one request of a client up to its final response."""
 
     def __init__(self, router, exchange, held, tenant, route, body, start_s):
         self.router, self.exchange, self.held = router, exchange, held
@@ -66,40 +68,41 @@
         )
         self.is_last = exchange.headers.get("conversation-end", "") not in ("", "0", "false")
         self.conversation, self.avoid, self.pieces, self.begun = "", [], [], False
-        self.was_granted, self.claiming, self.released = False, None, None
+        self.was_granted, self.claim_result, self.release_result = False, None, None
         self.chain, self.talk, self.weights, self.link = [], [], "", None
 
     def now_ms(self):
         return self.loop.time() * 1000
 
-    def run(self):
-        """The id of the present attempt's run, which the worker echoes."""
+    def run_id(self):
+        """Return the id of the current attempt's run, which the worker echoes."""
         return f"{self.name}-{self.ledger.attempts[-1].number}"
 
     async def serve(self):
-        """Make moves until the call has its final return."""
-        acts = {
+        """Carry out the ledger's next actions until the final response was sent."""
+        handlers = {
             NextAction.CLAIM: self._claim,
-            NextAction.NOMINATE: self._nominate,
+            NextAction.NOMINATE: self._request_grant,
             NextAction.SEND: self._send,
         }
         try:
             while True:
-                move, fault = next_action(self.ledger, self.now_ms())
-                if move in acts:
-                    await acts[move]()
+                action, fault = next_action(self.ledger, self.now_ms())
+                if action in handlers:
+                    await handlers[action]()
                 else:
-                    return await self._end(move, fault)
+                    return await self._finish(action, fault)
         finally:
-            self._settle()
+            self._clean_up()
 
-    def _settle(self):
+    def _clean_up(self):
+        """Close the connection, the claim and the attempt; drop a request that may be queued."""
         if self.link:
             self.link.close()
-        if self.ledger.sent() and self.claim_key:
+        if self.ledger.sent_attempts() and self.claim_key:
             self.router.claims.finish(self.claim_key, self.name, self.digest)
         else:
-            self._release()
+            self._release_claim()
         attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
         if (
             attempt
@@ -112,58 +115,73 @@
         self._close_attempt()
 
     def _close_attempt(self):
+        """Report the end of the last attempt, if its grant is still held."""
         attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
         if attempt and attempt.grant is not None and self.name in self.router.running:
-            self.router.attempt_ended(self, attempt)
+            self.router.record_attempt_end(self, attempt)
 
-    def _release(self):
-        """Give up the key of a call that was never sent."""
-        if self.claiming is not None and self.released is None and not is_fault(self.ledger.claim):
-            self.released = self.router.claims.release(self.claim_key, self.name, self.digest)
+    def _release_claim(self):
+        """Release the claimed key of a call that was never sent."""
+        if (
+            self.claim_result is not None
+            and self.release_result is None
+            and not is_fault(self.ledger.claim)
+        ):
+            self.release_result = self.router.claims.release(self.claim_key, self.name, self.digest)
 
     async def _claim(self):
-        """Claim the key for the attempt that was granted.
+        """Claim the call's idempotency key before the granted attempt is sent.
 
-        While the chain is mended a new conversation's slot does not stand empty for long; an open one keeps its own.
+        While the chain is being repaired, a claim can take long. The slot of a new conversation is
+        then handed back after CLAIM_WAIT_MS instead of staying unused; an open conversation keeps
+        its slot.
         """
         attempt = self.ledger.attempts[-1]
-        self.claiming = self.claiming or self.router.claims.claim(
+        self.claim_result = self.claim_result or self.router.claims.claim(
             self.claim_key, self.name, self.digest
         )
-        bound_ms = min(CLAIM_MS if attempt.grant.is_start else 1e9, self._left_ms())
-        await asyncio.wait([self.claiming], timeout=bound_ms / 1000)
-        if self.claiming.done():
-            self.ledger.claim = self.claiming.result()
+        bound_ms = min(CLAIM_WAIT_MS if attempt.grant.is_start else 1e9, self._remaining_wait_ms())
+        await asyncio.wait([self.claim_result], timeout=bound_ms / 1000)
+        if self.claim_result.done():
+            self.ledger.claim = self.claim_result.result()
         if self.ledger.claim is not True:
             attempt.fault = NO_CLAIM
             self._close_attempt()
             attempt.grant = None
             self.router.telemetry.count["slotsHandedBack"] += 1
 
-    def _left_ms(self):
-        """What is left of the call's wait."""
-        return max(1, min(self.ledger.waitUntilMs, self.ledger.horizonMs) - self.now_ms())
+    def _remaining_wait_ms(self):
+        """Return how long the call may still wait for a grant, at least 1 ms."""
+        return max(1, min(self.ledger.wait_until_ms, self.ledger.horizon_ends_ms) - self.now_ms())
+
+    async def _wait_for_claim(self):
+        """Wait until a pending claim is decided, as a grant could not be used before.
 
-    async def _may_claim(self):
-        """Whether a grant is worth asking for: none is while the chain keeps this call's claim waiting."""
-        if self.claiming is None or self.ledger.claim is True:
+        Returns False if the call's wait ends first.
+        """
+        if self.claim_result is None or self.ledger.claim is True:
             return True
-        await asyncio.wait([self.claiming], timeout=self._left_ms() / 1000)
-        return self.claiming.done()
+        await asyncio.wait([self.claim_result], timeout=self._remaining_wait_ms() / 1000)
+        return self.claim_result.done()
+
+    async def _request_grant(self):
+        """Begin a new attempt: wait for lease and claim, check the call, and ask for a grant.
 
-    async def _nominate(self):
-        last = self.ledger.attempts[-1] if self.ledger.attempts else None
-        if last and last.grant is None:
+        The configuration, and with it the digests of the prompt, may have changed since the last
+        attempt. An attempt that was refused a grant is replaced, so it doesn't count.
+        """
+        last_attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
+        if last_attempt and last_attempt.grant is None:
             self.ledger.attempts.pop()
-            if last.fault.code != QUEUE_TIMEOUT.code:
-                await asyncio.sleep(min(0.2, (last.fault.retry_ms or 100) / 1000))
+            if last_attempt.fault.code != QUEUE_TIMEOUT.code:
+                await asyncio.sleep(min(0.2, (last_attempt.fault.retry_ms or 100) / 1000))
         attempt = Attempt(len(self.ledger.attempts) + 1)
         self.ledger.attempts.append(attempt)
-        if not await self.router.lease.wait(self.ledger.waitUntilMs / 1000):
+        if not await self.router.lease.wait(self.ledger.wait_until_ms / 1000):
             attempt.fault = NO_LEASE
             return
         self.held = self.router.lease.held
-        if not await self._may_claim():
+        if not await self._wait_for_claim():
             attempt.fault = NO_CLAIM
             return
         model = self.held.document.models.get(self.route.model)
@@ -187,10 +205,11 @@
         attempt.fault = await self._ask_coordinator(attempt)
 
     async def _ask_coordinator(self, attempt):
+        """Ask the model's coordinator for a grant; return a fault, or None if it was granted."""
         coordinator = self.router.coordinator_of(self.route.model)
         if coordinator is None:
             return NO_COORDINATOR
-        slice_ms, asked_s = int(min(self._left_ms(), SLICE_MS)), self.loop.time()
+        slice_ms, asked_s = int(min(self._remaining_wait_ms(), WAIT_SLICE_MS)), self.loop.time()
         ask = GrantAsk(
             router=self.router.me.name,
             call=self.name,
@@ -208,16 +227,20 @@
             was_granted=self.was_granted,
             size=sum(map(len, self.body.parts[:-1])),
         )
-        got = await self.router.ask_coordinator(coordinator, ask, slice_ms + 300)
-        if is_fault(got):
-            return got
-        fault = self.router.take_grant(self, attempt, got, asked_s)
+        grant = await self.router.ask_coordinator(coordinator, ask, slice_ms + 300)
+        if is_fault(grant):
+            return grant
+        fault = self.router.accept_grant(self, attempt, grant, asked_s)
         if fault is None:
-            attempt.grant, self.conversation, self.was_granted = got, got.conversation, True
+            attempt.grant, self.conversation, self.was_granted = grant, grant.conversation, True
         return fault
 
-    def _may_be_sent(self, attempt):
-        """Looked at right before the bytes go: everything that a frozen process could have outlived."""
+    def _check_before_send(self, attempt):
+        """Return a fault if the attempt must not be sent any more, else None.
+
+        Called right before the first byte is sent: it checks all that may have expired while the
+        process was frozen.
+        """
         router, model = self.router, None
         if not router.lease.is_held():
             return NO_LEASE
@@ -232,32 +255,35 @@
             return STALE_WORKER_LIST.with_reason("worker drains, is gone, or the list is old", 200)
         if not router.is_grant_valid(self.name):
             return NO_COORDINATOR.with_reason("grant lapsed", 200)
-        if self.now_ms() >= self.ledger.horizonMs:
+        if self.now_ms() >= self.ledger.horizon_ends_ms:
             return QUEUE_TIMEOUT
         return None
 
     async def _send(self):
+        """Carry out the granted attempt: fetch the prefix, connect to the worker, run the call."""
         attempt = self.ledger.attempts[-1]
         if attempt.grant.fetch_from:
-            await self._fetch(attempt)
+            await self._fetch_prefix(attempt)
         ip, _, port = attempt.grant.url.rpartition(":")
-        self.link = await connect(ip, int(port), max(50, min(1000, self._left_ms())))
+        self.link = await connect(ip, int(port), max(50, min(1000, self._remaining_wait_ms())))
         if is_fault(self.link):
             attempt.fault, self.link = self.link, None
             self.avoid.append(attempt.grant.worker)
         else:
-            attempt.fault = self._may_be_sent(attempt)
+            attempt.fault = self._check_before_send(attempt)
             if attempt.fault is not None:
                 self.router.telemetry.count[f"looks.{attempt.fault.code}"] += 1
             else:
                 self.router.telemetry.count["legsSent"] += 1
                 attempt.was_sent = True
-                self.router.attempt_sent(attempt)
+                self.router.record_attempt_sent(attempt)
                 attempt.fault = await self._run_at_worker(attempt)
                 if attempt.fault is not None and attempt.was_sent:
                     self.router.telemetry.count["legsFailed"] += 1
                     self.avoid.append(attempt.grant.worker)
-                    self.ledger.waitUntilMs = self.now_ms() + min(self.route.waitMs, AGAIN_MS)
+                    self.ledger.wait_until_ms = self.now_ms() + min(
+                        self.route.waitMs, RETRY_WAIT_MS
+                    )
             if self.link:
                 self.link.close()
         if attempt.fault is not None:
@@ -265,10 +291,14 @@
             if not attempt.was_sent and attempt.fault.code != WORKER_UNREACHABLE.code:
                 attempt.grant = None
 
-    async def _fetch(self, attempt):
-        bound_ms = int(max(50, min(attempt.grant.fetch_ms, self._left_ms())))
+    async def _fetch_prefix(self, attempt):
+        """Let the worker fetch the cached prefix from where the grant says.
+
+        A source that fails or takes over 80 % of the time bound is reported as slow.
+        """
+        bound_ms = int(max(50, min(attempt.grant.fetch_ms, self._remaining_wait_ms())))
         start_ms = self.now_ms()
-        got = await fetch_json(
+        response = await fetch_json(
             attempt.grant.url,
             "POST",
             "/v1/fetch",
@@ -284,9 +314,13 @@
         )
         took_ms = int(self.now_ms() - start_ms)
         self.slow_from = (
-            attempt.grant.fetch_from if is_fault(got) or took_ms > 0.8 * bound_ms else ""
+            attempt.grant.fetch_from if is_fault(response) or took_ms > 0.8 * bound_ms else ""
+        )
+        parts = (
+            response[1].get("parts", 0)
+            if not is_fault(response) and isinstance(response[1], dict)
+            else 0
         )
-        parts = got[1].get("parts", 0) if not is_fault(got) and isinstance(got[1], dict) else 0
         self.router.telemetry.count["fetches"] += 1
         self.router.telemetry.count["fetchesBounded"] += bool(self.slow_from)
         self.router.telemetry.count["fetchedParts"] += parts if isinstance(parts, int) else 0
@@ -302,9 +336,14 @@
     slow_from, key_digest, group = "", "", None
 
     async def _run_at_worker(self, attempt):
+        """Send the call to the worker and relay its output; return a fault, or None if complete.
+
+        A worker that has other weights loaded did not run the call, so the attempt then counts as
+        not sent.
+        """
         body = msgspec.json.encode(
             {
-                "run": self.run(),
+                "run": self.run_id(),
                 "call": self.name,
                 "weights": self.weights,
                 "group": self.group,
@@ -315,48 +354,50 @@
                 "key": self.claim_key,
             }
         )
-        left_s = max(0.05, self.ledger.horizonMs / 1000 - self.loop.time())
+        left_s = max(0.05, self.ledger.horizon_ends_ms / 1000 - self.loop.time())
         try:
             async with asyncio.timeout(min(left_s, self.route.firstPieceMs / 1000)):
-                got = await self.link.exchange(
+                response = await self.link.exchange(
                     "POST",
                     "/v1/run",
                     [("content-type", "application/json")],
                     body,
                     attempt.grant.url,
                 )
-            if is_fault(got):
+            if is_fault(response):
                 return (
-                    got
-                    if got.code != BAD_BACKEND_RESPONSE.code
-                    else BAD_WORKER_OUTPUT.with_reason(got.reason)
+                    response
+                    if response.code != BAD_BACKEND_RESPONSE.code
+                    else BAD_WORKER_OUTPUT.with_reason(response.reason)
                 )
-            if got.status == WEIGHTS_MISMATCH.status:
+            if response.status == WEIGHTS_MISMATCH.status:
                 attempt.was_sent = False
                 return NO_WORKER.with_reason("worker has other weights", 200)
-            if got.status != 200:
-                return WORKER_REFUSED.with_reason(f"status {got.status}")
-            return await self._relay(attempt, got)
+            if response.status != 200:
+                return WORKER_REFUSED.with_reason(f"status {response.status}")
+            return await self._relay_pieces(attempt, response)
         except TimeoutError:
-            return self._late()
+            return self._timeout_fault()
 
-    def _late(self):
-        return HORIZON_REACHED if self.now_ms() >= self.ledger.horizonMs else WORKER_SILENT
+    def _timeout_fault(self):
+        """Return the fault for a worker that did not send its next output in time."""
+        return HORIZON_REACHED if self.now_ms() >= self.ledger.horizon_ends_ms else WORKER_SILENT
 
-    async def _relay(self, attempt, got):
-        lines, expected, self.pieces = got.lines(), 0, []
+    async def _relay_pieces(self, attempt, response):
+        """Pass the worker's pieces on; return a fault, or None once the last one has arrived."""
+        lines, expected_seq, self.pieces = response.lines(), 0, []
         while True:
-            left_s = self.ledger.horizonMs / 1000 - self.loop.time()
-            bound_ms = self.route.pieceMs if expected else self.route.firstPieceMs
+            left_s = self.ledger.horizon_ends_ms / 1000 - self.loop.time()
+            bound_ms = self.route.pieceMs if expected_seq else self.route.firstPieceMs
             try:
                 async with asyncio.timeout(max(0.01, min(left_s, bound_ms / 1000))):
                     line = await anext(lines, None)
             except TimeoutError:
-                return self._late()
+                return self._timeout_fault()
             if line is None:
                 fault = (
-                    got.fault
-                    if got.fault is not None
+                    response.fault
+                    if response.fault is not None
                     else WORKER_LOST.with_reason("stream ended early")
                 )
                 return (
@@ -366,41 +407,43 @@
                 )
             if not line.strip():
                 continue
-            piece = self._read(line, expected)
+            piece = self._parse_piece(line, expected_seq)
             if is_fault(piece):
                 return piece
-            expected += 1
+            expected_seq += 1
             if piece.get("end"):
                 usage = piece.get("usage")
                 self.usage = usage if isinstance(usage, dict) else {}
                 attempt.is_whole = True
                 return None
             attempt.delivered += 1 if self.body.stream else 0
-            await self._give(piece)
+            await self._deliver_piece(piece)
 
-    def _read(self, line, expected):
+    def _parse_piece(self, line, expected_seq):
+        """Parse a piece of the worker's output; return a fault unless it is the expected one."""
         if not line.startswith(b"data:"):
             return BAD_WORKER_OUTPUT.with_reason("line is not data")
         try:
             piece = msgspec.json.decode(line[5:])
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             return BAD_WORKER_OUTPUT.with_reason(str(error))
-        if not isinstance(piece, dict) or piece.get("run") != self.run():
+        if not isinstance(piece, dict) or piece.get("run") != self.run_id():
             return BAD_WORKER_OUTPUT.with_reason("piece of another run")
-        if piece.get("seq") != expected or not isinstance(piece.get("text", ""), str):
+        if piece.get("seq") != expected_seq or not isinstance(piece.get("text", ""), str):
             return BAD_WORKER_OUTPUT.with_reason(
-                f"piece {piece.get('seq')} where {expected} was due"
+                f"piece {piece.get('seq')} where {expected_seq} was due"
             )
         return piece
 
     usage = {}
 
-    async def _give(self, piece):
+    async def _deliver_piece(self, piece):
+        """Send a piece to the client, or collect it for a response in one piece."""
         if not self.body.stream:
             self.pieces.append(piece.get("text", ""))
             return
-        self._begin()
-        await self._event(
+        self._begin_response()
+        await self._send_event(
             {
                 "call": self.name,
                 "run": piece["run"],
@@ -409,7 +452,8 @@
             }
         )
 
-    def _begin(self):
+    def _begin_response(self):
+        """Send the headers of a streamed response, if they were not sent yet."""
         if not self.begun:
             self.begun = True
             self.exchange.begin(
@@ -421,36 +465,44 @@
                 ],
             )
 
-    async def _event(self, body, name=""):
-        lead = f"event: {name}\n".encode() if name else b""
-        await self.exchange.send_chunk(lead + b"data: " + msgspec.json.encode(body) + b"\n\n")
+    async def _send_event(self, body, name=""):
+        event_line = f"event: {name}\n".encode() if name else b""
+        await self.exchange.send_chunk(event_line + b"data: " + msgspec.json.encode(body) + b"\n\n")
+
+    async def _confirm_not_run(self, fault):
+        """Return the final fault of a call that was never sent, once its key is released.
 
-    async def _promised(self, fault):
-        """A call that comes back with its key must find it free, or no promise is given; at once, either way."""
-        self._release()
-        if self.released is None:
+        The fault promises "not run", so a retry with the same key must find it free. If that isn't
+        certain within RELEASE_WAIT_MS, the fault is CLAIM_UNRELEASED.
+        """
+        self._release_claim()
+        if self.release_result is None:
             return fault
-        await asyncio.wait([self.released], timeout=RELEASE_MS / 1000)
+        await asyncio.wait([self.release_result], timeout=RELEASE_WAIT_MS / 1000)
         return (
             fault
-            if self.released.done()
+            if self.release_result.done()
             else CLAIM_UNRELEASED.with_reason(fault.reason or fault.name, fault.retry_ms or None)
         )
 
-    async def end_with_work(self):
-        """Give the final return that what was done allows, as the router has no more time."""
-        return await self._end(NextAction.GIVE_UP, self.ledger.verdict(ROUTER_STOPPING))
+    async def end_at_shutdown(self):
+        """End the call because the router's time to shut down is over.
+
+        The final response depends on what was sent so far.
+        """
+        return await self._finish(NextAction.GIVE_UP, self.ledger.final_fault(ROUTER_STOPPING))
 
-    async def _end(self, move, fault):
+    async def _finish(self, action, fault):
+        """Send the final response: the end of the output, or a fault."""
         attempt = self.ledger.attempts[-1] if self.ledger.attempts else None
         self._close_attempt()
-        if move is NextAction.FINISH:
+        if action is NextAction.FINISH:
             self.router.telemetry.count["callsServed"] += 1
             body = {
                 "call": self.name,
-                "run": self.run(),
+                "run": self.run_id(),
                 "end": True,
-                "legs": len(self.ledger.sent()),
+                "legs": len(self.ledger.sent_attempts()),
                 "usage": self.usage,
                 "worker": attempt.grant.worker,
                 "waitedMs": attempt.grant.waited_ms,
@@ -458,18 +510,20 @@
             if not self.body.stream:
                 text = {"text": "".join(self.pieces)}
                 return await self.exchange.send_json(200, body | text, [("call-id", self.name)])
-            self._begin()
-            await self._event(body)
+            self._begin_response()
+            await self._send_event(body)
             return self.exchange.finish()
         if fault.notRun:
-            fault = await self._promised(fault)
+            fault = await self._confirm_not_run(fault)
         self.router.telemetry.count[f"faults.{fault.code}"] += 1
         self.router.decisions.add(
             "final", call=self.name, tenant=self.tenant, code=fault.code, why=fault.name
         )
-        sent = self.ledger.sent()
-        told = {"call": self.name} | ({"worker": sent[-1].grant.worker} if sent else {})
+        sent_attempts = self.ledger.sent_attempts()
+        details = {"call": self.name} | (
+            {"worker": sent_attempts[-1].grant.worker} if sent_attempts else {}
+        )
         if self.begun:
-            await self._event(fault.as_body() | told, "error")
+            await self._send_event(fault.as_body() | details, "error")
             return self.exchange.finish()
-        return await self.exchange.give_fault(fault, [("call-id", self.name)], **told)
+        return await self.exchange.give_fault(fault, [("call-id", self.name)], **details)
--- a/swiftdeck/traffic/ledger.py
+++ b/swiftdeck/traffic/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of a call's attempts, from which its next move is derived."""
+"""The ledger of a call's attempts, from which its next action is derived."""
 
 import enum
 
@@ -24,7 +24,7 @@
 )
 
 RETRY_MS = 1000
-"""When a caller may come back after a call that reached no worker."""
+"""When a client may retry a call that reached no worker."""
 RETRYABLE = {
     fault.code
     for fault in (
@@ -45,7 +45,7 @@
 
 
 class NextAction(enum.Enum):
-    """What an exchange does next."""
+    """What a call does next."""
 
     CLAIM = "claim"
     NOMINATE = "nominate"
@@ -57,10 +57,10 @@
 
 @attrs.define
 class Attempt:
-    """One try: a grant, and what became of it at the worker.
+    """An attempt: its grant, and its outcome at the worker.
 
-    An attempt without a grant has the fault that refused it. `delivered` counts the pieces that the
-    caller was given, `is_whole` says that it was given all.
+    An attempt without a grant has the fault by which it was refused. `delivered` counts the pieces
+    that were passed on to the client; `is_whole` is set once the worker's output is complete.
     """
 
     number: int
@@ -75,43 +75,44 @@
 class Ledger:
     """What was done for one call so far.
 
-    `waitUntilMs` ends the wait for a grant, `horizonMs` the whole call: both by the clock of the
-    loop. `claim` is None while the key isn't claimed, true once it is, or the fault that says why
-    it never will be. A call that is `repeatable` may be sent again after it was sent once.
+    `wait_until_ms` ends the wait for a grant and `horizon_ends_ms` the whole call, both by the
+    event loop's clock. `claim` is None while the key isn't claimed, True once it is, or the fault
+    that says why it can't be. A `repeatable` call may be sent again after it was sent once.
     """
 
     repeatable: bool
-    needsClaim: bool
-    waitUntilMs: float
-    horizonMs: float
+    needs_claim: bool
+    wait_until_ms: float
+    horizon_ends_ms: float
     claim: Fault | bool | None = None
     attempts: list[Attempt] = attrs.Factory(list)
 
-    def sent(self):
+    def sent_attempts(self):
         """Return the attempts of which a byte may have reached a worker."""
         return [attempt for attempt in self.attempts if attempt.was_sent]
 
-    def verdict(self, fault: Fault) -> Fault:
-        """Return the final fault: it promises "not run" only if nothing was ever sent.
+    def final_fault(self, fault: Fault) -> Fault:
+        """Return the final fault of the call; it promises "not run" only if nothing was sent.
 
-        Then it is `fault`, or WORKER_UNREACHABLE where that promises nothing. Otherwise it is the
-        fault of the last attempt that was sent, or WORKER_LOST where that one promises "not run".
+        If nothing was sent, it is `fault`, or WORKER_UNREACHABLE if `fault` doesn't promise that.
+        Otherwise it is the fault of the last attempt that was sent, or WORKER_LOST if that one
+        promises "not run".
         """
-        sent = self.sent()
-        if not sent:
+        sent_attempts = self.sent_attempts()
+        if not sent_attempts:
             if fault.notRun:
                 return fault
             return WORKER_UNREACHABLE.with_reason(
                 fault.reason or fault.name, fault.retry_ms or RETRY_MS
             )
-        faults = [attempt.fault for attempt in sent if attempt.fault is not None]
+        faults = [attempt.fault for attempt in sent_attempts if attempt.fault is not None]
         if faults and not faults[-1].notRun:
             return faults[-1]
         return WORKER_LOST.with_reason(fault.reason)
 
 
 def next_action(ledger: Ledger, now_ms: float) -> tuple[NextAction, Fault | None]:
-    """Return the next move and, when it ends the call, the fault to give.
+    """Return the next action and, if it ends the call with a fault, that fault.
 
     A pure function of the ledger and the time.
     """
@@ -119,31 +120,33 @@
         return NextAction.GIVE_UP, ledger.claim
     if not ledger.attempts:
         return NextAction.NOMINATE, None
-    last = ledger.attempts[-1]
-    if last.is_whole:
+    last_attempt = ledger.attempts[-1]
+    if last_attempt.is_whole:
         return NextAction.FINISH, None
-    if last.delivered:
-        return NextAction.BREAK, last.fault
-    if last.grant is not None and last.fault is None and not last.was_sent:
-        return _move_with_grant(ledger, now_ms)
-    return _move_after_fault(ledger, last, now_ms)
-
-
-def _move_with_grant(ledger: Ledger, now_ms: float):
-    """Return the move of a call that holds a grant: claim its key, then send."""
-    if now_ms >= ledger.horizonMs:
-        return NextAction.GIVE_UP, ledger.verdict(QUEUE_TIMEOUT)
-    is_claim_due = ledger.needsClaim and ledger.claim is None
+    if last_attempt.delivered:
+        return NextAction.BREAK, last_attempt.fault
+    if last_attempt.grant is not None and last_attempt.fault is None and not last_attempt.was_sent:
+        return _action_with_grant(ledger, now_ms)
+    return _action_after_fault(ledger, last_attempt, now_ms)
+
+
+def _action_with_grant(ledger: Ledger, now_ms: float):
+    """Return the next action of a call that holds a grant: claim its key, then send."""
+    if now_ms >= ledger.horizon_ends_ms:
+        return NextAction.GIVE_UP, ledger.final_fault(QUEUE_TIMEOUT)
+    is_claim_due = ledger.needs_claim and ledger.claim is None
     return (NextAction.CLAIM if is_claim_due else NextAction.SEND), None
 
 
-def _move_after_fault(ledger: Ledger, last: Attempt, now_ms: float):
-    """Return the move after an attempt that was refused or failed: try again, or give up."""
-    is_refused_for_good = last.grant is None and last.fault.code not in RETRYABLE
-    if is_refused_for_good or (last.was_sent and not ledger.repeatable):
-        return NextAction.GIVE_UP, ledger.verdict(last.fault)
-    is_waiting = last.grant is None or not last.was_sent
-    is_wait_over = is_waiting and now_ms >= ledger.waitUntilMs
-    if now_ms >= ledger.horizonMs or is_wait_over:
-        return NextAction.GIVE_UP, ledger.verdict(HORIZON_REACHED if ledger.sent() else last.fault)
+def _action_after_fault(ledger: Ledger, last_attempt: Attempt, now_ms: float):
+    """Return the next action after a refused or failed attempt: try again, or give up."""
+    is_refused_for_good = last_attempt.grant is None and last_attempt.fault.code not in RETRYABLE
+    if is_refused_for_good or (last_attempt.was_sent and not ledger.repeatable):
+        return NextAction.GIVE_UP, ledger.final_fault(last_attempt.fault)
+    is_waiting = last_attempt.grant is None or not last_attempt.was_sent
+    is_wait_over = is_waiting and now_ms >= ledger.wait_until_ms
+    if now_ms >= ledger.horizon_ends_ms or is_wait_over:
+        return NextAction.GIVE_UP, ledger.final_fault(
+            HORIZON_REACHED if ledger.sent_attempts() else last_attempt.fault
+        )
     return NextAction.NOMINATE, None
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -1,4 +1,4 @@
-"""A router process: callers' door, attempts towards workers, and the duties that it wins."""
+"""A router process: serves clients, sends attempts to workers, and coordinates models."""
 
 import asyncio
 import json
@@ -47,16 +47,20 @@
     OpenReturn,
 )
 
-OUTAGE_S = 15.0
-PROBE_S = 0.2
-"""How often a caller that has ended its side is shown that its call is alive."""
-LOOK_S, ANSWERS_S = 0.05, 0.6
-"""How often a stopping router looks for open calls, and how long the last answers may take."""
+COORDINATOR_OUTAGE_S = 15.0
+"""How long a conversation is remembered past its idle limit, while a coordinator is replaced."""
+CLIENT_PROBE_PERIOD_S = 0.2
+"""How often a client that has closed its sending side is sent a sign of life."""
+DRAIN_POLL_S, LAST_ANSWERS_S = 0.05, 0.6
+"""How often a stopping router checks for open calls, and how long their last bytes may take."""
 
 
 @attrs.define
-class Running:
-    """A attempt that this router has a grant for."""
+class GrantedCall:
+    """A call for whose current attempt this router holds a grant.
+
+    `term` is the coordinator's term, `asked_s` when the grant was asked for or last renewed.
+    """
 
     call: object
     model: str
@@ -65,10 +69,13 @@
 
 
 @attrs.define
-class Served:
-    """What this router remembers of a conversation, for a coordinator that has to gather."""
+class ServedConversation:
+    """What this router remembers of a conversation, to report it to a new coordinator.
+
+    `is_start` is set while the conversation's first attempt has not been sent.
+    """
 
-    told: OpenConversation
+    report: OpenConversation
     model: str
     idle_since_s: float
     is_start: bool = False
@@ -76,14 +83,14 @@
 
 @attrs.frozen
 class CoordinatorContact:
-    """When a coordinator answered last, by its own clock in milliseconds, and its term."""
+    """The term of a coordinator and its last timestamp, by its own clock in milliseconds."""
 
     term: int
     stamp_ms: int
 
 
 class Router(Node):
-    """One edge machine of the fleet; it needs no disk."""
+    """A router of the fleet; it keeps nothing on disk."""
 
     def __init__(self, settings, random, log=None):
         super().__init__(settings, "router", random, log)
@@ -106,8 +113,8 @@
         self.http = HttpServer(
             self.handle, settings.bodyBytes, note=self.telemetry.log_event, drain=self.drain
         )
-        self.coordinators, self.known, self.running, self.served = {}, {}, {}, {}
-        self.heard: dict[str, CoordinatorContact] = {}
+        self.coordinators, self.known_coordinators, self.running, self.served = {}, {}, {}, {}
+        self.coordinator_contacts: dict[str, CoordinatorContact] = {}
         self.news.watch("duty/keeper/", self.on_coordinator_news)
         for kind, handler, is_bound in (
             (GrantAsk, self.on_grant_ask, True),
@@ -119,14 +126,14 @@
             self.mesh.register(kind, handler, is_bound)
 
     async def start(self):
-        """Join the fleet and serve."""
+        """Join the fleet and start serving."""
         self.loop = asyncio.get_running_loop()
         self.decisions = Decisions(self.loop.time)
         self.lease.watchers.append(self.on_config)
         await self.start_node()
-        for part in (self.cluster_map, self.lease, self.workers, self.claims):
-            part.start()
-        self.tasks = [asyncio.ensure_future(self._holding())]
+        for component in (self.cluster_map, self.lease, self.workers, self.claims):
+            component.start()
+        self.tasks = [asyncio.ensure_future(self._renew_calls_periodically())]
         ip, _, port = self.settings.http.rpartition(":")
         await self.http.start(ip, int(port))
         self.telemetry.log_event(
@@ -134,14 +141,14 @@
         )
 
     async def stop(self):
-        """Take no more calls, finish open ones within the bound, hand leases and duties back."""
+        """Refuse new calls, finish open ones within the bound, and return leases and duties."""
         self.calls.begin_drain(self.loop.time())
         self.decisions.wake()
         self.http.close_resting()
-        while self.open and self.loop.time() < self.drain.work_end_s + ANSWERS_S:
-            await asyncio.sleep(LOOK_S)
+        while self.open and self.loop.time() < self.drain.work_end_s + LAST_ANSWERS_S:
+            await asyncio.sleep(DRAIN_POLL_S)
         self.http.stop()
-        await self.http.finish(ANSWERS_S, WORKER_LOST)
+        await self.http.finish(LAST_ANSWERS_S, WORKER_LOST)
         await asyncio.gather(
             self.lease.hand_back(),
             *(coordinator.duty.hand_back() for coordinator in self.coordinators.values()),
@@ -151,7 +158,7 @@
 
     @property
     def open(self) -> int:
-        """How many calls have no final answer yet."""
+        """The number of calls without a final answer."""
         return len(self.calls)
 
     @property
@@ -160,11 +167,11 @@
         return self.drain.has_begun()
 
     def counters(self):
-        """All counters of the process by name."""
+        """Return all counters of the process by name."""
         return dict(Counter(super().counters()) + self.http.count)
 
     def on_config(self, held):
-        """Keep, or stand for keeping, exactly the models of the configuration."""
+        """Run an admission coordinator for exactly the models of the configuration."""
         models = held.document.models
         for name in [name for name in self.coordinators if name not in models]:
             self.coordinators.pop(name).stop()
@@ -172,30 +179,30 @@
             self.coordinators[name] = AdmissionCoordinator(name, self)
             self.coordinators[name].start()
 
-    def on_coordinator_news(self, key, stamp, body):
-        """Learn who coordinates a model under which term."""
+    def on_coordinator_news(self, key, term, body):
+        """Record the newest coordinator of a model and its term."""
         model = key.removeprefix("duty/keeper/")
-        if stamp > self.known.get(model, (0, ""))[0]:
-            self.known[model] = (stamp, json.loads(body)["addr"])
+        if term > self.known_coordinators.get(model, (0, ""))[0]:
+            self.known_coordinators[model] = (term, json.loads(body)["addr"])
         coordinator = self.coordinators.get(model)
         if coordinator:
-            coordinator.duty.seen_term = max(coordinator.duty.seen_term, stamp)
+            coordinator.duty.seen_term = max(coordinator.duty.seen_term, term)
 
     def coordinator_of(self, model):
-        """(term, address) of the newest coordinator of a model, or None."""
+        """Return (term, address) of the newest known coordinator of a model, or None."""
         coordinator = self.coordinators.get(model)
         if coordinator and coordinator.duty.is_held():
             return coordinator.duty.term, self.me.addr
-        return self.known.get(model)
+        return self.known_coordinators.get(model)
 
     async def ask_coordinator(self, coordinator, ask, timeout_ms):
-        """Ask a coordinator, which may be this process."""
+        """Send a GrantAsk to a coordinator, which may be this process, and return the answer."""
         if coordinator[1] == self.me.addr:
             return await self.on_grant_ask(ask, self.me.addr)
         return await self.mesh.request(coordinator[1], ask, timeout_ms)
 
     def tell_coordinator(self, model, message):
-        """Tell the coordinator of a model something."""
+        """Send an AttemptEnd or GrantDrop to the coordinator of a model, if one is known."""
         coordinator = self.coordinator_of(model)
         if coordinator is None:
             return
@@ -206,13 +213,13 @@
         else:
             self.mesh.send(coordinator[1], message)
 
-    def take_grant(self, call, attempt, grant, asked_s):
-        """Note a grant, unless a newer coordinator is known."""
+    def accept_grant(self, call, attempt, grant, asked_s):
+        """Record a grant; return STALE_TERM if a newer coordinator is known, else None."""
         model = call.route.model
-        if grant.term < self.known.get(model, (0, ""))[0]:
+        if grant.term < self.known_coordinators.get(model, (0, ""))[0]:
             return STALE_TERM.with_reason(f"grant of term {grant.term}", 50)
-        self.running[call.name] = Running(call, model, grant.term, asked_s)
-        told = OpenConversation(
+        self.running[call.name] = GrantedCall(call, model, grant.term, asked_s)
+        report = OpenConversation(
             conversation=grant.conversation,
             tenant=call.tenant,
             group=call.group,
@@ -223,34 +230,40 @@
             weights=call.weights,
             attempt=attempt.number,
         )
-        self.served[grant.conversation] = Served(told, model, self.loop.time(), grant.is_start)
+        self.served[grant.conversation] = ServedConversation(
+            report, model, self.loop.time(), grant.is_start
+        )
         return None
 
-    def attempt_sent(self, attempt):
-        """A byte of an attempt may have gone out: its conversation is open from now on."""
+    def record_attempt_sent(self, attempt):
+        """Mark the conversation of an attempt as open: a byte may have been sent."""
         served = self.served.get(attempt.grant.conversation)
         if served:
-            served.told.is_sent, served.is_start = True, False
+            served.report.is_sent, served.is_start = True, False
 
     def is_grant_valid(self, name) -> bool:
-        """Whether a grant may be acted on: its time counts from the question or the newest hold."""
+        """Whether a grant may still be used.
+
+        It is valid for `grantMs` from the sending of the ask or of the newest renewal, and only
+        while no newer coordinator is known.
+        """
         running = self.running.get(name)
         return (
             running is not None
             and self.loop.time() - running.asked_s <= self.settings.grantMs / 1000
-            and running.term >= self.known.get(running.model, (0, ""))[0]
+            and running.term >= self.known_coordinators.get(running.model, (0, ""))[0]
         )
 
-    def attempt_ended(self, call, attempt):
-        """A attempt is over: tell the coordinator, and remember the conversation for a while."""
+    def record_attempt_end(self, call, attempt):
+        """Report the end of an attempt to the coordinator, and remember its conversation."""
         del self.running[call.name]
         served = self.served.get(attempt.grant.conversation)
         if served:
             served.idle_since_s = self.loop.time()
             if served.is_start and not attempt.was_sent:
                 del self.served[attempt.grant.conversation]
-            if served.told.call == call.name:
-                served.told.call = ""
+            if served.report.call == call.name:
+                served.report.call = ""
         usage = call.usage if attempt.is_whole else {}
         hits, parts = usage.get("hitParts", 0), usage.get("parts", 0)
         is_counted = (
@@ -280,7 +293,7 @@
         )
 
     async def on_grant_ask(self, ask, sender):
-        """Answer a request for a place, if this process coordinates the model."""
+        """Answer a GrantAsk, if this process coordinates the model."""
         coordinator = self.coordinators.get(ask.model)
         if (
             coordinator is None
@@ -293,41 +306,53 @@
         return await coordinator.on_grant_ask(ask, sender)
 
     def on_attempt_end(self, end, sender):
-        """Hand the end of an attempt to the model's coordinator."""
+        """Pass an AttemptEnd to the coordinator of its model, if this process has one."""
         coordinator = self.coordinators.get(end.model)
         return coordinator.on_attempt_end(end, sender) if coordinator else None
 
     def on_grant_drop(self, drop, sender):
-        """Hand a call that nobody waits for any more to the model's coordinator."""
+        """Pass a GrantDrop to the coordinator of its model, if this process has one."""
         coordinator = self.coordinators.get(drop.model)
         return coordinator.on_grant_drop(drop, sender) if coordinator else None
 
-    async def on_call_renewal(self, hold, sender):
-        """Renew what a router holds, if this process coordinates the model."""
-        coordinator = self.coordinators.get(hold.model)
-        return await coordinator.on_call_renewal(hold, sender) if coordinator else NOT_COORDINATOR
+    async def on_call_renewal(self, renewal, sender):
+        """Renew the grants of a router, if this process coordinates the model."""
+        coordinator = self.coordinators.get(renewal.model)
+        return (
+            await coordinator.on_call_renewal(renewal, sender) if coordinator else NOT_COORDINATOR
+        )
 
     def on_open_ask(self, ask, sender):
-        """A new coordinator gathers: what runs here, and what ran here a short while ago."""
-        known = self.known.get(ask.model, (0, ""))
+        """Report the conversations that run here, or ran here recently, to a new coordinator.
+
+        Conversations that were idle for too long are forgotten on the way.
+        """
+        known = self.known_coordinators.get(ask.model, (0, ""))
         if ask.term < known[0]:
             return STALE_TERM.with_reason(f"term {known[0]} is known")
-        self.known[ask.model] = (ask.term, ask.keeper)
+        self.known_coordinators[ask.model] = (ask.term, ask.keeper)
         model = self.lease.held.document.models.get(ask.model) if self.lease.held else None
-        idle_s, now_s, told = (model.idleMs / 1000 if model else 10.0), self.loop.time(), []
+        idle_s, now_s, reports = (model.idleMs / 1000 if model else 10.0), self.loop.time(), []
         for name, served in list(self.served.items()):
-            if not served.told.call and now_s - served.idle_since_s > idle_s + OUTAGE_S:
+            if (
+                not served.report.call
+                and now_s - served.idle_since_s > idle_s + COORDINATOR_OUTAGE_S
+            ):
                 del self.served[name]
             elif served.model == ask.model and (
-                served.told.is_sent or not served.told.call or not served.is_start
+                served.report.is_sent or not served.report.call or not served.is_start
             ):
-                served.told.idle_ms = (
-                    0 if served.told.call else int((now_s - served.idle_since_s) * 1000)
+                served.report.idle_ms = (
+                    0 if served.report.call else int((now_s - served.idle_since_s) * 1000)
                 )
-                told.append(served.told)
-        return OpenReturn(conversations=told)
+                reports.append(served.report)
+        return OpenReturn(conversations=reports)
 
-    async def _holding(self):
+    async def _renew_calls_periodically(self):
+        """Renew the granted calls of each model at its coordinator, every `holdMs`.
+
+        Beyond 20,000 remembered conversations only the newest 10,000 are kept.
+        """
         while True:
             await asyncio.sleep(self.settings.holdMs / 1000)
             by_model = {}
@@ -336,29 +361,32 @@
             for model, calls in by_model.items():
                 coordinator = self.coordinator_of(model)
                 if coordinator:
-                    asyncio.ensure_future(self._hold(coordinator, model, calls))
+                    asyncio.ensure_future(self._renew_calls(coordinator, model, calls))
             if len(self.served) > 20000:
                 self.served = dict(list(self.served.items())[-10000:])
 
-    async def _hold(self, coordinator, model, calls):
+    async def _renew_calls(self, coordinator, model, calls):
+        """Send a CallRenewal; extend the grants of the calls that the coordinator knows."""
         sent_s = self.loop.time()
-        heard = self.heard.get(model, CoordinatorContact(coordinator[0], 0))
-        hold = CallRenewal(
+        contact = self.coordinator_contacts.get(model, CoordinatorContact(coordinator[0], 0))
+        renewal = CallRenewal(
             router=self.me.name,
             model=model,
             calls=calls,
             term=coordinator[0],
-            heard_ms=heard.stamp_ms if heard.term == coordinator[0] else 0,
+            heard_ms=contact.stamp_ms if contact.term == coordinator[0] else 0,
         )
-        got = await (
-            self.on_call_renewal(hold, self.me.addr)
+        response = await (
+            self.on_call_renewal(renewal, self.me.addr)
             if coordinator[1] == self.me.addr
-            else self.mesh.request(coordinator[1], hold, 1000)
+            else self.mesh.request(coordinator[1], renewal, 1000)
         )
-        if not is_fault(got):
-            lost = set(got.lost) if isinstance(got, CallRenewalReturn) else set()
-            if isinstance(got, CallRenewalReturn):
-                self.heard[model] = CoordinatorContact(coordinator[0], got.stamp_ms)
+        if not is_fault(response):
+            lost = set(response.lost) if isinstance(response, CallRenewalReturn) else set()
+            if isinstance(response, CallRenewalReturn):
+                self.coordinator_contacts[model] = CoordinatorContact(
+                    coordinator[0], response.stamp_ms
+                )
             self.telemetry.count["grantsLapsed"] += len(lost)
             for running in [
                 self.running[name] for name in calls if name in self.running and name not in lost
@@ -370,12 +398,12 @@
                 )
 
     async def handle(self, exchange):
-        """One exchange at the callers' door."""
+        """Handle a request of a client or an operator."""
         path = exchange.path.rstrip("/")
         if path == "/v1/calls":
             if exchange.method != "POST":
                 return BAD_METHOD
-            return await self._call(exchange)
+            return await self._handle_call(exchange)
         key = self.settings.operatorKey
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
             return BAD_OPERATOR_KEY
@@ -384,14 +412,15 @@
         if path == "/v1/counters":
             return await exchange.send_json(200, self.counters())
         if path == "/v1/decisions":
-            return await self._decisions(exchange)
+            return await self._stream_decisions(exchange)
         if path.startswith("/v1/explain/"):
             return await exchange.send_json(
                 200, {"decisions": self.decisions.about(path.rsplit("/", 1)[1])}
             )
         return NOT_FOUND
 
-    async def _call(self, exchange):
+    async def _handle_call(self, exchange):
+        """Serve a call, while watching for a client that closes its sending side."""
         self.telemetry.count["calls"] += 1
         if self.stopping:
             return self._refuse(ROUTER_STOPPING)
@@ -401,39 +430,43 @@
 
         async def serve():
             nonlocal call
-            call = await self._call_of(exchange)
+            call = await self._parse_call(exchange)
             return self._refuse(call) if is_fault(call) else await call.serve()
 
         async def end():
             return (
-                await call.end_with_work()
+                await call.end_at_shutdown()
                 if isinstance(call, Call)
                 else self._refuse(ROUTER_STOPPING)
             )
 
-        probing = []
-        exchange.watch_client(lambda: probing.append(asyncio.ensure_future(self._probe(exchange))))
+        probe_tasks = []
+        exchange.watch_client(
+            lambda: probe_tasks.append(asyncio.ensure_future(self._probe_client(exchange)))
+        )
         try:
             return await self.calls.run(serve, end)
         finally:
-            for each in probing:
-                each.cancel()
+            for probe_task in probe_tasks:
+                probe_task.cancel()
 
-    async def _probe(self, exchange):
-        """Find out whether a caller that has ended its side still listens.
+    async def _probe_client(self, exchange):
+        """Find out whether a client that has closed its sending side still listens.
 
-        One that has closed replies to the first bytes with a reset; the next ones fail by it, and
-        the call is cancelled with its connection.
+        If it closed the connection, it replies to the first bytes with a reset; sending the next
+        bytes then fails, and the call is cancelled with its connection.
         """
         while not exchange.begun:
             exchange.show_life()
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(CLIENT_PROBE_PERIOD_S)
 
     def _refuse(self, fault):
+        """Count and return a fault by which a call is refused before it is served."""
         self.telemetry.count[f"faults.{fault.code}"] += 1
         return fault
 
-    async def _call_of(self, exchange):
+    async def _parse_call(self, exchange):
+        """Return the Call of a request, once a lease is held, or a fault."""
         try:
             body = msgspec.json.decode(exchange.body, type=CallBody)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -460,12 +493,16 @@
         call.key_digest = digest
         return call
 
-    async def _decisions(self, exchange):
+    async def _stream_decisions(self, exchange):
+        """Stream the decisions after the number `since`, which counts for one `process` only.
+
+        An empty line every 5 s without a decision keeps the connection alive.
+        """
         since = exchange.query.get("since", "0")
         if not since.isdecimal():
             return BAD_REQUEST.with_reason("since is a number")
         process = f"{self.me.incarnation:x}"
-        at = int(since) if exchange.query.get("process", process) == process else 0
+        last_number = int(since) if exchange.query.get("process", process) == process else 0
         exchange.begin(
             200, [("content-type", "application/x-ndjson"), ("transfer-encoding", "chunked")]
         )
@@ -474,20 +511,20 @@
             + b"\n"
         )
         while not self.stopping:
-            lost, items = self.decisions.since(at)
-            lead = [{"kind": "dropped", "count": lost}] if lost else []
-            for item in [*lead, *items]:
+            lost, items = self.decisions.since(last_number)
+            dropped = [{"kind": "dropped", "count": lost}] if lost else []
+            for item in [*dropped, *items]:
                 await exchange.send_chunk(msgspec.json.encode(item) + b"\n")
-            at = items[-1]["n"] if items else at
+            last_number = items[-1]["n"] if items else last_number
             if exchange.query.get("follow", "1") == "0":
                 break
             await self.decisions.more(5.0)
-            if not self.decisions.since(at)[1]:
+            if not self.decisions.since(last_number)[1]:
                 await exchange.send_chunk(b"\n")
         exchange.finish()
 
     def status(self):
-        """What doctor and operators want to know of this process."""
+        """Return the status of this process, for operators and the `doctor` command."""
         view, held = self.cluster_map.view, self.lease.held
         return {
             "name": self.me.name,
@@ -509,7 +546,8 @@
                 ],
             },
             "keepers": {
-                model: {"term": term, "addr": addr} for model, (term, addr) in self.known.items()
+                model: {"term": term, "addr": addr}
+                for model, (term, addr) in self.known_coordinators.items()
             },
             "keeps": [
                 coordinator.status()
--- a/tests/cases/calls.py
+++ b/tests/cases/calls.py
@@ -75,13 +75,13 @@
 
     def refused_at(self, cluster, name, is_cut):
         """Call a router that sends nothing, and cut it from the cores midway; gives the return."""
-        look, router = Call._may_be_sent, cluster.up[name]
+        look, router = Call._check_before_send, cluster.up[name]
 
         def fails(call, attempt):
             return STALE_WORKER_LIST if call.router is router else look(call, attempt)
 
         door = cluster.addresses[name]["http"]
-        with mock.patch.object(Call, "_may_be_sent", fails):
+        with mock.patch.object(Call, "_check_before_send", fails):
             box = cluster.spawn(
                 lambda: cluster.caller.call(
                     "saga", "check", ["b", "x"], idempotency="bill", door=door
--- a/tests/cases/grants.py
+++ b/tests/cases/grants.py
@@ -134,7 +134,7 @@
     def test_a_call_counts_once_however_often_its_first_attempt_is_granted(self):
         cluster, look, failures = (
             self.cluster(workers=1),
-            Call._may_be_sent,
+            Call._check_before_send,
             [STALE_WORKER_LIST] * 5,
         )
 
@@ -144,19 +144,19 @@
         cluster.world.run(11)
         budget = cluster.up[cluster.coordinator()].coordinators["screener"].budget
         budget.calls.clear()
-        with mock.patch.object(Call, "_may_be_sent", fails):
+        with mock.patch.object(Call, "_check_before_send", fails):
             self.assertTrue(cluster.call("saga", "tag", ["book", "x"])["whole"])
         self.assertEqual((failures, len(budget.calls)), ([], 1))
 
     def test_a_call_whose_grant_was_lost_takes_no_second_place(self):
-        cluster, take, lost = self.cluster(workers=1), Router.take_grant, [True]
+        cluster, take, lost = self.cluster(workers=1), Router.accept_grant, [True]
 
         def loses(router, call, attempt, grant, asked_s):
             return (
                 PEER_TIMEOUT if lost and lost.pop() else take(router, call, attempt, grant, asked_s)
             )
 
-        with mock.patch.object(Router, "take_grant", loses):
+        with mock.patch.object(Router, "accept_grant", loses):
             self.assertTrue(cluster.call("saga", "check", ["book", "x"], max_tokens=16)["whole"])
         self.assertEqual(
             (lost, sum(len(book.open) for book in cluster.slot_table().values())), ([], 1)
@@ -251,7 +251,7 @@
         self.sound(cluster)
 
     def test_what_a_process_frozen_between_its_look_and_its_write_sends_later_is_no_run(self):
-        cluster, look, frozen = self.cluster(routers=3, workers=2), Call._may_be_sent, []
+        cluster, look, frozen = self.cluster(routers=3, workers=2), Call._check_before_send, []
         name = next(each for each in cluster.router_names() if each != cluster.coordinator())
 
         def freezes(call, attempt):
@@ -261,7 +261,7 @@
                 cluster.world.freeze(name)
             return got
 
-        with mock.patch.object(Call, "_may_be_sent", freezes):
+        with mock.patch.object(Call, "_check_before_send", freezes):
             late = cluster.spawn(
                 lambda: cluster.caller.call(
                     "saga", "tag", ["a", "b"], door=cluster.addresses[name]["http"]
--- a/tests/cases/late_messages.py
+++ b/tests/cases/late_messages.py
@@ -66,7 +66,7 @@
     def test_a_late_question_of_an_earlier_coordinator_is_refused(self):
         self.ask(self.grant_ask("one"))
         self.cluster.world.run(1)
-        known = self.router.known[MODEL]
+        known = self.router.known_coordinators[MODEL]
         late = OpenAsk(term=known[0] - 1, model=MODEL, keeper="10.9.9.9:1")
         self.assertEqual(self.router.on_open_ask(late, "10.9.9.9:1").code, STALE_TERM.code)
-        self.assertEqual(self.router.known[MODEL], known)
+        self.assertEqual(self.router.known_coordinators[MODEL], known)
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -56,13 +56,13 @@
         "promise only when nothing was sent",
         calls.CallsCase,
         "test_a_hanging_worker_is_given_up_at_the_bound_without_a_promise",
-        [(Ledger, "verdict", replacements.promises)],
+        [(Ledger, "final_fault", replacements.promises)],
     ),
     (
         "pieces checked by run and number",
         calls.CallsCase,
         "test_malformed_foreign_and_repeated_pieces_never_reach_a_caller",
-        [(Call, "_read", replacements.believes)],
+        [(Call, "_parse_piece", replacements.believes)],
     ),
     (
         "group of a tenant kept apart",
@@ -158,7 +158,7 @@
         "claims in their own time",
         calls.CallsCase,
         "test_a_caller_told_not_run_is_served_at_any_router_with_the_same_key",
-        [(Call, "_promised", replacements.as_is)],
+        [(Call, "_confirm_not_run", replacements.as_is)],
     ),
     (
         "who waited longest before a new keeper",
--- a/tests/cases/replacements.py
+++ b/tests/cases/replacements.py
@@ -25,7 +25,7 @@
     return (
         json.loads(line[5:])
         if line.strip().startswith(b'data: {"')
-        else {"run": self.run(), "seq": expected, "text": "?"}
+        else {"run": self.run_id(), "seq": expected, "text": "?"}
     )
 
 
@@ -94,7 +94,7 @@
     move, fault = next_action(ledger, now_ms)
     return (
         (NextAction.NOMINATE, None)
-        if move is NextAction.GIVE_UP and fault.notRun and now_ms < ledger.horizonMs
+        if move is NextAction.GIVE_UP and fault.notRun and now_ms < ledger.horizon_ends_ms
         else (move, fault)
     )
 
