--- a/swiftdeck/traffic/fetches.py
+++ b/swiftdeck/traffic/fetches.py
@@ -1,16 +1,16 @@
-"""The fetch planner: where an admitted conversation's prefix comes from, if its worker lacks it."""
+"""Selects the source from which a worker fetches the cached prefix of a prompt."""
 
 import asyncio
 
-SLOW_S = 10.0
-"""How long a link that was too slow is not tried again."""
+SLOW_LINK_AVOID_S = 10.0
+"""How long a link that was too slow is not used again."""
 
 
 class FetchPlanner:
-    """Prefers the peer that keeps most, then the store; avoids a slow link for a while.
+    """Prefers the worker that caches most of the prompt, then the store; avoids slow links.
 
-    `avoided` has the time until which each pair of source and target is avoided; a source is the
-    name of a worker, or the address of the store.
+    `avoided` has the time until which a pair of source and target is avoided; a source is the name
+    of a worker, or the address of the store.
     """
 
     def __init__(self, coordinator, index, workers, store=""):
@@ -18,11 +18,11 @@
         self.avoided: dict[tuple[str, str], float] = {}
 
     def clear(self):
-        """Know of no slow link."""
+        """Forget all slow links."""
         self.avoided = {}
 
     def source(self, target: str, ask) -> str:
-        """Return the address to fetch from, empty for computing anew."""
+        """Return the address to fetch from; empty if the worker shall compute the prefix itself."""
         config = self.coordinator.config()
         if not config.fetches or len(ask.chain) < 2 or ask.size < config.fetchLeast:
             return ""
@@ -37,9 +37,12 @@
         return ""
 
     def _best_peer(self, target: str, ask, depth_here: int):
-        """Return the listed worker that keeps most of a prompt over a usable link, or None."""
+        """Return the listed worker that caches most of a prompt, or None.
+
+        None also if it caches no more than the target, or the link to it is not usable.
+        """
         depths = {
-            name: self.index.depth(name, ask.chain) for name in self.index.kept if name != target
+            name: self.index.depth(name, ask.chain) for name in self.index.caches if name != target
         }
         best = max(
             depths, key=lambda name: (depths[name], self._is_usable(name, target)), default=None
@@ -49,14 +52,14 @@
         return self.workers.workers.get(best)
 
     def _is_usable(self, source: str, target: str) -> bool:
-        """Whether a link was not too slow lately."""
+        """Whether a link was not found too slow recently."""
         until_s = self.avoided.get((source, target))
         return until_s is None or until_s <= asyncio.get_running_loop().time()
 
     def avoid(self, address: str, target: str):
-        """Avoid a link for a while, over which a fetch took too long."""
+        """Avoid a link for SLOW_LINK_AVOID_S, because a fetch over it took too long."""
         source = next(
             (worker.name for worker in self.coordinator.listed_workers() if worker.addr == address),
             address,
         )
-        self.avoided[(source, target)] = asyncio.get_running_loop().time() + SLOW_S
+        self.avoided[(source, target)] = asyncio.get_running_loop().time() + SLOW_LINK_AVOID_S
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -48,7 +48,7 @@
 )
 
 COORDINATOR_OUTAGE_S = 15.0
-"""How long a conversation is remembered past its idle limit, while a coordinator is replaced."""
+"""How long past its idle limit a conversation is remembered, to outlast a coordinator's outage."""
 CLIENT_PROBE_PERIOD_S = 0.2
 """How often a client that has closed its sending side is sent a sign of life."""
 DRAIN_POLL_S, LAST_ANSWERS_S = 0.05, 0.6
@@ -518,7 +518,7 @@
             last_number = items[-1]["n"] if items else last_number
             if exchange.query.get("follow", "1") == "0":
                 break
-            await self.decisions.more(5.0)
+            await self.decisions.wait_for_more(5.0)
             if not self.decisions.since(last_number)[1]:
                 await exchange.send_chunk(b"\n")
         exchange.finish()
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -76,7 +76,7 @@
         "test_a_router_cut_from_the_cores_holds_its_lease_through_a_neighbour",
         [
             (ConfigLease, "is_held", replacements.holds),
-            (ConfigLease, "_through_others", replacements.no_neighbour),
+            (ConfigLease, "_renew_through_neighbours", replacements.no_neighbour),
         ],
     ),
     (
@@ -216,10 +216,10 @@
         config.ConfigCase,
         "test_changes_are_in_force_within_two_seconds_while_nothing_fails",
         [
-            (ConfigLease, "on_nudge", lambda self, nudge, sender: None),
+            (ConfigLease, "on_config_changed", lambda self, message, sender: None),
             (
                 "swiftdeck.traffic.lease.ConfigLease",
-                "renewMs",
+                "renew_ms",
                 property(lambda self: 2900, lambda self, value: None),
             ),
         ],
--- a/tests/gateway/cases/cut_cores.py
+++ b/tests/gateway/cases/cut_cores.py
@@ -176,7 +176,7 @@
         def takes_anything(self, got, sent_s):
             return self._install(got) if got.document else False
 
-        with mock.patch.object(ConfigLease, "_take", takes_anything):
+        with mock.patch.object(ConfigLease, "_apply_update", takes_anything):
             cluster = OrderCluster(4, routers=2).start()
             router = cluster.up["router1"]
             old = router.lease.held
@@ -185,10 +185,10 @@
             late = LeaseReturn(
                 version=old.version, document=old.config.bytes(), digest=old.config.digest()
             )
-            cluster._do("router1", lambda: router.lease._take(late, 0.0))
+            cluster._do("router1", lambda: router.lease._apply_update(late, 0.0))
             self.assertEqual(router.lease.held.version, old.version)
         cluster.world.run(1)
         newest = router.lease.held.version
         self.assertGreater(newest, old.version)
-        cluster._do("router1", lambda: router.lease._take(late, 0.0))
+        cluster._do("router1", lambda: router.lease._apply_update(late, 0.0))
         self.assertEqual(router.lease.held.version, newest)
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -198,7 +198,7 @@
         held = lease.held.version
         for version in (held - 1, held + 5):
             self.cluster.world.run_in(
-                "router1", lambda v=version: lease.on_nudge(ConfigChanged(version=v), "")
+                "router1", lambda v=version: lease.on_config_changed(ConfigChanged(version=v), "")
             )
             self.cluster.world.run(1)
             self.assertEqual((lease.held.version, lease.is_held()), (held, True))
--- a/tests/gateway/cases/routers.py
+++ b/tests/gateway/cases/routers.py
@@ -146,7 +146,7 @@
         async def peeks_at_nothing(self):
             return None
 
-        with mock.patch.object(ConfigLease, "_peek", peeks_at_nothing):
+        with mock.patch.object(ConfigLease, "_peek_durable_config", peeks_at_nothing):
             self.assertFalse(self.begin_without_lease().up["router1"].is_ready())
 
     def test_clients_that_leave_take_nothing_with_them(self):
--- a/tests/traffic/test_budget.py
+++ b/tests/traffic/test_budget.py
@@ -6,7 +6,7 @@
 
 
 class BudgetTest(unittest.TestCase):
-    def test_one_in_five_plus_an_allowance_that_a_new_keeper_lacks(self):
+    def test_a_fifth_of_the_calls_plus_an_allowance_that_a_new_coordinator_lacks(self):
         budget = Budget(start_s=0)
         for _ in range(10):
             budget.call(1)
--- a/tests/traffic/test_decisions.py
+++ b/tests/traffic/test_decisions.py
@@ -6,16 +6,16 @@
 
 
 class DecisionsTest(unittest.TestCase):
-    def test_a_resume_says_how_many_were_dropped(self):
-        decisions = Decisions(lambda: 0.0, keep=3)
+    def test_a_resumed_reader_learns_how_many_were_dropped(self):
+        decisions = Decisions(lambda: 0.0, limit=3)
         for number in range(5):
             decisions.add("start", call=str(number))
-        lost, items = decisions.since(1)
-        self.assertEqual((lost, [item["n"] for item in items]), (1, [3, 4, 5]))
+        dropped, items = decisions.since(1)
+        self.assertEqual((dropped, [item["n"] for item in items]), (1, [3, 4, 5]))
         self.assertEqual(decisions.since(4)[1][0]["n"], 5)
         self.assertEqual(decisions.since(9), (0, []))
 
-    def test_all_about_a_call_and_its_conversation(self):
+    def test_all_decisions_about_a_call_and_its_conversation(self):
         decisions = Decisions(lambda: 0.0)
         decisions.add("wait", call="c1")
         decisions.add("start", call="c1", conversation="t1")
--- a/tests/traffic/test_prefix.py
+++ b/tests/traffic/test_prefix.py
@@ -6,7 +6,7 @@
 
 
 class PrefixTest(unittest.TestCase):
-    def test_names_differ_by_weights_group_and_cut_between_parts(self):
+    def test_digests_differ_by_weights_group_and_boundaries_of_parts(self):
         base = chain_of("w1", group_of("a", False), ["book", "x"])
         self.assertEqual(base, chain_of("w1", group_of("b", False), ["book", "x"]))
         others = [
@@ -15,5 +15,5 @@
             chain_of("w1", group_of("b", True), ["book", "x"]),
             chain_of("w1", "shared", ["boo", "kx"]),
         ]
-        self.assertFalse(set(base) & {link for chain in others for link in chain})
+        self.assertFalse(set(base) & {digest for chain in others for digest in chain})
         self.assertEqual(base[0], chain_of("w1", "shared", ["book", "y"])[0])
--- a/tests/traffic/test_ring.py
+++ b/tests/traffic/test_ring.py
@@ -6,7 +6,7 @@
 
 
 class RingTest(unittest.TestCase):
-    def test_one_worker_less_moves_only_its_own_keys(self):
+    def test_removing_a_worker_moves_only_its_own_keys(self):
         names = [f"w{number}" for number in range(9)]
         keys = [b"%d" % number for number in range(2000)]
         before, after = Ring(names), Ring(names[:-1])
