--- a/swiftdeck/traffic/lease.py
+++ b/swiftdeck/traffic/lease.py
@@ -40,7 +40,7 @@
 
 
 class ConfigLease:
-    """Holds the configuration and renews the lease on it at the chain's tail, or through a neighbour.
+    """Holds the configuration and renews the lease on it at the tail, or through a neighbour.
 
     Nothing is sent to a worker without a lease. `watchers` are called with each new HeldConfig.
     With `peeks` set, a configuration is taken from a core's disk before there is a lease.
@@ -74,7 +74,7 @@
             self.peek_task = asyncio.ensure_future(self._peek_until_held())
 
     def is_held(self) -> bool:
-        """Whether the configuration held may be served by now."""
+        """Whether calls may be served by the configuration held at this moment."""
         return self.held is not None and self.loop.time() < self.until_s
 
     def on_config_changed(self, message, sender):
@@ -131,7 +131,7 @@
 
         Neither must appear older than the tail said, however long the answer was on its way. So
         the ages of weights count from the arrival of the answer, which later renewals correct, and
-        a change of the cores from when the tail was asked.
+        a change of the cores counts, like `core_seen_s`, from when the tail was asked.
         """
         self.weight_ages.merge(response.named, self.loop.time())
         if response.core_calm_ms:
--- a/swiftdeck/traffic/router.py
+++ b/swiftdeck/traffic/router.py
@@ -72,7 +72,8 @@
 class ServedConversation:
     """What this router remembers of a conversation, to report it to a new coordinator.
 
-    `is_start` is set while the conversation's first attempt has not been sent.
+    `report` is what is sent to that coordinator; `is_start` is set while the conversation's first
+    attempt has not been sent.
     """
 
     report: OpenConversation
@@ -325,7 +326,8 @@
     def on_open_ask(self, ask, sender):
         """Report the conversations that run here, or ran here recently, to a new coordinator.
 
-        Conversations that were idle for too long are forgotten on the way.
+        One whose first attempt was granted but not sent is left out. Conversations that were idle
+        for too long are forgotten.
         """
         known = self.known_coordinators.get(ask.model, (0, ""))
         if ask.term < known[0]:
