--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -19,11 +19,11 @@
 from swiftdeck.traffic.budget import Budget
 from swiftdeck.traffic.call import Call
 from swiftdeck.traffic.claims import Claims
+from swiftdeck.traffic.conversation_mover import ConversationMover
 from swiftdeck.traffic.coordinator import AdmissionCoordinator
 from swiftdeck.traffic.fair_queue import FairQueue
 from swiftdeck.traffic.lease import ConfigLease
 from swiftdeck.traffic.ledger import Ledger
-from swiftdeck.traffic.moves import Moves
 from swiftdeck.traffic.slot_table import SlotTable
 from swiftdeck.traffic.takeover import Takeover
 from swiftdeck.traffic.worker_slots import WorkerSlots
@@ -56,13 +56,13 @@
         "promise only when nothing was sent",
         calls.CallsCase,
         "test_a_hanging_worker_is_given_up_at_the_bound_without_a_promise",
-        [(Ledger, "verdict", replacements.promises)],
+        [(Ledger, "final_fault", replacements.promises)],
     ),
     (
         "pieces checked by run and number",
         calls.CallsCase,
         "test_malformed_foreign_and_repeated_pieces_never_reach_a_caller",
-        [(Call, "_read", replacements.believes)],
+        [(Call, "_parse_piece", replacements.believes)],
     ),
     (
         "group of a tenant kept apart",
@@ -76,7 +76,7 @@
         "test_a_router_cut_from_the_cores_holds_its_lease_through_a_neighbour",
         [
             (ConfigLease, "is_held", replacements.holds),
-            (ConfigLease, "_through_others", replacements.no_neighbour),
+            (ConfigLease, "_renew_through_neighbours", replacements.no_neighbour),
         ],
     ),
     (
@@ -158,14 +158,14 @@
         "claims in their own time",
         calls.CallsCase,
         "test_a_caller_told_not_run_is_served_at_any_router_with_the_same_key",
-        [(Call, "_promised", replacements.as_is)],
+        [(Call, "_confirm_not_run", replacements.as_is)],
     ),
     (
         "who waited longest before a new keeper",
         coordinators.CoordinatorsCase,
         "test_the_line_of_a_lost_keeper_stands_anew_in_the_order_of_waiting",
         [
-            (Takeover, "gathered", replacements.polls),
+            (Takeover, "wait_until_ready", replacements.polls),
             (FairQueue, "_add_tenant", replacements.adds_last),
         ],
     ),
@@ -191,7 +191,7 @@
         "later calls pass the line",
         admission.AdmissionCase,
         "test_a_later_call_of_an_admitted_conversation_never_waits_behind_the_line",
-        [(SlotTable, "continued", lambda self, ask: None)],
+        [(SlotTable, "find_conversation", lambda self, ask: None)],
     ),
     (
         "conversations known without their weights",
@@ -203,7 +203,7 @@
         "conversations of a draining worker move",
         admission.AdmissionCase,
         "test_conversations_of_a_draining_worker_move_and_keep_their_admission",
-        [(Moves, "settle", lambda self, conversation, ask: None)],
+        [(ConversationMover, "move_if_needed", lambda self, conversation, ask: None)],
     ),
     (
         "the view is mended",
@@ -216,10 +216,10 @@
         config.ConfigCase,
         "test_changes_are_in_force_within_two_seconds_while_nothing_fails",
         [
-            (ConfigLease, "on_nudge", lambda self, nudge, sender: None),
+            (ConfigLease, "on_config_changed", lambda self, message, sender: None),
             (
                 "swiftdeck.traffic.lease.ConfigLease",
-                "renewMs",
+                "renew_ms",
                 property(lambda self: 2900, lambda self, value: None),
             ),
         ],
