--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -303,7 +303,7 @@
         share = self.settings.longCallsLogged
         return is_long and self.telemetry.log is not None and self.random.random() < share
 
-    def seen(self, request, worker, salt, is_kept):
+    def on_request_answered(self, request, worker, salt, is_kept):
         """A request was answered whole."""
         if is_kept:
             for part in request.shared():
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -1,4 +1,4 @@
-"""One request on its way through a gateway: a ledger of attempts from which the next move is derived."""
+"""A request that the gateway forwards to a worker: its ledger of attempts determines the next action."""
 
 import asyncio
 import re
@@ -32,28 +32,28 @@
 EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)\r?\n")
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_DATA = re.compile(rb"(?:^|\n)data:")
-FRAMING = (b"content-length", b"transfer-encoding")
-BODILESS = (204, 304)
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
+BODILESS_STATUSES = (204, 304)
 HALF_CLOSED_S = 0.25
-"""How long a request that may run only once may take to reach a worker after its client has ended its side."""
-MARGIN_S = 0.015
-BEGUN_MARGIN_S = 2 * MARGIN_S
-"""A final answer is to be there before the deadline, by the first margin; one that has begun, or that a worker works on, has all of
-its time."""
+"""How long after its client half-closed the connection a non-repeatable request may still take to reach a worker."""
+DEADLINE_MARGIN_S = 0.015
+STREAMING_MARGIN_S = 2 * DEADLINE_MARGIN_S
+"""A final answer of the router is due DEADLINE_MARGIN_S before the client's deadline. An answer that has begun, or that a worker
+still computes, may use all of the client's time."""
 
 
-def _unframed(headers):
-    """Headers of an answer that has no body by its status or method, and so no chunks either."""
+def _without_transfer_encoding(headers):
+    """Return the headers for an answer that has no body, by its status or method, and so must not announce chunks."""
     return [each for each in headers if each[0].lower() != b"transfer-encoding"]
 
 
-def _is_behind(event_id: bytes, last: str) -> bool:
-    """Whether an event's id doesn't lie beyond the last one that was passed on."""
-    return event_id.isdigit() and last.isdecimal() and int(event_id) <= int(last)
+def _is_behind(event_id: bytes, last_event_id: str) -> bool:
+    """Return whether an event's id is not above the id of the last event that was relayed."""
+    return event_id.isdigit() and last_event_id.isdecimal() and int(event_id) <= int(last_event_id)
 
 
 class ProxiedRequest:
-    """Drives one request to its final answer."""
+    """Drives one client request to its final answer, over one or more attempts at workers."""
 
     def __init__(self, gateway, exchange, request, route, tenant, start_s):
         self.gateway, self.exchange, self.request, self.route, self.tenant = (
@@ -68,17 +68,17 @@
         self.service = route.service(gateway.random.random())
         left_s = min(request.time_left_ms, path.timeout_ms) / 1000
         self.ledger = Ledger(
-            path.repeatable, path.resumable, path.tries, start_s + left_s - MARGIN_S
+            path.repeatable, path.resumable, path.tries, start_s + left_s - DEADLINE_MARGIN_S
         )
         self.avoid, self.link, self.place, self.worker = set(), None, None, None
-        self.last_event, self.rest, self.is_long = (
+        self.last_event, self.partial_event, self.is_long = (
             request.last_event,
             b"",
             gateway.placing.is_long(request),
         )
         self.aim_s = (path.target_ms or 1000) / 1000
         self.salt, self.version = "", 0
-        self.is_passing_on, self.first_event_ms, self.reading_ms = False, 0, 0.0
+        self.is_sending_to_client, self.first_event_ms, self.reading_ms = False, 0, 0.0
         self.trace = self._new_trace() if gateway.logs_call(self.is_long) else None
 
     def _new_trace(self):
@@ -96,45 +96,45 @@
         return self.ledger.deadline_s - self.loop.time()
 
     async def serve(self):
-        """Make moves until the request has its final answer.
+        """Make attempts until the request has its final answer.
 
-        It comes at once where the client has left, and at the end of the work at the latest.
+        Work stops at once when the client has left, and at the end of the router's drain at the latest.
         """
         try:
-            await self.gateway.requests.run(self._move_on, self._end_early, self)
+            await self.gateway.requests.run(self._run_attempts, self._end_early, self)
         finally:
-            self._leave()
+            self._release_worker()
             if self.trace is not None:
                 self.trace.ended_ms = self._elapsed_ms()
                 self.gateway.telemetry.log_event(
                     "long call", request=self.request.name, **self.trace.fields()
                 )
 
-    async def _move_on(self):
-        acts = {NextAction.PLACE: self._place, NextAction.SEND: self._send}
+    async def _run_attempts(self):
+        handlers = {NextAction.PLACE: self._choose_worker, NextAction.SEND: self._run_attempt}
         self.exchange.watch_client(self._client_ended)
         while True:
             if self._is_abandoned():
                 return await self._end_early()
-            move, fault = next_action(self.ledger, self.loop.time())
-            if move not in acts:
-                return await self._end(move, fault)
-            await acts[move]()
+            action, fault = next_action(self.ledger, self.loop.time())
+            if action not in handlers:
+                return await self._send_final_answer(action, fault)
+            await handlers[action]()
 
     def _client_ended(self):
-        """End the work for a client that has left: now, or once a request that may run only once has waited for too long."""
+        """Stop the work for a client that has left: now, or when a non-repeatable request hasn't reached a worker in time."""
         self._end_if_abandoned()
-        self.loop.call_later(HALF_CLOSED_S + MARGIN_S, self._end_if_abandoned)
+        self.loop.call_later(HALF_CLOSED_S + DEADLINE_MARGIN_S, self._end_if_abandoned)
 
     def _end_if_abandoned(self):
         if self._is_abandoned():
             self.gateway.requests.interrupt(self)
 
     def _is_abandoned(self) -> bool:
-        """Whether the client has ended its side, and the request may be given up.
+        """Return whether the client has ended its side and the request may be given up.
 
-        A request that may run only once and has reached a worker can't be taken back. A client that has closed no more
-        than its half gets that answer, and has a short while for it to reach a worker.
+        A non-repeatable request that has reached a worker can't be withdrawn. A client that only half-closed its
+        connection still gets that answer, provided that the request reaches a worker within HALF_CLOSED_S.
         """
         path, exchange = self.route.path, self.exchange
         if path.repeatable or path.streaming:
@@ -143,8 +143,8 @@
         return not may_have_run and exchange.has_client_ended(HALF_CLOSED_S)
 
     async def _end_early(self):
-        """Give the final answer that what was done allows; an answer that has begun can only be cut."""
-        self._leave()
+        """Send the final answer that the attempts so far allow; an answer that has begun can only be aborted."""
+        self._release_worker()
         if self._is_abandoned():
             counter, fault, reason = "endedWithClient", CLIENT_CLOSED, CutReason.CLIENT_LEFT
         else:
@@ -156,7 +156,7 @@
         self.gateway.telemetry.count[f"faults.{fault.code}"] += 1
         return await self.gateway.refuse(self.exchange, fault, self.request)
 
-    def _leave(self):
+    def _release_worker(self):
         if self.link is not None:
             self.link.close()
             self.link = None
@@ -168,54 +168,58 @@
             self.gateway.admission.ended(self.place, self.first_event_ms)
             self.place, self.first_event_ms = None, 0
 
-    async def _place(self):
-        """Choose a worker, and have it admitted where the prompt is long."""
-        self._leave()
+    async def _choose_worker(self):
+        """Choose a worker for the next attempt; a long prompt also needs a place in the worker's slot table."""
+        self._release_worker()
         gateway, ledger = self.gateway, self.ledger
         attempt = Attempt(len(ledger.attempts) + 1)
         sent = ledger.sent()
         ledger.attempts.append(attempt)
-        worker = await self._admitted(attempt)
+        worker = await self._admitted_worker(attempt)
         if worker is not None and sent and not gateway.budget.draw(self.service):
             gateway.telemetry.count["budgetRefusals"] += 1
             attempt.fault, worker = RETRY_BUDGET_EXHAUSTED, None
         attempt.worker = worker
 
-    async def _admitted(self, attempt):
+    async def _admitted_worker(self, attempt):
         gateway, request = self.gateway, self.request
         workers = gateway.eligible(self.service, request.model)
-        fresh = [each for each in workers if each.name not in self.avoid] or (
+        untried = [each for each in workers if each.name not in self.avoid] or (
             workers if self.ledger.repeatable else []
         )
-        salts = {each.name: gateway.salt(request.model, each, self.tenant) for each in fresh}
+        salts = {each.name: gateway.salt(request.model, each, self.tenant) for each in untried}
         if self.is_long:
-            return await self._search_place(attempt, fresh, salts)
-        order = gateway.placing.order_short(fresh, gateway.worker_registry.serving(self.service))
-        if not order:
+            return await self._find_placement(attempt, untried, salts)
+        candidates = gateway.placing.order_short(
+            untried, gateway.worker_registry.serving(self.service)
+        )
+        if not candidates:
             attempt.fault = NO_WORKER
             return None
-        roomy = [each for each in order if each.running < each.listed.slots] or order[:1]
-        return roomy[0]
+        with_free_slot = [
+            each for each in candidates if each.running < each.listed.slots
+        ] or candidates[:1]
+        return with_free_slot[0]
 
-    async def _search_place(self, attempt, workers, salts):
-        """A worker whose book has a place for this long call."""
+    async def _find_placement(self, attempt, workers, salts):
+        """Return a worker whose slot table admits this long call, or None with the fault noted in the attempt."""
         search = PlaceSearch(self.gateway, self, workers, salts)
         costs = search.costs()
         if not costs:
             attempt.fault = NO_WORKER
             return None
-        found = await search.find(costs)
-        if found is None:
+        placement = await search.find(costs)
+        if placement is None:
             self.gateway.telemetry.count["refusedForRoom"] += 1
             attempt.fault = NO_WORKER_CAPACITY
             return None
-        self.place, self.reading_ms = found.wish, found.reading_ms
+        self.place, self.reading_ms = placement.wish, placement.reading_ms
         if self.trace is not None:
             self.trace.placed_ms = self._elapsed_ms()
-        return found.worker
+        return placement.worker
 
     def wish(self, worker, tokens_to_read: int) -> Wish:
-        """What is asked of a worker's book."""
+        """Return the admission request for a place at a worker."""
         request = self.request
         return Wish(
             request.name,
@@ -227,30 +231,30 @@
             tokens_to_read,
         )
 
-    async def _send(self):
+    async def _run_attempt(self):
         attempt = self.ledger.attempts[-1]
         worker = self.worker = attempt.worker
         worker.running += 1
         worker.running_long += self.is_long
-        attempt.fault = await self._attempt(attempt, worker)
+        attempt.fault = await self._send_to_worker(attempt, worker)
         if attempt.fault is not None:
             self.avoid.add(worker.name)
             if self.link is not None:
                 self.link.close()
                 self.link = None
 
-    async def _attempt(self, attempt, worker):
+    async def _send_to_worker(self, attempt, worker):
         gateway = self.gateway
-        got = await gateway.pool.take(worker, self._left_s())
-        if is_fault(got):
-            if got.code == WORKER_UNREACHABLE.code:
+        connection = await gateway.pool.take(worker, self._left_s())
+        if is_fault(connection):
+            if connection.code == WORKER_UNREACHABLE.code:
                 gateway.judge.failed(worker)
-            return got
-        self.link = got
+            return connection
+        self.link = connection
         if self.loop.time() >= self.ledger.deadline_s:
             return DEADLINE_PASSED
         if not gateway.is_usable(self.request.model, worker.knows(self.request.model)):
-            self._give_back()
+            self._release_connection()
             return NO_WORKER.with_reason("the worker's weights have become too old")
         upstream_request = self._upstream_request(worker)
         self._check_admission()
@@ -266,7 +270,7 @@
         gateway.telemetry.count["attemptsSent"] += 1
         gateway.note_sending(self.request.model, self.version)
         gateway.check_weights(self.request.model, self.version, sent_s, "sent")
-        head = await self._head_in_time(worker, sent_s)
+        head = await self._await_head(worker, sent_s)
         if head is None:
             return WORKER_SILENT
         if is_fault(head):
@@ -277,10 +281,13 @@
                 if head.code != BAD_BACKEND_RESPONSE.code
                 else BAD_WORKER_OUTPUT.with_reason(head.reason)
             )
-        return await self._take(attempt, worker, head, sent_s)
+        return await self._handle_head(attempt, worker, head, sent_s)
 
     def _check_admission(self):
-        """A request that was read after the end of admission, or is still here after that of the work, goes to no worker."""
+        """Count an invariant violation when a request is forwarded outside the drain's limits.
+
+        No request may go to a worker that was read after the end of admission, or that is still here after the end of work.
+        """
         drain = self.gateway.drain
         if self.start_s < drain.admission_end_s and self.loop.time() < drain.work_end_s:
             return
@@ -291,40 +298,40 @@
             phase=drain.phase(self.loop.time()).value,
         )
 
-    async def _head_in_time(self, worker, sent_s):
-        """The head of the answer, or None when another worker is to be tried.
+    async def _await_head(self, worker, sent_s):
+        """Return the head of the answer, a fault, or None when another worker should be tried.
 
-        Silence ends nothing that can't be repeated, and nothing at a worker that answers others meanwhile; but where a request
-        may still wait at its worker, it is taken back before it would begin on weights that are too old.
+        Silence never ends a non-repeatable request, nor an attempt at a worker that answers other requests meanwhile. A
+        request that may still be queued at its worker is withdrawn before it could start on weights that are too old.
         """
-        reading = asyncio.ensure_future(self._head())
+        reading = asyncio.ensure_future(self._read_head())
         try:
-            until_s = sent_s + self._patience_s()
+            until_s = sent_s + self._silence_limit_s()
             while True:
-                begin_s = self.gateway.must_begin_by_s(self.request.model, self.version)
-                wake_s = min(until_s, self.ledger.deadline_s, begin_s)
+                start_limit_s = self.gateway.must_begin_by_s(self.request.model, self.version)
+                wake_s = min(until_s, self.ledger.deadline_s, start_limit_s)
                 await asyncio.wait([reading], timeout=max(0.001, wake_s - self.loop.time()))
                 if reading.done():
                     return reading.result()
                 if self.loop.time() >= self.ledger.deadline_s:
                     return DEADLINE_PASSED
-                if self.loop.time() >= begin_s:
+                if self.loop.time() >= start_limit_s:
                     self.gateway.telemetry.count["oldWeightsTakenBack"] += 1
                     return None
-                if worker.answered_s < sent_s and self._may_move(worker):
+                if worker.answered_s < sent_s and self._can_retry_elsewhere(worker):
                     self.gateway.judge.failed(worker, False)
                     return None
                 until_s = self.loop.time() + 0.1
         finally:
             reading.cancel()
 
-    def _patience_s(self):
-        """How long a worker may say nothing before it can count as silent."""
+    def _silence_limit_s(self):
+        """Return for how many seconds a worker may send nothing before it can count as silent."""
         reading_ms = self.reading_ms if self.gateway.policy.patience else 0.0
         return silence_limit_s(self.aim_s, reading_ms)
 
-    def _may_move(self, worker):
-        """Whether a further attempt could be made at another worker."""
+    def _can_retry_elsewhere(self, worker):
+        """Return whether the retry rules and the budget allow another attempt, and another worker answered within the last second."""
         ledger, gateway = self.ledger, self.gateway
         return (
             ledger.repeatable
@@ -346,11 +353,11 @@
         target = gateway.placing.target(request, self.salt)
         gateway.telemetry.count["fetches"] += bool(source)
         if self.trace is not None:
-            self._trace_sending(worker, source, target)
+            self._trace_attempt(worker, source, target)
         return UpstreamRequest(
             worker.name,
             self.tenant,
-            max(1, int((self._left_s() + MARGIN_S) * 1000)),
+            max(1, int((self._left_s() + DEADLINE_MARGIN_S) * 1000)),
             gateway.urgency(self.route, self.tenant, self.is_long),
             str(version) if version else "",
             self.salt,
@@ -359,8 +366,8 @@
             self.last_event,
         )
 
-    def _trace_sending(self, worker, source, target):
-        """Note what is believed as the request is sent."""
+    def _trace_attempt(self, worker, source, target):
+        """Record in the trace what the router assumes about caches when it sends the request."""
         trace, kept, shared = self.trace, self.gateway.kept, self.request.shared()
         trace.worker, trace.salt, trace.source, trace.target = (
             worker.name,
@@ -374,8 +381,8 @@
         trace.sent_ms = self._elapsed_ms()
         trace.attempts += 1
 
-    async def _head(self):
-        """The head of the answer that is due; what belongs to an earlier request is passed over."""
+    async def _read_head(self):
+        """Return the head of the answer to this request, or a fault; answers to earlier requests are skipped."""
         while True:
             event = await self.link.event()
             if is_fault(event):
@@ -394,12 +401,12 @@
             if fault is not None:
                 return fault
 
-    async def _take(self, attempt, worker, head, sent_s):
+    async def _handle_head(self, attempt, worker, head, sent_s):
         gateway, (status, headers) = self.gateway, head
         self.link.hear(headers)
-        speak = gateway.worker_codec
-        version, is_its_own = speak.version(headers), speak.worker(headers) in ("", worker.name)
-        if version and is_its_own and self.verdict is not Verdict.BAD:
+        codec = gateway.worker_codec
+        version, is_from_worker = codec.version(headers), codec.worker(headers) in ("", worker.name)
+        if version and is_from_worker and self.verdict is not Verdict.BAD:
             gateway.worker_registry.learn(worker, {self.request.model: version})
             if self.verdict is Verdict.ANSWER and version < self.version:
                 gateway.check_weights(self.request.model, version, sent_s, "answered")
@@ -407,12 +414,12 @@
             attempt.has_not_run = True
             gateway.telemetry.count[f"turnedAway.{status}"] += 1
             if self.verdict is Verdict.ELSEWHERE and worker.knows(self.request.model):
-                self._note_turned_away(worker, headers)
-            if self.verdict is Verdict.ELSEWHERE and not is_its_own:
+                self._log_rejection(worker, headers)
+            if self.verdict is Verdict.ELSEWHERE and not is_from_worker:
                 gateway.worker_registry.drop(worker.name)
             elif self.verdict is Verdict.ELSEWHERE and not version:
                 gateway.worker_registry.forget_version(worker, self.request.model)
-            await self._drain()
+            await self._discard_body()
             return WORKER_FULL.with_reason(f"status {status}")
         if self.verdict is Verdict.BAD:
             gateway.telemetry.count[f"badAnswers.{status}"] += 1
@@ -431,42 +438,44 @@
             return WORKER_LOST.with_reason(f"status {status} where a stream was to be taken up")
         return await self._relay(attempt, worker, status, headers, sent_s)
 
-    def _note_turned_away(self, worker, headers):
-        """Note what a worker says of itself where it is not what was believed."""
-        speak = self.gateway.worker_codec
+    def _log_rejection(self, worker, headers):
+        """Log the version and id that a worker reported when it rejected a request, next to the version assumed here."""
+        codec = self.gateway.worker_codec
         self.gateway.telemetry.log_event(
             "turned away",
             worker=worker.name,
             believed=self.version,
-            version=speak.version(headers),
-            answered=speak.worker(headers),
+            version=codec.version(headers),
+            answered=codec.worker(headers),
         )
 
-    async def _drain(self):
-        """Read a refusal to its end, so that its connection can be kept."""
+    async def _discard_body(self):
+        """Read a rejection to its end, so that its connection can be reused."""
         try:
             async with asyncio.timeout(0.05):
                 while not is_fault(event := await self.link.event()):
                     if isinstance(event, h11.EndOfMessage):
-                        return self._give_back()
+                        return self._release_connection()
         except TimeoutError:
             pass
 
     async def _relay(self, attempt, worker, status, headers, sent_s):
-        """Pass an answer on as it comes; complete events only where the stream could be taken up elsewhere."""
-        self.rest, self.is_passing_on = b"", False
-        is_bodiless = status in BODILESS or self.request.method == b"HEAD"
+        """Relay an answer as it arrives; only complete events where the stream could be resumed at another worker."""
+        self.partial_event, self.is_sending_to_client = b"", False
+        is_bodiless = status in BODILESS_STATUSES or self.request.method == b"HEAD"
         if not self.ledger.has_begun:
             passed_on = self.gateway.worker_codec.passed_on(headers)
-            self.exchange.begin(status, _unframed(passed_on) if is_bodiless else passed_on)
+            self.exchange.begin(
+                status, _without_transfer_encoding(passed_on) if is_bodiless else passed_on
+            )
             self.ledger.has_begun = True
         is_good = 200 <= status < 300
-        is_framed = is_bodiless or any(name.lower() in FRAMING for name, _ in headers)
+        is_framed = is_bodiless or any(name.lower() in FRAMING_HEADERS for name, _ in headers)
         try:
-            async with asyncio.timeout_at(self.ledger.deadline_s + BEGUN_MARGIN_S):
-                fault = await self._pass_on(worker, is_framed, is_good, sent_s)
+            async with asyncio.timeout_at(self.ledger.deadline_s + STREAMING_MARGIN_S):
+                fault = await self._relay_body(worker, is_framed, is_good, sent_s)
         except TimeoutError:
-            if not self.is_passing_on:
+            if not self.is_sending_to_client:
                 self.gateway.judge.failed(worker, False)
             return DEADLINE_PASSED
         if fault is not None:
@@ -479,12 +488,15 @@
         attempt.is_whole = True
         if self.trace is not None:
             self.trace.whole_ms = self._elapsed_ms()
-        self.gateway.seen(self.request, worker, self.salt, self.is_long and is_good)
-        self._give_back()
+        self.gateway.on_request_answered(self.request, worker, self.salt, self.is_long and is_good)
+        self._release_connection()
         return None
 
-    async def _pass_on(self, worker, is_framed, is_good, sent_s):
-        """Pass a body on to its end; a fault where it has none, or goes back behind what the client has."""
+    async def _relay_body(self, worker, is_framed, is_good, sent_s):
+        """Relay a body to its end.
+
+        Returns a fault when the body has no definite end, or when it repeats events that the client already has.
+        """
         is_first, is_stream = True, self.ledger.resumable and is_good
         while True:
             event = await self.link.event()
@@ -493,8 +505,8 @@
             if isinstance(event, h11.EndOfMessage):
                 if not is_framed:
                     return STREAM_BROKEN.with_reason("answer has no length")
-                if self.rest:
-                    await self._give(self.rest)
+                if self.partial_event:
+                    await self._send_chunk(self.partial_event)
                 return None
             if is_first and is_good:
                 elapsed_ms = (self.loop.time() - sent_s) * 1000
@@ -503,50 +515,50 @@
             if is_first and self.trace is not None:
                 self.trace.first_event_ms = self._elapsed_ms()
             is_first = False
-            fault = await self._piece(bytes(event.data), is_stream, worker)
+            fault = await self._relay_chunk(bytes(event.data), is_stream, worker)
             if fault is not None:
                 return fault
 
-    async def _give(self, data):
-        self.is_passing_on = True
+    async def _send_chunk(self, data):
+        self.is_sending_to_client = True
         await self.exchange.send_chunk(data)
-        self.is_passing_on = False
+        self.is_sending_to_client = False
 
-    def _give_back(self):
+    def _release_connection(self):
         self.gateway.pool.give(self.link)
         self.link = None
 
-    async def _piece(self, data, is_stream, worker):
+    async def _relay_chunk(self, data, is_stream, worker):
         if not is_stream:
-            return await self._give(data)
-        self.rest += data
-        end = max((found.end() for found in EVENT_END.finditer(self.rest)), default=0)
+            return await self._send_chunk(data)
+        self.partial_event += data
+        end = max((match.end() for match in EVENT_END.finditer(self.partial_event)), default=0)
         if not end:
             return None
-        whole, self.rest = self.rest[:end], self.rest[end:]
-        version = self.gateway.worker_codec.versions_in(whole)
+        complete_events, self.partial_event = self.partial_event[:end], self.partial_event[end:]
+        version = self.gateway.worker_codec.versions_in(complete_events)
         if version:
             self.gateway.worker_registry.learn(worker, {self.request.model: version})
-        ids = EVENT_ID.findall(whole)
-        if ids and _is_behind(ids[0], self.last_event):
+        event_ids = EVENT_ID.findall(complete_events)
+        if event_ids and _is_behind(event_ids[0], self.last_event):
             return STREAM_BROKEN.with_reason("stream was taken up before its last event")
-        if ids:
-            self.last_event = ids[-1].decode("latin-1")
-        elif EVENT_DATA.search(whole):
+        if event_ids:
+            self.last_event = event_ids[-1].decode("latin-1")
+        elif EVENT_DATA.search(complete_events):
             self.ledger.resumable = False
-        return await self._give(whole)
+        return await self._send_chunk(complete_events)
 
-    async def _end(self, move, fault):
+    async def _send_final_answer(self, action, fault):
         count = self.gateway.telemetry.count
-        if move is NextAction.FINISH:
+        if action is NextAction.FINISH:
             count["callsServed"] += 1
             return self.exchange.finish()
         count[f"faults.{fault.code}"] += 1
-        if move is NextAction.BREAK:
+        if action is NextAction.BREAK:
             count["streamsBroken"] += 1
             is_late = fault.code == DEADLINE_PASSED.code
             return self.exchange.abort(
                 CutReason.DEADLINE if is_late else CutReason.WORKER_BROKE_OFF
             )
-        self._leave()
+        self._release_worker()
         return await self.gateway.refuse(self.exchange, fault, self.request)
