--- a/swiftdeck/gateway/__init__.py
+++ b/swiftdeck/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Calls that go through untouched: routes by host and path, attempts at workers, and what decides between them."""
+"""The gateway: forwards requests unchanged, from routes by host and path to placement and attempts at workers."""
--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -127,7 +127,7 @@
         if known is None or not self.policy.pace:
             return
         known.pace.observe(tokens, elapsed_ms, self.loop.time(), self.worker_registry.usual_pace)
-        self.worker_registry.hear_usual(known.pace.tokens_per_ms)
+        self.worker_registry.update_usual_pace(known.pace.tokens_per_ms)
 
     def ended(self, wish: Wish, first_event_ms: int = 0):
         """A call is over; its first event came so long after it was sent, 0 for never."""
@@ -185,7 +185,7 @@
         worker = self.worker_registry.workers.get(news.worker)
         if worker and news.tokens_per_s and sender:
             pace = news.tokens_per_s / 1000
-            self.worker_registry.hear_pace(worker, pace, self.loop.time())
+            self.worker_registry.adopt_pace(worker, pace, self.loop.time())
 
     def on_place_end(self, end, sender):
         """Give a place back that another router held."""
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The process of an edge machine whose callers and workers speak a platform's way: what is decided is decided here."""
+"""The router process: accepts client requests, chooses workers and relays answers in the platform's protocol."""
 
 import asyncio
 import math
@@ -37,22 +37,22 @@
 from swiftdeck.wire.messages import SwapNews, WorkerNews
 
 OLD_WEIGHTS = "invariant.oldWeights"
-LOST_S = 1.0
-"""How long no majority of the cores is in reach before that counts as trouble of theirs, not of this process."""
-LOOK_S = 0.02
+CORES_LOST_S = 1.0
+"""How long no majority of the cores must be reachable before this counts as their failure, not as one of this process."""
+POLL_S = 0.02
 ANSWERS_SHARE, HAND_BACK_SHARE, HAND_BACK_MOST_MS = 0.15, 0.45, 500
-"""What the last answers and the return of the lease may take of the time that is left after the work."""
+"""Shares of the time between the end of work and the exit that the last answers and the return of the lease may take."""
 OPERATOR = "operator"
-CALLERS = "callers"
+CLIENT_LIMITS = "callers"
 
 
 class Gateway(Node):
-    """Takes requests, places them, and passes answers on; it needs no disk."""
+    """A router: accepts requests, places them at workers and relays their answers. It stores nothing on disk."""
 
     def __init__(self, settings, codecs, random, log=None):
         super().__init__(settings, "router", random, log)
         self.me.http_addr = settings.opsHttp or settings.http
-        self.client_codec, self.worker_codec, lists, caches = codecs
+        self.client_codec, self.worker_codec, list_source, cache_source = codecs
         self.cluster_map = ClusterMap(self.mesh, self.membership, self.news)
         self.lease = ConfigLease(
             self.me, self.mesh, self.membership, self.cluster_map, self.telemetry, settings.renewMs
@@ -66,7 +66,7 @@
         self.policy = settings.policy
         self.judge.is_on = self.policy.judge
         if self.policy.sharing:
-            self.judge.on_trouble = self.tell_trouble
+            self.judge.on_trouble = self.broadcast_trouble
         self.placing = Placing(
             settings.zone, self.judge, self.kept, random, settings.episodeTokens, self.policy
         )
@@ -82,18 +82,18 @@
             self.policy,
         )
         self.following = Following(
-            self.admission, self.broadcast, self.kept, caches, self.telemetry
+            self.admission, self.broadcast, self.kept, cache_source, self.telemetry
         )
         self.admission.on_read = self.following.will_keep
         self.pool = Pool(self.telemetry, settings.connectMs)
-        self.pool.most = self.connections_most
+        self.pool.connection_limit = self.connection_limit
         if self.policy.connections:
             self.placing.has_connection = self.pool.has_idle
         self.listing = Listing(
             self.me,
             self.mesh,
             self.membership,
-            lists,
+            list_source,
             self.worker_registry,
             self.telemetry,
             settings.listMs,
@@ -113,19 +113,21 @@
             HttpServer(self.operate, note=self.telemetry.log_event) if settings.opsHttp else None
         )
         self.routes, self.tenants = None, {}
-        self.requests, self.lost_cores_s = OpenRequests(self.drain), -math.inf
-        self.worker_registry.watchers.append(lambda: self.pool.follow(self.worker_registry.workers))
+        self.requests, self.cores_lost_s = OpenRequests(self.drain), -math.inf
+        self.worker_registry.watchers.append(
+            lambda: self.pool.close_except(self.worker_registry.workers)
+        )
         self.broadcast.on(WorkerNews, self.on_worker_news)
         self.mesh.register(SwapNews, self.on_swap_news)
 
     async def start(self):
-        """Join the fleet and serve."""
+        """Join the fleet, start all parts and serve HTTP."""
         self.loop = asyncio.get_running_loop()
         self.lease.watchers.append(self.on_config)
         await self.start_node()
         for part in (self.cluster_map, self.lease, self.admission, self.listing, self.following):
             part.start()
-        self.task = asyncio.ensure_future(self._watching())
+        self.task = asyncio.ensure_future(self._watch_cores())
         ip, _, port = self.settings.http.rpartition(":")
         await self.http.start(ip, int(port))
         if self.ops:
@@ -136,7 +138,11 @@
         )
 
     async def stop(self):
-        """Turn unready, take requests a little longer, finish what was taken, answer the rest, hand back, leave."""
+        """Drain and exit.
+
+        The router turns unready, accepts requests until the end of admission, finishes those accepted, answers the rest with
+        a fault, hands back its lease and leaves the fleet.
+        """
         self.requests.begin_drain(self.loop.time())
         self.telemetry.log_event("gateway stops", open=self.open)
         await asyncio.sleep(self.drain.admission_end_s - self.loop.time())
@@ -144,12 +150,12 @@
         self.telemetry.log_event("admission ended", open=self.open)
         answers_s = self.drain.times.after_work_s * ANSWERS_SHARE
         while self.open and self.loop.time() < self.drain.work_end_s + answers_s:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         self.http.stop()
         await self.http.finish(answers_s, WORKER_LOST)
         await self.lease.hand_back(self._hand_back_ms())
         self.membership.leave()
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
         self.telemetry.log_event("gateway stopped", open=self.open, **self.counters())
         self.mesh.close()
 
@@ -159,23 +165,23 @@
 
     @property
     def open(self) -> int:
-        """How many requests have no final answer yet."""
+        """The number of requests without a final answer."""
         return len(self.requests)
 
     @property
     def stopping(self) -> bool:
-        """Whether this process was told to stop."""
+        """Whether the drain of this process has begun."""
         return self.drain.has_begun()
 
     def is_ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Return whether load balancers should send new connections here."""
         return not self.stopping and self.routes is not None and bool(self.worker_registry.workers)
 
     def on_config(self, held):
-        """Compile what each request needs."""
+        """Apply a new configuration: compile its routes, limits and tenants."""
         document = held.document
         self.routes, self.tenants = RouteTable(document), held.tenant_by_key
-        limits = document.limits.get(CALLERS)
+        limits = document.limits.get(CLIENT_LIMITS)
         if limits:
             self.http.head_limit, self.http.body_limit = limits.head_bytes, limits.body_bytes
             self.http.slow_ms, self.http.idleMs = limits.head_wait_ms, limits.idle_ms
@@ -187,140 +193,146 @@
 
     @property
     def document(self):
-        """The configuration held."""
+        """The current configuration document."""
         return self.lease.held.document
 
     def service_of(self, worker: str):
-        """What the configuration says of a worker's service."""
+        """Return the configuration of a worker's service, or None where the worker or the configuration is unknown."""
         known = self.worker_registry.workers.get(worker)
         return (
             self.document.services.get(known.listed.service) if known and self.lease.held else None
         )
 
     def memory_of(self, worker: str) -> int:
-        """Tokens that a worker can keep."""
+        """Return how many tokens a worker's cache holds; practically unlimited where the configuration doesn't say."""
         service = self.service_of(worker)
         return service.cache_tokens if service and service.cache_tokens else 1 << 40
 
-    def connections_most(self, worker) -> int:
-        """How many connections to a worker this router may have, of those that it accepts from all."""
+    def connection_limit(self, worker) -> int:
+        """Return how many connections to a worker this router may open: its share of 90 % of those that the worker accepts."""
         service = self.service_of(worker.name)
-        most = service.connections_most if service else 0
-        return max(2, int(most * 0.9) // max(1, len(self.admission.routers()))) if most else 64
+        accepted = service.connections_most if service else 0
+        return (
+            max(2, int(accepted * 0.9) // max(1, len(self.admission.routers()))) if accepted else 64
+        )
 
     def eligible(self, service: str, model: str):
-        """Workers that may take a request: ready, not about to be ordered, and on weights that may still be served."""
+        """Return the workers that may get a request: ready, and on weights that may still be served.
+
+        Workers that are about to swap weights are left out while others remain.
+        """
         now_s = self.loop.time()
         serving = self.worker_registry.serving(service)
         versions = {each.knows(model) for each in serving}
         usable = {version for version in versions if self.is_usable(model, version)}
-        fit = [each for each in serving if each.knows(model) in usable]
-        calm = [each for each in fit if each.swapping_until_s <= now_s]
-        return calm or fit
+        usable_workers = [each for each in serving if each.knows(model) in usable]
+        not_swapping = [each for each in usable_workers if each.swapping_until_s <= now_s]
+        return not_swapping or usable_workers
 
     def is_usable(self, model: str, version: int) -> bool:
-        """Whether requests may be sent now to a worker that is known to have a version, 0 where that isn't known.
+        """Return whether requests may be sent now to a worker with a version of a model's weights, 0 for unknown.
 
-        A worker of unknown version is asked for the newest one, and turns the request away if it has another.
+        A request to a worker of unknown version names the newest one; the worker rejects it if it has another.
         """
         if not version or self.loop.time() < self.old_weights.sent_until_s(model, version):
             return True
-        return not self.lease.is_held() and self._has_lost_cores()
+        return not self.lease.is_held() and self._has_no_core_majority()
 
     def must_begin_by_s(self, model: str, version: int) -> float:
-        """By when a worker has to answer a request that was sent for a version, infinity where it may take its time."""
+        """Return the loop time by which a worker must begin its answer to a request for a version, infinity without a limit."""
         until_s = self.old_weights.awaited_until_s(model, version) if version else math.inf
-        return math.inf if until_s < math.inf and self._has_lost_cores() else until_s
+        return math.inf if until_s < math.inf and self._has_no_core_majority() else until_s
 
-    def _has_lost_cores(self):
-        """Whether no majority of the cores that vote is in reach, so that nobody can order workers either."""
+    def _has_no_core_majority(self):
+        """Return whether no majority of the voting cores is reachable, in which case nobody can order workers to swap either."""
         voters = {each.addr for each in self.cluster_map.voters()}
         in_reach = voters.intersection(self.membership.reachable("core"))
         return 2 * len(in_reach) <= len(voters)
 
-    async def _watching(self):
-        """Remember when the cores were last in trouble: as their tail says, and as it looks from here."""
-        seen, lost_since_s = None, None
+    async def _watch_cores(self):
+        """Keep track of when the cores last failed or changed, as their tail reports it and as this router sees it."""
+        last_core_state, lost_since_s = None, None
         while True:
             now_s = self.loop.time()
-            now = (
+            core_state = (
                 self.cluster_map.view.number,
                 frozenset(each.incarnation for each in self.membership.alive("core")),
             )
-            if now != seen or not self.lease.is_held() or self.lease.failures:
-                seen, self.old_weights.suspected_s = now, now_s
-            is_lost = not self.lease.is_held() and self._has_lost_cores()
-            lost_since_s = (now_s if lost_since_s is None else lost_since_s) if is_lost else None
-            if is_lost and now_s - lost_since_s > LOST_S:
-                self.lost_cores_s = now_s
-            changed_s = max(self.lease.core_changed_s, self.lost_cores_s)
+            if core_state != last_core_state or not self.lease.is_held() or self.lease.failures:
+                last_core_state, self.old_weights.suspected_s = core_state, now_s
+            is_majority_lost = not self.lease.is_held() and self._has_no_core_majority()
+            lost_since_s = (
+                (now_s if lost_since_s is None else lost_since_s) if is_majority_lost else None
+            )
+            if is_majority_lost and now_s - lost_since_s > CORES_LOST_S:
+                self.cores_lost_s = now_s
+            changed_s = max(self.lease.core_changed_s, self.cores_lost_s)
             self.old_weights.follow_core(changed_s, self.lease.core_seen_s)
             await next_tick(0.25)
 
     def version(self, model: str, worker) -> int:
-        """The version of the weights on which a request should run there, 0 where none is known."""
+        """Return the version of the weights on which a request should run at a worker, 0 where none is known."""
         return worker.knows(model) or self.old_weights.ages.newest(model)
 
-    def note_sending(self, model: str, version: int):
-        """Count a request that is sent on older weights, and the highest age of a newer naming at which one was."""
+    def count_old_weights_sent(self, model: str, version: int):
+        """Count a request that is sent to outdated weights, and keep the highest time in ms since a newer version was named."""
         outdated_s = self.old_weights.ages.outdated_s(model, version) if version else None
         if outdated_s is not None:
             count, age_ms = self.telemetry.count, int((self.loop.time() - outdated_s) * 1000)
             count["oldWeightsSent"] += 1
             count["oldWeightsAgeMostMs"] = max(count["oldWeightsAgeMostMs"], age_ms)
 
-    def check_weights(self, model: str, version: int, sent_s: float, what: str):
-        """Count a request that was sent to weights for which the bound had passed.
-
-        Or that was answered on such weights, though it named newer ones.
+    def check_weights(self, model: str, version: int, sent_s: float, stage: str):
+        """Count an invariant violation when a request was sent to, or answered on, weights older than the bound allows.
 
-        Holds whenever the cores can be reached; without a majority of them nobody could order the worker.
+        `stage` is "sent", or "answered" when the answer came from older weights than the request named. Nothing is counted
+        while no majority of the cores is reachable, as nobody could then order the worker to swap.
         """
         late_s = sent_s - self.old_weights.bound_until_s(model, version) if version else 0.0
-        if late_s > 0 and not self._has_lost_cores():
+        if late_s > 0 and not self._has_no_core_majority():
             self.telemetry.count[OLD_WEIGHTS] += 1
             self.telemetry.log_event(
-                "old weights", what=what, model=model, version=version, lateMs=int(late_s * 1000)
+                "old weights", what=stage, model=model, version=version, lateMs=int(late_s * 1000)
             )
 
     def salt(self, model: str, worker, tenant: str) -> str:
-        """What prefixes are kept under: the weights, and the tenant that is kept apart."""
+        """Return the cache salt of a request's prefixes: the version of the weights, and the tenant where it is isolated."""
         entry, edition = self.document.tenants.get(tenant), self.document.edition.get(OPERATOR)
         shared = f".{edition.walls}" if edition and edition.walls else ""
         return f"{self.version(model, worker)}{'/' + tenant if entry and entry.apart else shared}"
 
     def urgency(self, route, tenant: str, is_long: bool) -> int:
-        """The rank of a request, its tenant's where that says one, else its route's; short prompts go before all long ones.
+        """Return the priority of a request, lowest first: its tenant's where set, else its route's; short prompts before long ones.
 
-        A short one costs a long one that it passes a few ms; behind one it would itself wait for hundreds.
+        A short prompt delays a long one that it overtakes by a few ms; behind it, it would itself wait for hundreds of ms.
         """
         entry = self.document.tenants.get(tenant)
         rank = entry.urgency if entry and entry.urgency is not None else route.path.urgency
         return max(0, min(4, rank)) + 5 * (is_long and self.policy.short_first)
 
-    def logs_call(self, is_long: bool) -> bool:
-        """Whether a call gets a line in the log: a drawn share of the long ones."""
+    def draws_call_trace(self, is_long: bool) -> bool:
+        """Return whether to log the trace of a call: a random share of the long ones."""
         share = self.settings.longCallsLogged
         return is_long and self.telemetry.log is not None and self.random.random() < share
 
     def on_request_answered(self, request, worker, salt, is_kept):
-        """A request was answered whole."""
+        """Record which shared parts a worker has cached after a complete answer."""
         if is_kept:
             for part in request.shared():
                 self.kept.keep(worker.name, salt, part.name, part.tokens)
 
-    def tell_trouble(self, worker, for_ms):
-        """Others should leave a worker alone as well."""
+    def broadcast_trouble(self, worker, for_ms):
+        """Tell all other routers to avoid a failing worker for a time."""
         self.broadcast.tell(WorkerNews(worker=worker.name, for_ms=for_ms))
 
     def on_worker_news(self, news, sender):
-        """Leave a worker alone that failed at another router, unless it just answered here."""
+        """Avoid a worker that failed at another router, for 2 s at most, unless it answered here in the last 100 ms."""
         worker = self.worker_registry.workers.get(news.worker)
         if worker and self.loop.time() - worker.answered_s > 0.1:
             self.judge.shun(worker, min(news.for_ms, 2000) / 1000)
 
     def on_swap_news(self, news, sender):
-        """Steer away from workers that are about to take new weights."""
+        """Avoid workers that are about to load new weights, and note the version that they will have."""
         now_s = self.loop.time()
         for name in news.workers:
             worker = self.worker_registry.workers.get(name)
@@ -330,7 +342,7 @@
                     self.worker_registry.learn(worker, {news.model: news.version})
 
     async def handle(self, exchange):
-        """One request of a client."""
+        """Handle one request of a client."""
         start_s, count = self.loop.time(), self.telemetry.count
         count["calls"] += 1
         request = self.client_codec.read(exchange)
@@ -353,27 +365,27 @@
         return await proxied_request.serve()
 
     async def operate(self, exchange):
-        """One request of an operator."""
+        """Handle one request of an operator: status or counters."""
         key = self.settings.operatorKey
         if key and exchange.headers.get("authorization") != f"Bearer {key}":
             return BAD_OPERATOR_KEY
-        told = {"/v1/status": self.status, "/v1/counters": self.counters}.get(
+        report = {"/v1/status": self.status, "/v1/counters": self.counters}.get(
             exchange.path.rstrip("/")
         )
-        return NOT_FOUND if told is None else await exchange.send_json(200, told())
+        return NOT_FOUND if report is None else await exchange.send_json(200, report())
 
     async def refuse(self, exchange, fault, request):
-        """The final answer of a request that is given up."""
+        """Send the final answer of a request that failed with a fault."""
         self.telemetry.count[f"refused.{fault.code}"] += 1
         status, headers, body = self.client_codec.refusal(fault, request)
         await exchange.send_response(status, headers, body)
 
     def counters(self):
-        """All counters of the process by name."""
+        """Return all counters of the process by name."""
         return dict(Counter(super().counters()) + self.http.count)
 
     def status(self):
-        """What doctor and operators want to know of this process."""
+        """Return the status document of this process for the doctor command and operators."""
         view = self.cluster_map.view
         return {
             "name": self.me.name,
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -114,7 +114,7 @@
         digest = digest_of(entries)
         if digest != self.digest:
             self.digest, self.entries = digest, entries
-            self.worker_registry.take(entries.values())
+            self.worker_registry.apply_list(entries.values())
 
     def on_news(self, news, sender):
         """Take a reading of the list from the router that reads it; one that is outdated is told so."""
--- a/swiftdeck/gateway/pool.py
+++ b/swiftdeck/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to workers, within what each worker accepts over all routers."""
+"""Connection pool: persistent connections to workers, within the number that each worker accepts from all routers."""
 
 import asyncio
 import re
@@ -8,57 +8,58 @@
 from swiftdeck.fault import NO_CONNECTION, WORKER_LOST, WORKER_UNREACHABLE, is_fault
 from swiftdeck.http.client import HttpLink
 
-KEEP_S, SPARE_S, FOREVER_S = 20.0, 1.0, 1e9
-KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d+)", re.I)
+IDLE_MOST_S, IDLE_MARGIN_S, UNLIMITED_S = 20.0, 1.0, 1e9
+KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)", re.I)
 
 
 class WorkerConnection(HttpLink):
-    """One connection to one life of a worker; bytes that come while nothing is asked spoil it."""
+    """A connection to one incarnation of a worker; it is closed when bytes arrive while no request is outstanding."""
 
     def __init__(self, pool, addr):
         super().__init__()
         self.pool, self.worker_addr = pool, addr
-        self.is_busy, self.is_reused, self.idle_since_s, self.keep_s, self.must_close = (
+        self.is_busy, self.is_reused, self.idle_since_s, self.idle_most_s, self.must_close = (
             True,
             False,
             0.0,
-            KEEP_S,
+            IDLE_MOST_S,
             False,
         )
-        self.asked = None
+        self.sent_request = None
 
     def data_received(self, data):
-        """Take bytes of the answer that is due; others spoil the connection."""
+        """Pass on bytes of the expected answer; unexpected bytes close the connection."""
         if not self.is_busy:
             self.pool.telemetry.count["surplusBytes"] += 1
             return self.close()
         super().data_received(data)
 
     def connection_lost(self, error):
-        """Count the connection out."""
+        """Remove the connection from the pool."""
         super().connection_lost(error)
-        self.pool.lost(self)
+        self.pool.on_connection_lost(self)
 
-    def hear(self, headers):
-        """What the head of an answer tells of its connection: how long it is kept idle, and whether it may be kept.
+    def note_head(self, headers):
+        """Read from the head of an answer how long the connection may stay idle, and whether it may be reused.
 
-        A worker that answers before it has the whole request may take the rest of it for another one.
+        It is not reused when the worker answers before it has read the whole request, because the worker could take the
+        rest of the body for another request.
         """
         if self.transport.get_write_buffer_size():
             self.must_close = True
-        told = next((value for name, value in headers if name.lower() == b"keep-alive"), b"")
-        found = KEEP_ALIVE.search(told)
-        self.keep_s = min(KEEP_S, float(found.group(1))) if found else KEEP_S
+        header = next((value for name, value in headers if name.lower() == b"keep-alive"), b"")
+        match = KEEP_ALIVE_TIMEOUT.search(header)
+        self.idle_most_s = min(IDLE_MOST_S, float(match.group(1))) if match else IDLE_MOST_S
 
     def send_request(self, method, target, headers, body):
-        """Write one request; a fault when nothing was written."""
+        """Write one request; return a fault when nothing was written, else None."""
         if self.gone or self.transport.is_closing():
             return WORKER_LOST.with_reason("connection lost")
         try:
             if self.conn.our_state is h11.DONE:
                 self.conn.start_next_cycle()
-            self.asked = h11.Request(method=method, target=target, headers=headers)
-            data = self.conn.send(self.asked)
+            self.sent_request = h11.Request(method=method, target=target, headers=headers)
+            data = self.conn.send(self.sent_request)
             data += self.conn.send(h11.Data(data=body)) if body else b""
             data += self.conn.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
@@ -66,8 +67,11 @@
         self.transport.write(data)
         return None
 
-    async def skip(self):
-        """Read an answer that belongs to another request to its end, and get ready for the one that is due."""
+    async def skip_response(self):
+        """Read the answer to an earlier request to its end and prepare for the one to this request.
+
+        Returns a fault when the connection fails, else None.
+        """
         while True:
             event = await self.event()
             if is_fault(event):
@@ -76,23 +80,26 @@
                 break
         rest, _ = self.conn.trailing_data
         self.conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
-        self.conn.send(self.asked)
+        self.conn.send(self.sent_request)
         self.conn.send(
-            h11.EndOfMessage() if not self._body() else h11.Data(data=bytes(self._body()))
+            h11.EndOfMessage()
+            if not self._body_length()
+            else h11.Data(data=bytes(self._body_length()))
         )
-        if self._body():
+        if self._body_length():
             self.conn.send(h11.EndOfMessage())
         if rest:
             self.conn.receive_data(rest)
         return None
 
-    def _body(self):
+    def _body_length(self):
         return next(
-            (int(value) for name, value in self.asked.headers if name == b"content-length"), 0
+            (int(value) for name, value in self.sent_request.headers if name == b"content-length"),
+            0,
         )
 
     def is_clean(self):
-        """Whether another request may follow: both sides are done and nothing is left over."""
+        """Return whether the connection can be reused: both sides are done and no bytes are left unread."""
         return (
             not self.gone
             and not self.must_close
@@ -103,14 +110,14 @@
 
 
 class Pool:
-    """Connections by the worker's address; a doubtful one is closed."""
+    """Idle connections by the worker's id and address, and the number of open ones by address."""
 
     def __init__(self, telemetry, connect_ms=300):
         self.telemetry, self.connect_ms = telemetry, connect_ms
-        self.idle, self.count, self.most = {}, {}, lambda worker: 64
+        self.idle, self.count, self.connection_limit = {}, {}, lambda worker: 64
 
     def has_idle(self, worker) -> bool:
-        """Whether a kept connection to a worker can be used again."""
+        """Return whether an idle connection to a worker can be reused."""
         now_s = asyncio.get_running_loop().time()
         kept = self.idle.get((worker.name, worker.listed.addr), ())
         return any(self._is_fresh(link, now_s) for link in kept)
@@ -120,11 +127,11 @@
         return (
             not link.gone
             and not link.transport.is_closing()
-            and now_s - link.idle_since_s < link.keep_s - SPARE_S
+            and now_s - link.idle_since_s < link.idle_most_s - IDLE_MARGIN_S
         )
 
-    async def take(self, worker, within_s=FOREVER_S, reuse=True):
-        """A connection to a worker, kept or new, or a fault with which no byte was sent."""
+    async def acquire(self, worker, within_s=UNLIMITED_S, reuse=True):
+        """Return an idle or a new connection to a worker, or a fault; no request byte was sent in that case."""
         now_s, addr = asyncio.get_running_loop().time(), worker.listed.addr
         kept = self.idle.get((worker.name, addr), [])
         while kept:
@@ -133,7 +140,7 @@
                 link.is_busy = link.is_reused = True
                 return link
             link.close()
-        if self.count.get(addr, 0) >= self.most(worker):
+        if self.count.get(addr, 0) >= self.connection_limit(worker):
             self.telemetry.count["connectionsCapped"] += 1
             return NO_CONNECTION
         return await self._open(worker.name, addr, min(self.connect_ms / 1000, within_s))
@@ -142,7 +149,7 @@
         ip, _, port = addr.rpartition(":")
         self.count[addr] = self.count.get(addr, 0) + 1
         link = WorkerConnection(self, addr)
-        link.life = name
+        link.worker_name = name
         try:
             async with asyncio.timeout(max(0.0, within_s)):
                 await asyncio.get_running_loop().create_connection(lambda: link, ip, int(port))
@@ -152,26 +159,26 @@
             return WORKER_UNREACHABLE.with_reason(f"{addr}: {error or 'no connection in time'}")
         finally:
             if link.transport is None:
-                self.lost(link)
+                self.on_connection_lost(link)
 
-    def lost(self, link):
-        """A connection is gone."""
+    def on_connection_lost(self, link):
+        """Remove a closed connection from the count and from the idle ones; repeated calls are ignored."""
         if not getattr(link, "is_counted_out", False):
             link.is_counted_out = True
             self.count[link.worker_addr] -= 1
-        kept = self.idle.get((getattr(link, "life", ""), link.worker_addr))
+        kept = self.idle.get((getattr(link, "worker_name", ""), link.worker_addr))
         if kept and link in kept:
             kept.remove(link)
 
-    def give(self, link):
-        """Give a connection back; it is kept only if nothing on it is in doubt."""
+    def release(self, link):
+        """Return a connection to the pool; it is closed unless it is clean."""
         if not link.is_clean():
             return link.close()
         link.is_busy, link.idle_since_s = False, asyncio.get_running_loop().time()
-        self.idle.setdefault((link.life, link.worker_addr), []).append(link)
+        self.idle.setdefault((link.worker_name, link.worker_addr), []).append(link)
 
-    def follow(self, names):
-        """Close what is kept to lives that are gone."""
-        for key in [key for key in self.idle if key[0] not in names]:
+    def close_except(self, worker_names):
+        """Close the idle connections to all workers but those named."""
+        for key in [key for key in self.idle if key[0] not in worker_names]:
             for link in self.idle.pop(key):
                 link.close()
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -79,7 +79,7 @@
         self.aim_s = (path.target_ms or 1000) / 1000
         self.salt, self.version = "", 0
         self.is_sending_to_client, self.first_event_ms, self.reading_ms = False, 0, 0.0
-        self.trace = self._new_trace() if gateway.logs_call(self.is_long) else None
+        self.trace = self._new_trace() if gateway.draws_call_trace(self.is_long) else None
 
     def _new_trace(self):
         shared = self.request.shared()
@@ -245,10 +245,10 @@
 
     async def _send_to_worker(self, attempt, worker):
         gateway = self.gateway
-        connection = await gateway.pool.take(worker, self._left_s())
+        connection = await gateway.pool.acquire(worker, self._left_s())
         if is_fault(connection):
             if connection.code == WORKER_UNREACHABLE.code:
-                gateway.judge.failed(worker)
+                gateway.judge.note_failure(worker)
             return connection
         self.link = connection
         if self.loop.time() >= self.ledger.deadline_s:
@@ -268,14 +268,14 @@
             return fault
         attempt.was_sent, sent_s = True, self.loop.time()
         gateway.telemetry.count["attemptsSent"] += 1
-        gateway.note_sending(self.request.model, self.version)
+        gateway.count_old_weights_sent(self.request.model, self.version)
         gateway.check_weights(self.request.model, self.version, sent_s, "sent")
         head = await self._await_head(worker, sent_s)
         if head is None:
             return WORKER_SILENT
         if is_fault(head):
             if head.code != DEADLINE_PASSED.code:
-                gateway.judge.failed(worker, not self.link.is_reused)
+                gateway.judge.note_failure(worker, not self.link.is_reused)
             return (
                 head
                 if head.code != BAD_BACKEND_RESPONSE.code
@@ -319,7 +319,7 @@
                     self.gateway.telemetry.count["oldWeightsTakenBack"] += 1
                     return None
                 if worker.answered_s < sent_s and self._can_retry_elsewhere(worker):
-                    self.gateway.judge.failed(worker, False)
+                    self.gateway.judge.note_failure(worker, False)
                     return None
                 until_s = self.loop.time() + 0.1
         finally:
@@ -397,13 +397,13 @@
                 return event.status_code, headers
             self.gateway.telemetry.count["surplusAnswers"] += 1
             self.link.must_close = True
-            fault = await self.link.skip()
+            fault = await self.link.skip_response()
             if fault is not None:
                 return fault
 
     async def _handle_head(self, attempt, worker, head, sent_s):
         gateway, (status, headers) = self.gateway, head
-        self.link.hear(headers)
+        self.link.note_head(headers)
         codec = gateway.worker_codec
         version, is_from_worker = codec.version(headers), codec.worker(headers) in ("", worker.name)
         if version and is_from_worker and self.verdict is not Verdict.BAD:
@@ -423,10 +423,10 @@
             return WORKER_FULL.with_reason(f"status {status}")
         if self.verdict is Verdict.BAD:
             gateway.telemetry.count[f"badAnswers.{status}"] += 1
-            gateway.judge.failed(worker)
+            gateway.judge.note_failure(worker)
             return BAD_WORKER_OUTPUT.with_reason(f"status {status} without a seal")
         if self.verdict is Verdict.FAILURE:
-            gateway.judge.failed(worker, False)
+            gateway.judge.note_failure(worker, False)
             if (
                 self.ledger.repeatable
                 and len(self.ledger.sent()) < self.ledger.tries
@@ -476,10 +476,10 @@
                 fault = await self._relay_body(worker, is_framed, is_good, sent_s)
         except TimeoutError:
             if not self.is_sending_to_client:
-                self.gateway.judge.failed(worker, False)
+                self.gateway.judge.note_failure(worker, False)
             return DEADLINE_PASSED
         if fault is not None:
-            self.gateway.judge.failed(worker, not self.link.is_reused)
+            self.gateway.judge.note_failure(worker, not self.link.is_reused)
             return (
                 fault
                 if fault.code != BAD_BACKEND_RESPONSE.code
@@ -510,7 +510,7 @@
                 return None
             if is_first and is_good:
                 elapsed_ms = (self.loop.time() - sent_s) * 1000
-                self.gateway.judge.answered(worker, None if self.is_long else elapsed_ms)
+                self.gateway.judge.note_answer(worker, None if self.is_long else elapsed_ms)
                 self.first_event_ms = max(1, int(elapsed_ms))
             if is_first and self.trace is not None:
                 self.trace.first_event_ms = self._elapsed_ms()
@@ -525,7 +525,7 @@
         self.is_sending_to_client = False
 
     def _release_connection(self):
-        self.gateway.pool.give(self.link)
+        self.gateway.pool.release(self.link)
         self.link = None
 
     async def _relay_chunk(self, data, is_stream, worker):
--- a/swiftdeck/gateway/worker_registry.py
+++ b/swiftdeck/gateway/worker_registry.py
@@ -1,16 +1,16 @@
-"""The workers that a process knows: what the list says, and what was heard of each since."""
+"""The table of workers that a process knows: the platform's list, and what was observed of each worker since."""
 
 import attrs
 
 from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.gateway.pace import PRIOR_TOKENS_PER_MS, Pace
 
-USUAL_GAIN = 0.05
+USUAL_PACE_GAIN = 0.05
 
 
 @attrs.define(eq=False)
 class Worker:
-    """One life of a worker."""
+    """One incarnation of a worker."""
 
     listed: WorkerListing
     weights: dict[str, int]
@@ -27,44 +27,47 @@
 
     @property
     def name(self):
-        """The id of this life."""
+        """The id of this incarnation."""
         return self.listed.name
 
     def unread(self, now_s: float, tokens_per_ms: float) -> float:
-        """Tokens that all routers together have sent there to be read, less what it will have read since that was heard."""
+        """Return how many tokens of prompts wait at the worker over all routers.
+
+        This is the last reported backlog less what the worker has read since, at its pace.
+        """
         return max(0.0, self.backlog - (now_s - self.backlog_s) * 1000 * tokens_per_ms)
 
     def knows(self, model: str) -> int:
-        """The version of a model's weights that it is known to have, 0 where nothing is known."""
+        """Return the known version of the worker's weights of a model, 0 where none is known."""
         return self.weights.get(model, 0)
 
 
 class WorkerRegistry:
-    """Owner of the table of workers; a newer list replaces what the list says, and keeps what was heard."""
+    """The table of workers; a newer list replaces the listed values and keeps what was observed."""
 
     def __init__(self):
         self.workers, self.by_service, self.watchers = {}, {}, []
         self.usual_pace = PRIOR_TOKENS_PER_MS
 
     def pace(self, worker: Worker, now_s: float) -> float:
-        """Tokens that a worker reads in a millisecond, as far as is known."""
+        """Return the estimated pace of a worker, in tokens of prompt per millisecond."""
         return worker.pace.at(now_s, self.usual_pace)
 
-    def hear_pace(self, worker: Worker, tokens_per_ms: float, now_s: float):
-        """Take over what the owner of a worker's book observed."""
+    def adopt_pace(self, worker: Worker, tokens_per_ms: float, now_s: float):
+        """Adopt the pace that the owner of a worker's slot table observed."""
         worker.pace.hear(tokens_per_ms, now_s)
-        self.hear_usual(tokens_per_ms)
+        self.update_usual_pace(tokens_per_ms)
 
-    def hear_usual(self, tokens_per_ms: float):
-        """Let one worker's pace, 0 for unknown, count for what is usual."""
+    def update_usual_pace(self, tokens_per_ms: float):
+        """Update the moving average of all workers' paces with one worker's pace, 0 for unknown."""
         if not tokens_per_ms:
             return
-        self.usual_pace += USUAL_GAIN * (tokens_per_ms - self.usual_pace)
+        self.usual_pace += USUAL_PACE_GAIN * (tokens_per_ms - self.usual_pace)
 
-    def take(self, listing):
-        """Follow a whole reading of the list."""
+    def apply_list(self, listing):
+        """Replace the table's listed workers by a complete list, and notify watchers when workers or their draining changed."""
         old, self.workers = self.workers, {}
-        before = [(each.name, each.listed.draining) for each in old.values()]
+        previous = [(each.name, each.listed.draining) for each in old.values()]
         for listed in listing:
             worker = old.get(listed.name) or Worker(listed, dict(listed.weights))
             worker.listed = listed
@@ -73,32 +76,32 @@
         self.by_service = {}
         for worker in self.workers.values():
             self.by_service.setdefault(worker.listed.service, []).append(worker)
-        if before != [(each.name, each.listed.draining) for each in self.workers.values()]:
-            for watch in self.watchers:
-                watch()
+        if previous != [(each.name, each.listed.draining) for each in self.workers.values()]:
+            for notify in self.watchers:
+                notify()
 
     @staticmethod
     def learn(worker: Worker, weights: dict[str, int]):
-        """Versions of a life's weights only go up."""
+        """Note versions of a worker's weights; they never decrease during one incarnation."""
         for model, version in weights.items():
             worker.weights[model] = max(worker.weights.get(model, 0), version)
 
     @staticmethod
     def forget_version(worker: Worker, model: str):
-        """A life has other weights than was believed, without saying which.
+        """Discard the assumed version of a model after the worker showed, without naming its own, that it is wrong.
 
-        Where the list says otherwise it is believed now; else the worker is asked for the newest next.
+        The listed version applies if it differs; otherwise the version is unknown and the next request names the newest.
         """
-        believed = worker.weights.pop(model, 0)
-        if worker.listed.weights.get(model, believed) != believed:
+        assumed = worker.weights.pop(model, 0)
+        if worker.listed.weights.get(model, assumed) != assumed:
             worker.weights[model] = worker.listed.weights[model]
 
     def serving(self, service: str):
-        """Workers of a service that the list shows as ready."""
+        """Return the workers of a service that the list doesn't show as draining."""
         return [each for each in self.by_service.get(service, ()) if not each.listed.draining]
 
     def drop(self, name: str):
-        """A life that is known to have ended."""
+        """Remove a worker whose incarnation is known to have ended."""
         worker = self.workers.pop(name, None)
         if worker:
             self.by_service[worker.listed.service].remove(worker)
--- a/tests/gateway/cases/leaving_clients.py
+++ b/tests/gateway/cases/leaving_clients.py
@@ -57,9 +57,9 @@
     def test_requests_that_wait_for_a_place_or_a_connection_end_with_their_clients(self):
         for waiting, route in (
             (mock.patch.object(Admission, "ask", waits_forever), "r-stream"),
-            (mock.patch.object(Pool, "take", waits_forever), "r-resume"),
-            (mock.patch.object(Pool, "take", waits_forever), "r-safe"),
-            (mock.patch.object(Pool, "take", waits_forever), "r-once"),
+            (mock.patch.object(Pool, "acquire", waits_forever), "r-resume"),
+            (mock.patch.object(Pool, "acquire", waits_forever), "r-safe"),
+            (mock.patch.object(Pool, "acquire", waits_forever), "r-once"),
         ):
             with self.subTest(route), waiting:
                 cluster = self.leave(route, ())
--- a/tests/gateway/parts.py
+++ b/tests/gateway/parts.py
@@ -56,7 +56,7 @@
 def worker_registry(*names, **more):
     """A worker_registry of workers that are alike."""
     made = WorkerRegistry()
-    made.take([listed(name, at=at, **more) for at, name in enumerate(names, 1)])
+    made.apply_list([listed(name, at=at, **more) for at, name in enumerate(names, 1)])
     return made
 
 
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -118,7 +118,7 @@
 
     def test_workers_that_are_gone_are_forgotten(self):
         self.told(("book", 13000, True))
-        self.worker_registry.take([])
+        self.worker_registry.apply_list([])
         self.world.run(1)
         self.assertEqual((self.kept.parts, self.kept.by_holder), ({}, {}))
 
--- a/tests/gateway/test_health.py
+++ b/tests/gateway/test_health.py
@@ -19,18 +19,18 @@
     def test_a_sure_failure_shuns_for_longer_each_time_and_an_answer_ends_it(self):
         first, lengths = self.workers[0], []
         for _ in range(6):
-            self.within(lambda: self.judge.failed(first))
+            self.within(lambda: self.judge.note_failure(first))
             lengths.append(first.shunned_until_s - self.within(lambda: self.judge._now()))
         self.assertEqual(
             [round(each, 1) for each in lengths],
             [0.6, 1.2, 2.4, SHUN_MOST_S, SHUN_MOST_S, SHUN_MOST_S],
         )
         self.assertEqual((self.good(), self.told[0]), (["w2", "w3", "w4", "w5"], ("w1", 600)))
-        self.within(lambda: self.judge.answered(first))
+        self.within(lambda: self.judge.note_answer(first))
         self.assertEqual((self.good(), first.failures), (["w1", "w2", "w3", "w4", "w5"], 0))
 
     def test_time_ends_it_too(self):
-        self.within(lambda: self.judge.failed(self.workers[0]))
+        self.within(lambda: self.judge.note_failure(self.workers[0]))
         self.world.run(0.7)
         self.assertIn("w1", self.good())
 
@@ -44,7 +44,7 @@
 
     def test_slowness_alone_shuns_nobody(self):
         for first_event_ms in [5000] * 50:
-            self.within(lambda: self.judge.answered(self.workers[0], first_event_ms))
+            self.within(lambda: self.judge.note_answer(self.workers[0], first_event_ms))
         self.assertEqual(self.good(), ["w1", "w2", "w3", "w4", "w5"])
         self.assertGreater(self.workers[0].first_event_ms, 4000)
 
@@ -59,6 +59,10 @@
             (False, True),
         ):
             self.within(
-                lambda: self.judge.answered(first) if answers else self.judge.failed(first, False)
+                lambda: (
+                    self.judge.note_answer(first)
+                    if answers
+                    else self.judge.note_failure(first, False)
+                )
             )
             self.assertEqual("w1" not in self.good(), shunned)
--- a/tests/gateway/test_listing.py
+++ b/tests/gateway/test_listing.py
@@ -132,7 +132,9 @@
         self.world.run(8)
         part = self.parts["10.2.0.3:7000"]
         seen = []
-        part.worker_registry.take = lambda entries: seen.append(sorted(e.name for e in entries))
+        part.worker_registry.apply_list = lambda entries: seen.append(
+            sorted(e.name for e in entries)
+        )
         self.deliver("10.2.0.3:7000", late)
         self.world.run(3)
         self.assertEqual((seen, sorted(part.entries)), ([], ["w1", "w2"]))
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -58,9 +58,9 @@
 class WorkerRegistryTest(SimCase):
     def test_watchers_are_told_that_a_worker_drains(self):
         made, heard = WorkerRegistry(), []
-        made.take([listed("w1")])
+        made.apply_list([listed("w1")])
         made.watchers.append(lambda: heard.append(1))
-        made.take([listed("w1", draining=True)])
+        made.apply_list([listed("w1", draining=True)])
         self.assertEqual(heard, [1])
 
 
@@ -103,8 +103,8 @@
             return head
 
         head = self.do(read)
-        link.hear(list(head.headers.raw_items()))
-        self.within(lambda: self.pool.give(link))
+        link.note_head(list(head.headers.raw_items()))
+        self.within(lambda: self.pool.release(link))
         self.world.run(1.95)
         self.assertIsNot(self.take(), link)
 
--- a/tests/gateway/test_moves.py
+++ b/tests/gateway/test_moves.py
@@ -17,7 +17,7 @@
         super().setUp()
         self.registry, self.kept = WorkerRegistry(), KeptTable()
         zones = {"i-0": "z1", "i-1": "z1", "i-2": "z2"}
-        self.registry.take(
+        self.registry.apply_list(
             [listed(name, zone=zone, at=at) for at, (name, zone) in enumerate(zones.items(), 1)]
         )
         self.placing = Placing("z1", Judge(self.registry, self.telemetry), self.kept, self.random)
--- a/tests/gateway/test_pace.py
+++ b/tests/gateway/test_pace.py
@@ -39,7 +39,7 @@
     def test_workers_of_which_nothing_is_known_read_at_the_usual_pace(self):
         registry = worker_registry("i-0", "i-1")
         for _ in range(100):
-            registry.hear_pace(registry.workers["i-0"], 20.0, 1.0)
+            registry.adopt_pace(registry.workers["i-0"], 20.0, 1.0)
         self.assertAlmostEqual(registry.pace(registry.workers["i-1"], 1.0), 20.0, delta=1.0)
-        registry.hear_usual(0.0)
+        registry.update_usual_pace(0.0)
         self.assertGreater(registry.usual_pace, 19.0)
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -5,7 +5,7 @@
 import h11
 
 from swiftdeck.fault import NO_CONNECTION, WORKER_UNREACHABLE, is_fault
-from swiftdeck.gateway.pool import KEEP_S, SPARE_S, Pool
+from swiftdeck.gateway.pool import IDLE_MARGIN_S, IDLE_MOST_S, Pool
 from tests.gateway.parts import SimCase, worker_registry
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nrequest: %s\r\n\r\nok"
@@ -40,10 +40,10 @@
         )
 
     def take(self, worker=None, **more):
-        return self.do(lambda: self.pool.take(worker or self.worker, **more))
+        return self.do(lambda: self.pool.acquire(worker or self.worker, **more))
 
     def give(self, link):
-        self.within(lambda: self.pool.give(link))
+        self.within(lambda: self.pool.release(link))
 
     def ask(self, link, name, body=b""):
         headers = [("host", "w"), ("request", name)] + (
@@ -107,7 +107,7 @@
             async def skip():
                 head = await link.event()
                 link.must_close = True
-                return dict(head.headers)[b"request"], await link.skip()
+                return dict(head.headers)[b"request"], await link.skip_response()
 
             self.assertEqual(self.do(skip), (b"r0", None))
             self.assertEqual(self.answer(link), "r1")
@@ -136,7 +136,7 @@
     def test_what_was_idle_for_long_is_not_used(self):
         link = self.exchange()
         self.give(link)
-        self.world.run(KEEP_S - SPARE_S + 0.1)
+        self.world.run(IDLE_MOST_S - IDLE_MARGIN_S + 0.1)
         self.assertIsNot(self.take(), link)
 
     def test_a_connection_that_its_worker_closed_is_not_used(self):
@@ -148,7 +148,7 @@
         self.assertTrue(is_fault(self.ask(link, "r2")))
 
     def test_connections_are_capped_and_a_lost_one_frees_its_place(self):
-        self.pool.most = lambda worker: 2
+        self.pool.connection_limit = lambda worker: 2
         one, two = self.take(), self.take()
         self.assertEqual(self.take().code, NO_CONNECTION.code)
         self.within(one.close)
@@ -160,7 +160,7 @@
         self.assertIs(self.take(), two)
 
     def test_who_is_not_reached_counts_for_nothing(self):
-        self.pool.most = lambda worker: 1
+        self.pool.connection_limit = lambda worker: 1
         for _ in range(3):
             self.assertEqual(
                 self.take(self.worker_registry.workers["w2"]).code, WORKER_UNREACHABLE.code
@@ -186,7 +186,7 @@
 
             async def read():
                 head = event = await link.event()
-                link.hear(list(head.headers.raw_items()))
+                link.note_head(list(head.headers.raw_items()))
                 while not isinstance(event, h11.EndOfMessage):
                     event = await link.event()
 
@@ -210,5 +210,5 @@
         next_life = worker_registry("w1-again").workers["w1-again"]
         self.assertEqual(next_life.listed.addr, self.worker.listed.addr)
         self.assertIsNot(self.take(next_life), link)
-        self.within(lambda: self.pool.follow({"w1-again": next_life}))
+        self.within(lambda: self.pool.close_except({"w1-again": next_life}))
         self.assertTrue(link.transport.is_closing())
--- a/tests/gateway/test_swap.py
+++ b/tests/gateway/test_swap.py
@@ -95,7 +95,7 @@
             )
             for at, version in enumerate(versions)
         ]
-        self.registry.take(listed)
+        self.registry.apply_list(listed)
         models = {MODEL: SimpleNamespace(weights="2")}
         self.swaps.old_weights.ages.note(models, self.now_s)
 
