--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -20,7 +20,7 @@
         self.admission, self.broadcast = admission, broadcast
         self.kept, self.source, self.telemetry = kept, source, telemetry
         self.tasks, self.shared, self.stores = {}, {}, []
-        broadcast.on(KeptNews, self.on_news)
+        broadcast.subscribe(KeptNews, self.on_news)
 
     def start(self):
         """Follow what is owned here."""
@@ -121,7 +121,7 @@
 
     def _tell_all(self, news):
         self.on_news(news, "")
-        self.broadcast.tell(news)
+        self.broadcast.publish(news)
 
     def on_news(self, news, sender):
         """Take in what a follower tells of its cache."""
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -84,7 +84,7 @@
         self.following = Following(
             self.admission, self.broadcast, self.kept, cache_source, self.telemetry
         )
-        self.admission.on_read = self.following.will_keep
+        self.admission.on_admitted = self.following.will_keep
         self.pool = Pool(self.telemetry, settings.connectMs)
         self.pool.connection_limit = self.connection_limit
         if self.policy.connections:
@@ -117,7 +117,7 @@
         self.worker_registry.watchers.append(
             lambda: self.pool.close_except(self.worker_registry.workers)
         )
-        self.broadcast.on(WorkerNews, self.on_worker_news)
+        self.broadcast.subscribe(WorkerNews, self.on_worker_news)
         self.mesh.register(SwapNews, self.on_swap_news)
 
     async def start(self):
@@ -323,7 +323,7 @@
 
     def broadcast_trouble(self, worker, for_ms):
         """Tell all other routers to avoid a failing worker for a time."""
-        self.broadcast.tell(WorkerNews(worker=worker.name, for_ms=for_ms))
+        self.broadcast.publish(WorkerNews(worker=worker.name, for_ms=for_ms))
 
     def on_worker_news(self, news, sender):
         """Avoid a worker that failed at another router, for 2 s at most, unless it answered here in the last 100 ms."""
--- a/swiftdeck/gateway/interfaces.py
+++ b/swiftdeck/gateway/interfaces.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of the manner of speaking of callers, workers, the list and the caches."""
+"""Interfaces between the gateway and the platform's protocol: clients, workers, the worker list and caches."""
 
 import enum
 import typing
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class Part:
-    """One part of a prompt, as its caller names it."""
+    """One part of a prompt, as the client names it."""
 
     name: str
     tokens: int
@@ -16,7 +16,7 @@
 
 @attrs.define
 class Request:
-    """One try of a client: what the gateway needs to know of it; its bytes go through untouched."""
+    """A client's request: what the gateway has to know of it. Its body is forwarded unchanged."""
 
     name: str
     method: bytes
@@ -33,13 +33,13 @@
     last_event: str = ""
 
     def shared(self):
-        """The parts before the request's own."""
+        """Return the parts that other requests may share: all but the last one."""
         return self.parts[:-1]
 
 
 @attrs.frozen
 class UpstreamRequest:
-    """What an attempt tells its worker besides the request itself."""
+    """What an attempt sends to its worker besides the request itself."""
 
     worker: str
     tenant: str
@@ -56,7 +56,7 @@
 
 
 class Verdict(enum.Enum):
-    """What the head of a worker's answer says."""
+    """Classification of a worker's answer by its head."""
 
     ANSWER = "answer"
     FAILURE = "failure"
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class WorkerListing:
-    """One worker as the platform's list has it."""
+    """One worker in the platform's worker list."""
 
     name: str
     addr: str
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class CacheReport:
-    """One report of a cache: a part that is kept under a salt, or no longer."""
+    """One report of a cache: a part was stored or evicted under a salt."""
 
     number: int
     salt: str
@@ -93,7 +93,7 @@
 
 @attrs.frozen
 class Reports:
-    """Reports of one cache since a number."""
+    """Reports of one cache since a number; `lost` says that earlier ones are missing."""
 
     epoch: int
     next_number: int
@@ -102,26 +102,26 @@
 
 
 class ClientCodec(typing.Protocol):
-    """How requests of clients are read, and refusals written."""
+    """Parses requests of clients and writes error answers."""
 
     def read(self, exchange):
-        """Return the Request that an exchange brings, or a fault."""
+        """Return the Request of an HTTP exchange, or a fault."""
 
     def refusal(self, fault, request):
-        """Return status, headers and body of a final answer of our own."""
+        """Return status, headers and body of the router's own answer for a fault."""
 
 
 class WorkerCodec(typing.Protocol):
-    """How requests to workers are written, and their answers read."""
+    """Writes the headers of requests to workers and parses those of their answers."""
 
     def head(self, request: Request, upstream_request: UpstreamRequest) -> list:
         """Return the headers of an attempt."""
 
     def verdict(self, request: Request, status: int, headers: list) -> Verdict:
-        """Judge the head of an answer."""
+        """Classify an answer by its head."""
 
     def passed_on(self, headers: list) -> list:
-        """Return the headers of an answer that go to the caller."""
+        """Return the headers of an answer that are relayed to the client."""
 
     def version(self, headers: list) -> int | None:
         """Return the version of the weights that an answer names, or None."""
@@ -134,24 +134,24 @@
 
 
 class ListSource(typing.Protocol):
-    """Where the list of workers is read; a whole reading, or a fault."""
+    """Source of the platform's worker list."""
 
     async def read(self):
-        """Return all listed workers, or a fault."""
+        """Return the complete list of workers, or a fault."""
 
 
 class CacheFollower(typing.Protocol):
-    """Reads one cache's reports."""
+    """Client of one cache's stream of reports."""
 
     async def reports(self, since: int, wait_ms: int):
-        """Return the Reports since a number, waiting for some, or a fault."""
+        """Return the Reports since a number, waiting up to `wait_ms` for some, or a fault."""
 
     def close(self):
-        """Follow no more."""
+        """Stop following the cache."""
 
 
 class CacheSource(typing.Protocol):
-    """Where caches' reports are read."""
+    """Creates followers of caches."""
 
     def follower(self, addr: str) -> CacheFollower:
         """Return a follower of the cache at an address."""
@@ -159,9 +159,9 @@
 
 @attrs.frozen
 class WorkerReport:
-    """What a worker says of itself, as of a moment ago.
+    """State that a worker reports of itself.
 
-    `order_count` is how many orders it has taken since it started, None where it doesn't say.
+    `order_count` is the number of orders it has accepted since it started, None where it doesn't say.
     """
 
     versions: dict[str, int]
@@ -169,12 +169,12 @@
     order_count: int | None = None
 
     def holds(self, model: str, version: int) -> bool:
-        """Whether the worker has such weights or newer ones, and no order is under way."""
+        """Return whether the worker has these weights or newer ones, and no order is in progress."""
         return not self.is_busy and self.versions.get(model, 0) >= version
 
 
 class OrderTaker(typing.Protocol):
-    """How a worker is told to take new weights, and asked how far it is."""
+    """Orders workers to load new weights and asks for their progress."""
 
     async def order(
         self,
@@ -186,9 +186,9 @@
         worker: str = "",
         expected_count: int | None = None,
     ):
-        """Tell a worker to take new weights; returns what it answered, or a fault.
+        """Order a worker to load new weights; return its answer, or a fault.
 
-        With a worker's name another one refuses, and with an expected count one that has taken more orders than that.
+        With `worker`, any other worker rejects the order; with `expected_count`, a worker that has accepted more orders does.
         """
 
     async def report(self, addr: str):
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -165,7 +165,7 @@
             self.worker.running_long -= self.is_long
             self.worker = None
         if self.place is not None:
-            self.gateway.admission.ended(self.place, self.first_event_ms)
+            self.gateway.admission.end_call(self.place, self.first_event_ms)
             self.place, self.first_event_ms = None, 0
 
     async def _choose_worker(self):
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -4,7 +4,7 @@
 import random
 from types import SimpleNamespace
 
-from swiftdeck.gateway.admission import PATIENCE_MS, Admission
+from swiftdeck.gateway.admission import RESPONSE_MARGIN_MS, Admission
 from swiftdeck.gateway.broadcast import Broadcast
 from swiftdeck.gateway.places import Wish
 from swiftdeck.member.membership import Membership
@@ -76,8 +76,8 @@
     def test_an_end_gives_the_place_back_at_its_owner(self):
         wishes = [self.ask(f"c{at}")[1] for at in range(2)]
         for wish in wishes:
-            self.within(lambda: self.parts[self.asker].ended(wish), self.asker)
-            self.within(lambda: self.parts[self.asker].ended(wish), self.asker)
+            self.within(lambda: self.parts[self.asker].end_call(wish), self.asker)
+            self.within(lambda: self.parts[self.asker].end_call(wish), self.asker)
         self.world.run(1.5)
         self.assertEqual(sum(self.open().values()), 0)
         self.assertTrue(self.ask("next")[0])
@@ -108,7 +108,7 @@
         )
         self.world.run(0.2)
         self.assertFalse(task.done())
-        self.within(lambda: self.parts[self.asker].ended(first), self.asker)
+        self.within(lambda: self.parts[self.asker].end_call(first), self.asker)
         self.world.run(0.5)
         self.assertTrue(task.result().granted)
 
@@ -117,7 +117,7 @@
         begun_s = self.world.now
         part = self.parts[self.asker]
         self.assertTrue(self.ask("c0")[0])
-        self.assertLess(self.world.now - begun_s, (50 + PATIENCE_MS) / 1000 + 0.05)
+        self.assertLess(self.world.now - begun_s, (50 + RESPONSE_MARGIN_MS) / 1000 + 0.05)
         self.assertEqual(part.telemetry.count["placesUnasked"], 1)
         part.worker_registry.workers["i-0"].running_long = 2
         self.assertFalse(self.ask("c1")[0])
--- a/tests/gateway/test_broadcast.py
+++ b/tests/gateway/test_broadcast.py
@@ -2,7 +2,7 @@
 
 import random
 
-from swiftdeck.gateway.broadcast import PASSED_ON_PER_S, Broadcast
+from swiftdeck.gateway.broadcast import FORWARDED_PER_S, Broadcast
 from swiftdeck.member.membership import Membership
 from swiftdeck.runtime.telemetry import Telemetry
 from swiftdeck.wire.mesh import Mesh
@@ -35,12 +35,14 @@
         membership = Membership(me, mesh, ADDRS[:3], random.Random(at), 500, 2000, telemetry)
         self.parts[addr], self.meshes[addr] = Broadcast(me, mesh, membership, telemetry), mesh
         for kind in (LoadNews, KeptNews, WorkerNews):
-            self.parts[addr].on(kind, lambda news, origin: self.heard[addr].append((origin, news)))
+            self.parts[addr].subscribe(
+                kind, lambda news, origin: self.heard[addr].append((origin, news))
+            )
         await mesh.start()
         membership.start()
 
     def tell(self, addr, *news):
-        self.within(lambda: [self.parts[addr].tell(each) for each in news], addr)
+        self.within(lambda: [self.parts[addr].publish(each) for each in news], addr)
 
     def others(self, *addrs):
         return [addr for addr in ADDRS if addr not in addrs]
@@ -75,8 +77,8 @@
         self.assertEqual(set(sent.values()), {0})
 
     def test_a_beat_grows_with_those_that_a_relay_tells(self):
-        beat_s = self.parts[RELAYS[0]].beat_s()
-        self.assertAlmostEqual(beat_s, (EACH - 1 + len(ZONES) - 1) / PASSED_ON_PER_S)
+        forward_interval_s = self.parts[RELAYS[0]].forward_interval_s()
+        self.assertAlmostEqual(forward_interval_s, (EACH - 1 + len(ZONES) - 1) / FORWARDED_PER_S)
 
     def test_what_comes_within_a_beat_is_one_message_with_the_newest_load(self):
         before = self.bulletins()
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -48,7 +48,7 @@
             worker_registry=self.worker_registry,
             owner=lambda name: "me" if name in self.mine else "other",
         )
-        broadcast = SimpleNamespace(on=lambda *_: None, tell=self.sent.append)
+        broadcast = SimpleNamespace(subscribe=lambda *_: None, publish=self.sent.append)
         self.following = Following(admission, broadcast, self.kept, self.source, self.telemetry)
         self.following.stores = [STORE]
         self.within(self.following.start)
