--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -1,4 +1,4 @@
-"""Followers of caches' reports: the owner of a worker's book follows it, and tells the others what concerns shared parts."""
+"""Followers of caches: the owner of a worker's slot table reads its cache reports and sends those of shared parts to all."""
 
 import asyncio
 
@@ -6,37 +6,50 @@
 from swiftdeck.runtime.ticks import next_tick
 from swiftdeck.wire.messages import KeptNews
 
-WAIT_MS, EXPECTED_S, DOWN_S, REST_S, LEAST_TOKENS, KNOWN_MOST = 1000, 2.0, 4.0, 0.2, 1024, 20000
-OWNED_S = 0.9
-"""How long a cache must be owned here before it is followed: a router that starts knows few others
-and would follow all of them, as would every other one after a loss of all power."""
+LONG_POLL_MS, EXPECTED_S, DOWN_S, POLL_PAUSE_S, STORE_PART_LEAST_TOKENS, SHARED_PARTS_MAX = (
+    1000,
+    2.0,
+    4.0,
+    0.2,
+    1024,
+    20000,
+)
+FOLLOW_DELAY_S = 0.9
+"""How long a cache must be owned here before it is followed. A router that has just started knows few others and would
+follow all caches, as would every router after a power failure of the whole site."""
 
 
 class Following:
-    """One follower for each cache in the whole fleet; after a gap what was known is forgotten."""
+    """Runs the followers of the caches owned here, one for each cache in the whole fleet.
+
+    After a gap in a cache's reports, all that was known of the cache is discarded.
+    """
 
     def __init__(self, admission, broadcast, kept, source, telemetry):
-        self.owned_s = {}
+        self.owned_since_s = {}
         self.admission, self.broadcast = admission, broadcast
         self.kept, self.source, self.telemetry = kept, source, telemetry
-        self.tasks, self.shared, self.stores = {}, {}, []
+        self.tasks, self.shared_parts, self.stores = {}, {}, []
         broadcast.subscribe(KeptNews, self.on_news)
 
     def start(self):
-        """Follow what is owned here."""
-        self.task = asyncio.ensure_future(self._minding())
+        """Start following the caches that are owned here."""
+        self.task = asyncio.ensure_future(self._update_followers())
+
+    def expect_parts(self, worker, salt, parts, sizes, is_cold):
+        """Note the shared parts of an admitted call, whose reports matter from now on.
 
-    def will_keep(self, worker, salt, parts, sizes, is_cold):
-        """A call that was admitted will have its shared parts read: others may count on them, and reports of them matter."""
+        When the worker will read a part anew, all routers are told to expect it in the worker's cache.
+        """
         for part in parts:
-            self.shared[part] = None
-        while len(self.shared) > KNOWN_MOST:
-            del self.shared[next(iter(self.shared))]
+            self.shared_parts[part] = None
+        while len(self.shared_parts) > SHARED_PARTS_MAX:
+            del self.shared_parts[next(iter(self.shared_parts))]
         if is_cold and any(
             self.kept.parts.get((salt, part), {}).get(worker, 0) < size
             for part, size in zip(parts, sizes, strict=False)
         ):
-            self._tell_all(
+            self._publish(
                 KeptNews(
                     holder=worker,
                     salts=[salt] * len(parts),
@@ -46,7 +59,7 @@
                 )
             )
 
-    async def _minding(self):
+    async def _update_followers(self):
         while True:
             me = self.admission.me.addr
             wanted = {
@@ -58,10 +71,10 @@
             for name in [name for name in self.tasks if name not in wanted]:
                 self.tasks.pop(name).cancel()
             now_s = asyncio.get_running_loop().time()
-            self.owned_s = {name: self.owned_s.get(name, now_s) for name in wanted}
+            self.owned_since_s = {name: self.owned_since_s.get(name, now_s) for name in wanted}
             for name, addr in wanted.items():
-                if name not in self.tasks and now_s - self.owned_s[name] >= OWNED_S:
-                    self.tasks[name] = asyncio.ensure_future(self._follow(name, addr))
+                if name not in self.tasks and now_s - self.owned_since_s[name] >= FOLLOW_DELAY_S:
+                    self.tasks[name] = asyncio.ensure_future(self._follow_cache(name, addr))
             for holder in [
                 each
                 for each in self.kept.by_holder
@@ -71,44 +84,46 @@
             self.kept.lapse(asyncio.get_running_loop().time())
             await next_tick(0.5)
 
-    async def _follow(self, name, addr):
+    async def _follow_cache(self, name, addr):
         follower = self.source.follower(addr)
         try:
-            await self._reports(name, follower)
+            await self._read_reports(name, follower)
         finally:
             follower.close()
 
-    async def _reports(self, name, follower):
+    async def _read_reports(self, name, follower):
         since, epoch = 0, None
         while True:
-            got = await follower.reports(since, WAIT_MS)
-            if is_fault(got):
+            response = await follower.reports(since, LONG_POLL_MS)
+            if is_fault(response):
                 self.telemetry.count["reportsFailed"] += 1
-                self._tell(name, [], True, True)
+                self._publish_reports(name, [], True, True)
                 await asyncio.sleep(0.5)
                 continue
             if self.kept.is_down(name, asyncio.get_running_loop().time()):
                 since, epoch = 0, None
-                self._tell(name, [], True)
+                self._publish_reports(name, [], True)
                 continue
-            is_reset = epoch not in (None, got.epoch) or got.next_number < since
-            if got.lost or is_reset:
+            is_reset = epoch not in (None, response.epoch) or response.next_number < since
+            if response.lost or is_reset:
                 self.telemetry.count["reportGaps"] += 1
             if is_reset and since:
-                since, epoch = 0, got.epoch
-                self._tell(name, [], True)
+                since, epoch = 0, response.epoch
+                self._publish_reports(name, [], True)
                 continue
-            epoch, since = got.epoch, got.next_number
-            told = [
+            epoch, since = response.epoch, response.next_number
+            relevant = [
                 each
-                for each in got.reports
-                if each.part in self.shared or name in self.stores and each.tokens >= LEAST_TOKENS
+                for each in response.reports
+                if each.part in self.shared_parts
+                or name in self.stores
+                and each.tokens >= STORE_PART_LEAST_TOKENS
             ]
-            if told or got.lost:
-                self._tell(name, told, got.lost)
-            await asyncio.sleep(REST_S)
+            if relevant or response.lost:
+                self._publish_reports(name, relevant, response.lost)
+            await asyncio.sleep(POLL_PAUSE_S)
 
-    def _tell(self, name, reports, is_whole, is_down=False):
+    def _publish_reports(self, name, reports, is_whole, is_down=False):
         news = KeptNews(
             holder=name,
             forget=is_whole,
@@ -117,14 +132,14 @@
             parts=[each.part for each in reports],
             tokens=[each.tokens if each.is_kept else 0 for each in reports],
         )
-        self._tell_all(news)
+        self._publish(news)
 
-    def _tell_all(self, news):
+    def _publish(self, news):
         self.on_news(news, "")
         self.broadcast.publish(news)
 
     def on_news(self, news, sender):
-        """Take in what a follower tells of its cache."""
+        """Update the table of cached parts with news from a follower."""
         if news.is_expected:
             until_s = asyncio.get_running_loop().time() + EXPECTED_S
             for salt, part in zip(news.salts, news.parts, strict=False):
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -84,7 +84,7 @@
         self.following = Following(
             self.admission, self.broadcast, self.kept, cache_source, self.telemetry
         )
-        self.admission.on_admitted = self.following.will_keep
+        self.admission.on_admitted = self.following.expect_parts
         self.pool = Pool(self.telemetry, settings.connectMs)
         self.pool.connection_limit = self.connection_limit
         if self.policy.connections:
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -1,4 +1,4 @@
-"""The list of workers: one router reads it and passes on what changed; others read it when nothing comes."""
+"""The list of workers: one router reads it and sends the changes to the others, which read it when no news arrive."""
 
 import asyncio
 import hashlib
@@ -9,21 +9,21 @@
 from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.wire.messages import FullListAsk, ListNews
 
-LOOK_MS = 200
+RECHECK_LEAST_MS = 200
 
 
 def digest_of(entries) -> bytes:
-    """What two processes share that hold the same list, by name in order."""
+    """Return a digest of a list, equal for processes with the same list; entries are ordered by name."""
     body = msgspec.json.encode(list(entries.values()))
     return hashlib.blake2b(body, digest_size=8).digest()
 
 
 class Listing:
-    """Keeps the worker_registry by the newest reading, its own or another's, with the time at which that was asked for.
+    """Keeps the worker registry at the newest reading of the list, whichever router read it.
 
-    A reading has a number above those of all readings that its reader knew of when it asked. Of two
-    readings the one with the higher number was asked for later, however late the news of it come; of
-    two with the same number, read side by side, the age tells.
+    A reading's number is above those of all readings that its reader knew of when it requested the
+    list. Of two readings, the one with the higher number was therefore requested later, however late
+    its news arrive. Two readings with the same number were made concurrently; the later request wins.
     """
 
     def __init__(
@@ -34,8 +34,8 @@
         source,
         worker_registry,
         telemetry,
-        every_ms=600,
-        rank_ms=350,
+        read_interval_ms=600,
+        rank_delay_ms=350,
         reads=True,
     ):
         self.me, self.mesh, self.membership, self.source, self.worker_registry, self.telemetry = (
@@ -46,42 +46,50 @@
             worker_registry,
             telemetry,
         )
-        self.every_ms, self.rank_ms, self.reads = every_ms, rank_ms, reads
+        self.read_interval_ms, self.rank_delay_ms, self.reads = (
+            read_interval_ms,
+            rank_delay_ms,
+            reads,
+        )
         self.read_s, self.digest, self.entries = -1e9, b"", {}
         self.number = 0
         mesh.register(ListNews, self.on_news)
-        mesh.register(FullListAsk, self.on_wish)
+        mesh.register(FullListAsk, self.on_full_list_ask)
 
     def start(self):
-        """Go on reading, or standing by."""
+        """Start the loop that reads the list when it is due."""
         self.loop = asyncio.get_running_loop()
-        self.task = asyncio.ensure_future(self._reading())
+        self.task = asyncio.ensure_future(self._read_loop())
 
     def age_ms(self):
-        """Time since the newest reading was asked for."""
+        """Return the time in ms since the newest reading was requested."""
         return int((self.loop.time() - self.read_s) * 1000)
 
     def _rank(self):
         return self.membership.ranked(self.me.role).index(self.me.addr)
 
     def _due_ms(self):
-        """The first reads again and again; the others wait for longer, each by its rank."""
+        """Return the age in ms at which this process reads the list: the first by rank regularly, the others later by rank."""
         rank = self._rank()
-        return self.every_ms if not rank else self.every_ms * 2 + min(rank, 4) * self.rank_ms
+        return (
+            self.read_interval_ms
+            if not rank
+            else self.read_interval_ms * 2 + min(rank, 4) * self.rank_delay_ms
+        )
 
-    def _look_ms(self):
-        """When to look at the ranks again: soon once the usual news is late, for the first may have changed."""
-        return max(LOOK_MS, self.every_ms * 1.5 - self.age_ms())
+    def _recheck_ms(self):
+        """Return the time in ms until the ranks are checked again: soon once news are late, as the first may have changed."""
+        return max(RECHECK_LEAST_MS, self.read_interval_ms * 1.5 - self.age_ms())
 
-    async def _reading(self):
+    async def _read_loop(self):
         while True:
             due_ms = self._due_ms() - self.age_ms() if self.reads else 1000
             if due_ms > 0:
-                await asyncio.sleep(min(due_ms, self._look_ms()) / 1000)
+                await asyncio.sleep(min(due_ms, self._recheck_ms()) / 1000)
                 continue
             asked_s, number = self.loop.time(), self.number + 1
-            got = await self.source.read()
-            if is_fault(got):
+            listing = await self.source.read()
+            if is_fault(listing):
                 self.telemetry.count["listsFailed"] += 1
                 await asyncio.sleep(0.3)
                 continue
@@ -90,26 +98,31 @@
                 self.telemetry.count["listsOutdated"] += 1
                 continue
             known = self.entries
-            fresh = {each.name: each for each in sorted(got, key=lambda each: each.name)}
-            before, changed = self.digest, [e for e in fresh.values() if known.get(e.name) != e]
-            self._take(fresh, asked_s, number)
-            self._pass_on(asked_s, before, changed, [name for name in known if name not in fresh])
-
-    def _pass_on(self, asked_s, before, changed, gone):
-        """Tell all how old the reading is, and what it changed since the one before."""
+            entries = {each.name: each for each in sorted(listing, key=lambda each: each.name)}
+            previous_digest, changed = (
+                self.digest,
+                [e for e in entries.values() if known.get(e.name) != e],
+            )
+            self._apply(entries, asked_s, number)
+            self._send_news(
+                asked_s, previous_digest, changed, [name for name in known if name not in entries]
+            )
+
+    def _send_news(self, asked_s, previous_digest, changed, gone):
+        """Send all processes the age of a reading and the changes since the previous one."""
         news = ListNews(
             age_ms=int((self.loop.time() - asked_s) * 1000),
             digest=self.digest,
             number=self.number,
         )
-        if self.digest != before:
-            news.base, news.body, news.gone = before, msgspec.json.encode(changed), gone
+        if self.digest != previous_digest:
+            news.base, news.body, news.gone = previous_digest, msgspec.json.encode(changed), gone
         self.mesh.send_all(self.membership.reachable(), news)
 
     def _note_reading(self, asked_s, number):
         self.read_s, self.number = max(asked_s, self.read_s), max(number, self.number)
 
-    def _take(self, entries, asked_s, number):
+    def _apply(self, entries, asked_s, number):
         self._note_reading(asked_s, number)
         digest = digest_of(entries)
         if digest != self.digest:
@@ -117,23 +130,23 @@
             self.worker_registry.apply_list(entries.values())
 
     def on_news(self, news, sender):
-        """Take a reading of the list from the router that reads it; one that is outdated is told so."""
+        """Apply news of a reading; the sender of outdated news is asked for its list, which tells it the current number."""
         if news.number < self.number:
             self.telemetry.count["listsOutdated"] += 1
-            self._wish(sender)
+            self._request_full_list(sender)
             return
         asked_s = self.loop.time() - news.age_ms / 1000
         is_later = news.number > self.number or asked_s > self.read_s
         if news.digest == self.digest:
             self._note_reading(asked_s, news.number)
         elif is_later or not news.body and not news.gone:
-            self._follow(news, asked_s, sender)
+            self._apply_change(news, asked_s, sender)
 
-    def _wish(self, addr):
+    def _request_full_list(self, addr):
         self.mesh.send(addr, FullListAsk(digest=self.digest, number=self.number))
 
-    def _follow(self, news, asked_s, sender):
-        """Change the list held as told; one that doesn't come to the digest told is asked for whole."""
+    def _apply_change(self, news, asked_s, sender):
+        """Apply a change to the list; request the full list when the result doesn't match the digest in the news."""
         is_whole = not news.base
         if news.body and (is_whole or news.base == self.digest):
             changed = msgspec.json.decode(news.body, type=list[WorkerListing])
@@ -143,18 +156,18 @@
             entries.update((each.name, each) for each in changed)
             entries = dict(sorted(entries.items()))
             if digest_of(entries) == news.digest:
-                return self._take(entries, asked_s, news.number)
-        self._wish(sender)
+                return self._apply(entries, asked_s, news.number)
+        self._request_full_list(sender)
 
-    def on_wish(self, wish, sender):
-        """Send the whole list to a router that has another one.
+    def on_full_list_ask(self, ask, sender):
+        """Send the full list to a process that has another one.
 
-        A reader that starts again learns so how far the numbers have come.
+        The request carries the sender's number, from which a restarted reader learns how far the numbers have advanced.
         """
-        self.number = max(self.number, wish.number)
-        if self.entries and wish.digest != self.digest:
-            self.mesh.send(sender, self._whole())
+        self.number = max(self.number, ask.number)
+        if self.entries and ask.digest != self.digest:
+            self.mesh.send(sender, self._full_list_news())
 
-    def _whole(self):
+    def _full_list_news(self):
         body = msgspec.json.encode(list(self.entries.values()))
         return ListNews(age_ms=self.age_ms(), digest=self.digest, body=body, number=self.number)
