--- a/tests/gateway/test_policy.py
+++ b/tests/gateway/test_policy.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway without one of its mechanisms."""
+"""Tests of gateways with one of their mechanisms switched off."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class PolicyTest(SiteCase):
-    def test_no_rule_breaks_without_a_mechanism(self):
+    def test_no_invariant_breaks_without_a_mechanism(self):
         for switch in SWITCHES:
             with self.subTest(switch):
                 cluster = self.cluster(4, policy=Policy(**{switch: False}))
@@ -23,10 +23,10 @@
                 cluster.rest()
                 self.assert_kept(cluster, 0.8)
 
-    def test_a_switch_is_a_setting_and_a_wrong_one_is_a_numbered_fault(self):
+    def test_a_switch_is_a_setting_and_an_invalid_one_is_a_fault(self):
         settings = read_settings(flags=FLAGS | {"policy": {"lane": False}})
         self.assertEqual((settings.policy.lane, settings.policy.ring), (False, True))
-        for wrong in ({"lanes": False}, {"lane": 3}, "lane"):
+        for invalid in ({"lanes": False}, {"lane": 3}, "lane"):
             self.assertEqual(
-                read_settings(flags=FLAGS | {"policy": wrong}).code, BAD_SETTING.code, wrong
+                read_settings(flags=FLAGS | {"policy": invalid}).code, BAD_SETTING.code, invalid
             )
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of kept connections to workers."""
+"""Tests of the pool of connections to workers."""
 
 import asyncio
 
@@ -11,15 +11,15 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nrequest: %s\r\n\r\nok"
 
 
-class Scripted(asyncio.Protocol):
+class ScriptedWorker(asyncio.Protocol):
     """A worker that answers each request with the next bytes of a script."""
 
-    def __init__(self, script, seen):
-        self.script, self.seen = script, seen
+    def __init__(self, script, accepted):
+        self.script, self.accepted = script, accepted
 
     def connection_made(self, transport):
         self.transport = transport
-        self.seen.append(self)
+        self.accepted.append(self)
 
     def data_received(self, data):
         if self.script:
@@ -29,14 +29,14 @@
 class PoolTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.pool, self.script, self.seen = Pool(self.telemetry), [], []
+        self.pool, self.script, self.accepted = Pool(self.telemetry), [], []
         self.worker_registry = worker_registry("w1", "w2")
         self.worker = self.worker_registry.workers["w1"]
         self.world.start("worker", "10.1.0.1", self.serve)
 
     async def serve(self):
         await asyncio.get_running_loop().create_server(
-            lambda: Scripted(self.script, self.seen), "10.1.0.1", 8080
+            lambda: ScriptedWorker(self.script, self.accepted), "10.1.0.1", 8080
         )
 
     def take(self, worker=None, **more):
@@ -52,7 +52,7 @@
         return self.within(lambda: link.send_request("POST", "/", headers, body))
 
     def answer(self, link):
-        """The head of the next answer, read to its end."""
+        """Read the next answer to its end; return the value of its `request` header, or a fault."""
 
         async def main():
             head = await link.event()
@@ -63,25 +63,25 @@
 
         return self.do(main)
 
-    def exchange(self, name="r1", link=None):
+    def request_and_answer(self, name="r1", link=None):
         link = link or self.take()
         self.script.append(ANSWER % name.encode())
         self.assertIsNone(self.ask(link, name))
         self.assertEqual(self.answer(link), name)
         return link
 
-    def test_a_connection_is_used_again(self):
-        link = self.exchange()
+    def test_a_connection_is_reused(self):
+        link = self.request_and_answer()
         self.give(link)
         again = self.take()
         self.assertIs(again, link)
         self.assertEqual((again.is_reused, self.telemetry.count["connectionsOpened"]), (True, 1))
-        self.exchange("r2", again)
+        self.request_and_answer("r2", again)
 
-    def test_bytes_that_come_while_nothing_is_asked_spoil_it(self):
-        link = self.exchange()
+    def test_bytes_without_a_request_close_the_connection(self):
+        link = self.request_and_answer()
         self.give(link)
-        self.seen[0].transport.write(ANSWER % b"r0")
+        self.accepted[0].transport.write(ANSWER % b"r0")
         self.world.run(0.1)
         self.assertEqual(
             (self.telemetry.count["surplusBytes"], self.pool.idle, self.pool.count),
@@ -89,7 +89,7 @@
         )
         self.assertIsNot(self.take(), link)
 
-    def test_bytes_after_a_whole_answer_spoil_it(self):
+    def test_bytes_after_a_complete_answer_prevent_reuse(self):
         link = self.take()
         self.script.append(ANSWER % b"r1" + b"HTTP/1.1 2")
         self.ask(link, "r1")
@@ -98,7 +98,7 @@
         self.world.run(0.1)
         self.assertIsNot(self.take(), link)
 
-    def test_an_answer_to_another_request_is_skipped_and_its_connection_not_kept(self):
+    def test_an_answer_to_another_request_is_skipped_and_prevents_reuse(self):
         for body in (b"", b"x" * 1000):
             link = self.take(reuse=False)
             self.script.append(ANSWER % b"r0" + ANSWER % b"r1")
@@ -114,7 +114,7 @@
             self.give(link)
             self.assertTrue(link.transport.is_closing())
 
-    def test_an_answer_that_is_cut_or_closes_leaves_nothing_to_use_again(self):
+    def test_a_truncated_or_closing_answer_prevents_reuse(self):
         for script in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nrequest: r1\r\n\r\nok",
             b"rubbish\r\n\r\n",
@@ -122,7 +122,7 @@
             link = self.take()
             self.script.append(script)
             self.ask(link, "r1")
-            self.seen[-1].transport.loop.call_later(0.01, self.seen[-1].transport.abort)
+            self.accepted[-1].transport.loop.call_later(0.01, self.accepted[-1].transport.abort)
             self.assertTrue(is_fault(self.answer(link)))
             self.give(link)
             self.assertIsNot(self.take(), link)
@@ -133,21 +133,21 @@
         self.give(link)
         self.assertTrue(link.transport.is_closing())
 
-    def test_what_was_idle_for_long_is_not_used(self):
-        link = self.exchange()
+    def test_a_connection_that_was_idle_too_long_is_not_reused(self):
+        link = self.request_and_answer()
         self.give(link)
         self.world.run(IDLE_MOST_S - IDLE_MARGIN_S + 0.1)
         self.assertIsNot(self.take(), link)
 
-    def test_a_connection_that_its_worker_closed_is_not_used(self):
-        link = self.exchange()
+    def test_a_connection_closed_by_its_worker_is_not_reused(self):
+        link = self.request_and_answer()
         self.give(link)
-        self.seen[0].transport.close()
+        self.accepted[0].transport.close()
         self.world.run(0.1)
         self.assertIsNot(self.take(), link)
         self.assertTrue(is_fault(self.ask(link, "r2")))
 
-    def test_connections_are_capped_and_a_lost_one_frees_its_place(self):
+    def test_connections_are_limited_and_a_lost_one_frees_its_place(self):
         self.pool.connection_limit = lambda worker: 2
         one, two = self.take(), self.take()
         self.assertEqual(self.take().code, NO_CONNECTION.code)
@@ -156,10 +156,10 @@
         self.assertFalse(is_fault(self.take()))
         self.assertEqual(self.telemetry.count["connectionsCapped"], 1)
         self.assertEqual(self.take().code, NO_CONNECTION.code)
-        self.give(self.exchange("r1", two))
+        self.give(self.request_and_answer("r1", two))
         self.assertIs(self.take(), two)
 
-    def test_who_is_not_reached_counts_for_nothing(self):
+    def test_failed_connection_attempts_do_not_count(self):
         self.pool.connection_limit = lambda worker: 1
         for _ in range(3):
             self.assertEqual(
@@ -173,15 +173,15 @@
         self.world.net.heal()
         self.assertFalse(is_fault(self.take()))
 
-    def test_an_answer_before_the_whole_request_was_taken_ends_its_connection(self):
+    def test_an_answer_before_the_whole_request_was_read_prevents_reuse(self):
         for body, is_kept in ((b"x" * 1000, True), (b"x" * 200000, False)):
             link = self.take(reuse=False)
-            self.seen[-1].transport.pause_reading()
+            self.accepted[-1].transport.pause_reading()
             self.script.append(ANSWER % b"r1")
             self.assertIsNone(self.ask(link, "r1", body))
-            self.within(lambda: self.seen[-1].data_received(b""))
+            self.within(lambda: self.accepted[-1].data_received(b""))
             if is_kept:
-                self.within(self.seen[-1].transport.resume_reading)
+                self.within(self.accepted[-1].transport.resume_reading)
             self.world.run(0.1)
 
             async def read():
@@ -194,17 +194,17 @@
             self.give(link)
             self.assertEqual(link.transport.is_closing(), not is_kept, len(body))
 
-    def test_a_connection_is_opened_within_what_is_left_of_its_request(self):
+    def test_connecting_takes_no_longer_than_the_time_left_for_the_request(self):
         self.world.net.cut(["10.0.0.1"], ["10.1.0.1"])
         for within_s, took_s in ((0.05, 0.05), (-1.0, 0.0), (9.0, 0.3)):
             begun_s = self.world.now
             self.assertEqual(self.take(within_s=within_s).code, WORKER_UNREACHABLE.code)
             self.assertAlmostEqual(self.world.now - begun_s, took_s, delta=0.01)
 
-    def test_connections_to_a_life_that_is_gone_are_closed_and_never_serve_the_next_at_its_address(
+    def test_connections_to_an_ended_incarnation_never_serve_the_next_at_its_address(
         self,
     ):
-        link = self.exchange()
+        link = self.request_and_answer()
         self.give(link)
         self.worker_registry.workers["w1"].listed = worker_registry("w1").workers["w1"].listed
         next_life = worker_registry("w1-again").workers["w1-again"]
--- a/tests/gateway/test_worker_registry.py
+++ b/tests/gateway/test_worker_registry.py
@@ -7,7 +7,7 @@
 
 
 class WorkerRegistryTest(unittest.TestCase):
-    def test_a_newer_list_replaces_what_the_list_says_and_keeps_what_was_heard(self):
+    def test_a_newer_list_replaces_listed_values_and_keeps_observed_ones(self):
         worker_registry = WorkerRegistry()
         worker_registry.apply_list([listed("w1"), listed("w2")])
         worker = worker_registry.workers["w1"]
@@ -24,7 +24,7 @@
             (["w1", "w3"], ["w3"]),
         )
 
-    def test_versions_of_one_life_only_go_up_and_a_new_life_begins_anew(self):
+    def test_versions_never_decrease_except_with_a_new_incarnation(self):
         worker_registry = WorkerRegistry()
         worker_registry.apply_list([listed("w1", weights={"m": 3})])
         worker_registry.learn(worker_registry.workers["w1"], {"m": 2, "n": 1})
@@ -34,7 +34,7 @@
         worker_registry.apply_list([listed("w1-again", weights={"m": 1})])
         self.assertEqual(worker_registry.workers["w1-again"].knows("m"), 1)
 
-    def test_a_version_that_was_wrong_is_forgotten_until_the_list_tells_it_again(self):
+    def test_a_wrong_version_is_unknown_until_a_newer_list(self):
         worker_registry = WorkerRegistry()
         worker_registry.apply_list([listed("w1", weights={"m": 3, "n": 1})])
         worker = worker_registry.workers["w1"]
@@ -43,7 +43,7 @@
         worker_registry.apply_list([listed("w1", weights={"m": 4, "n": 1})])
         self.assertEqual(worker.knows("m"), 4)
 
-    def test_a_version_that_was_wrong_gives_way_to_what_the_list_says(self):
+    def test_a_wrong_version_gives_way_to_the_listed_one(self):
         worker_registry = WorkerRegistry()
         worker_registry.apply_list([listed("w1", weights={"m": 3})])
         worker = worker_registry.workers["w1"]
@@ -51,14 +51,14 @@
         worker_registry.forget_version(worker, "m")
         self.assertEqual(worker.knows("m"), 3)
 
-    def test_watchers_hear_of_who_comes_and_goes(self):
-        worker_registry, heard = WorkerRegistry(), []
-        worker_registry.watchers.append(lambda: heard.append(sorted(worker_registry.workers)))
+    def test_watchers_are_notified_of_added_and_removed_workers(self):
+        worker_registry, notified = WorkerRegistry(), []
+        worker_registry.watchers.append(lambda: notified.append(sorted(worker_registry.workers)))
         for names in (["w1"], ["w1"], ["w2"], []):
             worker_registry.apply_list([listed(name) for name in names])
-        self.assertEqual(heard, [["w1"], ["w2"], []])
+        self.assertEqual(notified, [["w1"], ["w2"], []])
 
-    def test_a_life_that_is_known_to_have_ended_serves_nothing(self):
+    def test_a_dropped_worker_serves_nothing(self):
         worker_registry = WorkerRegistry()
         worker_registry.apply_list([listed("w1"), listed("w2")])
         worker_registry.drop("w1")
