--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -134,18 +134,18 @@
 
     def pace_of(self, worker: str) -> float:
         """Return the estimated pace of a worker in tokens of prompt per millisecond, the usual one for an unknown worker."""
-        known = self.worker_registry.workers.get(worker)
-        if known is None:
+        entry = self.worker_registry.workers.get(worker)
+        if entry is None:
             return self.worker_registry.usual_pace
-        return self.worker_registry.pace(known, self.loop.time())
+        return self.worker_registry.pace(entry, self.loop.time())
 
     def on_reading(self, worker: str, tokens: float, elapsed_ms: int):
         """Update a worker's pace: it read only these tokens in the time until a call's first event."""
-        known = self.worker_registry.workers.get(worker)
-        if known is None or not self.policy.pace:
+        entry = self.worker_registry.workers.get(worker)
+        if entry is None or not self.policy.pace:
             return
-        known.pace.observe(tokens, elapsed_ms, self.loop.time(), self.worker_registry.usual_pace)
-        self.worker_registry.update_usual_pace(known.pace.tokens_per_ms)
+        entry.pace.observe(tokens, elapsed_ms, self.loop.time(), self.worker_registry.usual_pace)
+        self.worker_registry.update_usual_pace(entry.pace.tokens_per_ms)
 
     def end_call(self, wish: Wish, first_event_ms: int = 0):
         """Release a call's place at the owner.
@@ -195,12 +195,12 @@
 
     def broadcast_load(self, worker, backlog, running):
         """Tell all routers, this one included, the backlog and the pace of a worker that is owned here."""
-        known = self.worker_registry.workers.get(worker)
+        entry = self.worker_registry.workers.get(worker)
         news = LoadNews(
             worker=worker,
             backlog=min(int(backlog), UNREAD_TOKENS_MAX),
             running=running,
-            tokens_per_s=int(known.pace.tokens_per_ms * 1000) if known else 0,
+            tokens_per_s=int(entry.pace.tokens_per_ms * 1000) if entry else 0,
         )
         self.on_load_news(news, "")
         self.broadcast.publish(news)
--- a/swiftdeck/gateway/broadcast.py
+++ b/swiftdeck/gateway/broadcast.py
@@ -122,6 +122,7 @@
             await asyncio.sleep(RETRY_PAUSE_S)
 
     def _queue_forwarding(self, sections, reach):
+        """Add sections to the pending ones, which are forwarded together at the end of the interval."""
         if not self.pending_for_zone:
             asyncio.get_running_loop().call_later(self.forward_interval_s(), self._forward)
         queues = (
@@ -134,6 +135,7 @@
                 batches.setdefault(section.origin, NewsBatch()).add_all(section)
 
     def _forward(self):
+        """Forward the pending sections to this zone and the other relays; those with cache news are retried."""
         pending_for_zone, self.pending_for_zone = self.pending_for_zone, {}
         pending_for_relays, self.pending_for_relays = self.pending_for_relays, {}
         self.mesh.send_all(self._neighbours(), Bulletin(sections=_sections(pending_for_zone)))
--- a/swiftdeck/gateway/following.py
+++ b/swiftdeck/gateway/following.py
@@ -14,12 +14,14 @@
     1024,
     20000,
 )
+"""A report request waits up to LONG_POLL_MS. Parts of admitted calls are expected in the cache for EXPECTED_S, and a cache that
+doesn't answer counts as down for DOWN_S. Of a store, parts below STORE_PART_LEAST_TOKENS are ignored."""
 FOLLOW_DELAY_S = 0.9
 """How long a cache must be owned here before it is followed. A router that has just started knows few others and would
 follow all caches, as would every router after a power failure of the whole site."""
 
 
-class Following:
+class CacheFollowers:
     """Runs the followers of the caches owned here, one for each cache in the whole fleet.
 
     After a gap in a cache's reports, all that was known of the cache is discarded.
@@ -60,6 +62,7 @@
             )
 
     async def _update_followers(self):
+        """Every 0.5 s, start and stop followers as ownership changes, and discard parts of removed caches."""
         while True:
             me = self.admission.me.addr
             wanted = {
@@ -92,6 +95,10 @@
             follower.close()
 
     async def _read_reports(self, name, follower):
+        """Read the reports of a cache by long polls and publish the relevant ones.
+
+        After a restart of the cache, or while it counts as down, reading begins anew from the first number.
+        """
         since, epoch = 0, None
         while True:
             response = await follower.reports(since, LONG_POLL_MS)
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -19,7 +19,7 @@
 )
 from swiftdeck.gateway.admission import Admission
 from swiftdeck.gateway.broadcast import Broadcast
-from swiftdeck.gateway.following import Following
+from swiftdeck.gateway.following import CacheFollowers
 from swiftdeck.gateway.health import Judge
 from swiftdeck.gateway.kept import KeptTable
 from swiftdeck.gateway.listing import Listing
@@ -41,7 +41,8 @@
 """How long no majority of the cores must be reachable before this counts as their failure, not as one of this process."""
 POLL_S = 0.02
 ANSWERS_SHARE, HAND_BACK_SHARE, HAND_BACK_MOST_MS = 0.15, 0.45, 500
-"""Shares of the time between the end of work and the exit that the last answers and the return of the lease may take."""
+"""Shares of the time between the end of work and the exit that the last answers and the return of the lease may take; the
+return takes HAND_BACK_MOST_MS at most."""
 OPERATOR = "operator"
 CLIENT_LIMITS = "callers"
 
@@ -81,10 +82,10 @@
             self.broadcast,
             self.policy,
         )
-        self.following = Following(
+        self.cache_followers = CacheFollowers(
             self.admission, self.broadcast, self.kept, cache_source, self.telemetry
         )
-        self.admission.on_admitted = self.following.expect_parts
+        self.admission.on_admitted = self.cache_followers.expect_parts
         self.pool = Pool(self.telemetry, settings.connectMs)
         self.pool.connection_limit = self.connection_limit
         if self.policy.connections:
@@ -125,7 +126,13 @@
         self.loop = asyncio.get_running_loop()
         self.lease.watchers.append(self.on_config)
         await self.start_node()
-        for part in (self.cluster_map, self.lease, self.admission, self.listing, self.following):
+        for part in (
+            self.cluster_map,
+            self.lease,
+            self.admission,
+            self.listing,
+            self.cache_followers,
+        ):
             part.start()
         self.task = asyncio.ensure_future(self._watch_cores())
         ip, _, port = self.settings.http.rpartition(":")
@@ -186,7 +193,7 @@
             self.http.head_limit, self.http.body_limit = limits.head_bytes, limits.body_bytes
             self.http.slow_ms, self.http.idleMs = limits.head_wait_ms, limits.idle_ms
         self.placing.follow(document.services)
-        self.following.stores = list(self.placing.stores)
+        self.cache_followers.stores = list(self.placing.stores)
         self.telemetry.set_fact(
             "edition", document.edition[OPERATOR].number if OPERATOR in document.edition else 0
         )
@@ -198,9 +205,9 @@
 
     def service_of(self, worker: str):
         """Return the configuration of a worker's service, or None where the worker or the configuration is unknown."""
-        known = self.worker_registry.workers.get(worker)
+        entry = self.worker_registry.workers.get(worker)
         return (
-            self.document.services.get(known.listed.service) if known and self.lease.held else None
+            self.document.services.get(entry.listed.service) if entry and self.lease.held else None
         )
 
     def memory_of(self, worker: str) -> int:
@@ -332,7 +339,7 @@
             self.judge.shun(worker, min(news.for_ms, 2000) / 1000)
 
     def on_swap_news(self, news, sender):
-        """Avoid workers that are about to load new weights, and note the version that they will have."""
+        """Avoid workers that the news lists for its duration, as they load new weights; note their new version where it is given."""
         now_s = self.loop.time()
         for name in news.workers:
             worker = self.worker_registry.workers.get(name)
--- a/swiftdeck/gateway/interfaces.py
+++ b/swiftdeck/gateway/interfaces.py
@@ -53,6 +53,7 @@
 
 
 PROMISES = (408, 421, 429, 503)
+"""Statuses that promise the client that its request did not run."""
 
 
 class Verdict(enum.Enum):
--- a/swiftdeck/gateway/listing.py
+++ b/swiftdeck/gateway/listing.py
@@ -82,6 +82,7 @@
         return max(RECHECK_LEAST_MS, self.read_interval_ms * 1.5 - self.age_ms())
 
     async def _read_loop(self):
+        """Read the list whenever it is due, and send its changes; a reading that news have overtaken is dropped."""
         while True:
             due_ms = self._due_ms() - self.age_ms() if self.reads else 1000
             if due_ms > 0:
@@ -97,15 +98,18 @@
             if number < self.number:
                 self.telemetry.count["listsOutdated"] += 1
                 continue
-            known = self.entries
+            previous_entries = self.entries
             entries = {each.name: each for each in sorted(listing, key=lambda each: each.name)}
             previous_digest, changed = (
                 self.digest,
-                [e for e in entries.values() if known.get(e.name) != e],
+                [entry for entry in entries.values() if previous_entries.get(entry.name) != entry],
             )
             self._apply(entries, asked_s, number)
             self._send_news(
-                asked_s, previous_digest, changed, [name for name in known if name not in entries]
+                asked_s,
+                previous_digest,
+                changed,
+                [name for name in previous_entries if name not in entries],
             )
 
     def _send_news(self, asked_s, previous_digest, changed, gone):
--- a/swiftdeck/gateway/proxied_request.py
+++ b/swiftdeck/gateway/proxied_request.py
@@ -111,6 +111,7 @@
                 )
 
     async def _run_attempts(self):
+        """Take the actions that the ledger calls for, until one of them is the final answer."""
         handlers = {NextAction.PLACE: self._choose_worker, NextAction.SEND: self._run_attempt}
         self.exchange.watch_client(self._client_ended)
         while True:
@@ -157,6 +158,7 @@
         return await self.gateway.refuse(self.exchange, fault, self.request)
 
     def _release_worker(self):
+        """Close the connection, leave the worker's counts of running calls and release the place at its owner."""
         if self.link is not None:
             self.link.close()
             self.link = None
@@ -182,6 +184,11 @@
         attempt.worker = worker
 
     async def _admitted_worker(self, attempt):
+        """Return the worker for an attempt, or None with the fault noted in the attempt.
+
+        Workers that failed this request are left out; a repeatable request may return to them when there is no other. A
+        short call gets the first candidate with a free slot, or the first one when all are full.
+        """
         gateway, request = self.gateway, self.request
         workers = gateway.eligible(self.service, request.model)
         untried = [each for each in workers if each.name not in self.avoid] or (
@@ -232,6 +239,7 @@
         )
 
     async def _run_attempt(self):
+        """Carry out the latest attempt; after a fault its worker is avoided and the connection closed."""
         attempt = self.ledger.attempts[-1]
         worker = self.worker = attempt.worker
         worker.running += 1
@@ -244,6 +252,7 @@
                 self.link = None
 
     async def _send_to_worker(self, attempt, worker):
+        """Send the request to a worker and relay its answer; return the attempt's fault, or None."""
         gateway = self.gateway
         connection = await gateway.pool.acquire(worker, self._left_s())
         if is_fault(connection):
@@ -286,7 +295,7 @@
     def _check_admission(self):
         """Count an invariant violation when a request is forwarded outside the drain's limits.
 
-        No request may go to a worker that was read after the end of admission, or that is still here after the end of work.
+        A request that arrived after the end of admission must not reach a worker, and none may be sent after the end of work.
         """
         drain = self.gateway.drain
         if self.start_s < drain.admission_end_s and self.loop.time() < drain.work_end_s:
@@ -402,6 +411,11 @@
                 return fault
 
     async def _handle_head(self, attempt, worker, head, sent_s):
+        """Decide by the head of an answer whether to relay it; return the attempt's fault, or None.
+
+        An answer isn't relayed when it is a rejection, invalid, or a failure that another attempt may avoid, that comes after
+        the client's answer has begun, or whose status would promise that the request didn't run.
+        """
         gateway, (status, headers) = self.gateway, head
         self.link.note_head(headers)
         codec = gateway.worker_codec
@@ -529,6 +543,11 @@
         self.link = None
 
     async def _relay_chunk(self, data, is_stream, worker):
+        """Relay a chunk of a body; of a resumable stream only complete events, noting the last event's id.
+
+        A stream with data events that carry no id can't be resumed any more. Returns a fault when the stream repeats an
+        event that the client has.
+        """
         if not is_stream:
             return await self._send_chunk(data)
         self.partial_event += data
@@ -549,6 +568,7 @@
         return await self._send_chunk(complete_events)
 
     async def _send_final_answer(self, action, fault):
+        """Finish the answer, abort one that has begun, or send the fault, as the ledger's action says."""
         count = self.gateway.telemetry.count
         if action is NextAction.FINISH:
             count["callsServed"] += 1
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from swiftdeck.fault import PEER_TIMEOUT
-from swiftdeck.gateway.following import FOLLOW_DELAY_S, Following
+from swiftdeck.gateway.following import FOLLOW_DELAY_S, CacheFollowers
 from swiftdeck.gateway.interfaces import CacheReport, Part, Reports
 from swiftdeck.gateway.kept import KeptTable
 from tests.gateway.parts import SimCase, worker_registry
@@ -49,7 +49,9 @@
             owner=lambda name: "me" if name in self.owned else "other",
         )
         broadcast = SimpleNamespace(subscribe=lambda *_: None, publish=self.sent.append)
-        self.following = Following(admission, broadcast, self.kept, self.source, self.telemetry)
+        self.following = CacheFollowers(
+            admission, broadcast, self.kept, self.source, self.telemetry
+        )
         self.following.stores = [STORE]
         self.within(self.following.start)
         self.within(lambda: self.following.expect_parts("w1", "1", ["book"], [13000], False))
