--- a/swiftdeck/gateway/admission.py
+++ b/swiftdeck/gateway/admission.py
@@ -120,8 +120,8 @@
     def _may_use_share(self, wish):
         """Return whether this router's share of the worker's capacity allows a call that the owner didn't answer.
 
-        The share is the number of such calls that fit the worker's cache, over half the number of routers. It applies until
-        another router owns the slot table.
+        The share is the number of such calls that fit the worker's cache, over half the number of routers, and at least 1. It
+        applies until another router owns the slot table.
         """
         self.telemetry.count["placesUnasked"] += 1
         worker = self.worker_registry.workers.get(wish.worker)
--- a/swiftdeck/gateway/gateway.py
+++ b/swiftdeck/gateway/gateway.py
@@ -309,8 +309,9 @@
         return f"{self.version(model, worker)}{'/' + tenant if entry and entry.apart else shared}"
 
     def urgency(self, route, tenant: str, is_long: bool) -> int:
-        """Return the priority of a request, lowest first: its tenant's where set, else its route's; short prompts before long ones.
+        """Return the rank of a request, lower ones first: its tenant's if set, else its route's.
 
+        While the policy `short_first` is on, short prompts rank before all long ones.
         A short prompt delays a long one that it overtakes by a few ms; behind it, it would itself wait for hundreds of ms.
         """
         entry = self.document.tenants.get(tenant)
--- a/swiftdeck/gateway/pool.py
+++ b/swiftdeck/gateway/pool.py
@@ -119,11 +119,11 @@
     def has_idle(self, worker) -> bool:
         """Return whether an idle connection to a worker can be reused."""
         now_s = asyncio.get_running_loop().time()
-        kept = self.idle.get((worker.name, worker.listed.addr), ())
-        return any(self._is_fresh(link, now_s) for link in kept)
+        idle_links = self.idle.get((worker.name, worker.listed.addr), ())
+        return any(self._is_reusable(link, now_s) for link in idle_links)
 
     @staticmethod
-    def _is_fresh(link, now_s):
+    def _is_reusable(link, now_s):
         return (
             not link.gone
             and not link.transport.is_closing()
@@ -133,10 +133,10 @@
     async def acquire(self, worker, within_s=UNLIMITED_S, reuse=True):
         """Return an idle or a new connection to a worker, or a fault; no request byte was sent in that case."""
         now_s, addr = asyncio.get_running_loop().time(), worker.listed.addr
-        kept = self.idle.get((worker.name, addr), [])
-        while kept:
-            link = kept.pop()
-            if reuse and self._is_fresh(link, now_s):
+        idle_links = self.idle.get((worker.name, addr), [])
+        while idle_links:
+            link = idle_links.pop()
+            if reuse and self._is_reusable(link, now_s):
                 link.is_busy = link.is_reused = True
                 return link
             link.close()
@@ -166,9 +166,9 @@
         if not getattr(link, "is_counted_out", False):
             link.is_counted_out = True
             self.count[link.worker_addr] -= 1
-        kept = self.idle.get((getattr(link, "worker_name", ""), link.worker_addr))
-        if kept and link in kept:
-            kept.remove(link)
+        idle_links = self.idle.get((getattr(link, "worker_name", ""), link.worker_addr))
+        if idle_links and link in idle_links:
+            idle_links.remove(link)
 
     def release(self, link):
         """Return a connection to the pool; it is closed unless it is clean."""
