--- a/tests/gateway/test_swap.py
+++ b/tests/gateway/test_swap.py
@@ -102,7 +102,7 @@
             )
             for index, version in enumerate(versions)
         ]
-        self.registry.take(listed)
+        self.registry.apply_list(listed)
         models = {MODEL: SimpleNamespace(weights="2")}
         self.scheduler.old_weights.ages.note(models, self.now_s)
 
