--- a/swiftdeck/platform/__init__.py
+++ b/swiftdeck/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The manner of speaking of the platform: names, formats and calls, and nothing that decides."""
+"""Adapter to the platform's names, formats and calls. It makes no decisions of its own."""
--- a/swiftdeck/platform/caches.py
+++ b/swiftdeck/platform/caches.py
@@ -1,4 +1,4 @@
-"""Reports of the platform's caches."""
+"""Reads the event reports of the platform's caches."""
 
 from typing import Annotated
 
@@ -8,56 +8,64 @@
 from swiftdeck.gateway.interfaces import CacheReport, Reports
 from swiftdeck.http.kept import KeptJson
 
-PATH, WAIT, NEXT = "/swiftdeck/kv-events", "Wait-Ms", "next-token"
-Tokens = Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
+PATH, WAIT_HEADER, NEXT_FIELD = "/swiftdeck/kv-events", "Wait-Ms", "next-token"
+TokenCount = Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
 
 
-class Told(msgspec.Struct):
-    """The answer of a cache."""
+class CacheResponse(msgspec.Struct):
+    """Response of a cache: its events, the token to continue from, and whether events were lost."""
 
     epoch: int
-    next: int = msgspec.field(name=NEXT)
-    events: list[tuple[int, str, str, str, Tokens, str]]
+    next: int = msgspec.field(name=NEXT_FIELD)
+    events: list[tuple[int, str, str, str, TokenCount, str]]
     lost: bool = False
 
 
 class PlatformCaches:
-    """Asks a cache for its reports; the call is held there until there are some."""
+    """Creates followers that read cache reports by long polling."""
 
     def follower(self, addr: str):
-        """One follower with a connection of its own."""
+        """Return a follower of the cache at `addr` with its own connection."""
         return PlatformFollower(addr)
 
 
 class PlatformFollower:
-    """Follows one cache."""
+    """Reads the reports of one cache over a persistent connection."""
 
     def __init__(self, addr: str):
-        self.kept = KeptJson(addr)
+        self.http_client = KeptJson(addr)
 
     def close(self):
-        """Follow no more."""
-        self.kept.close()
+        """Close the connection."""
+        self.http_client.close()
 
     async def reports(self, since: int, wait_ms: int):
-        """Reports since a number, or a fault."""
-        got = await self.kept.fetch(
-            "GET", f"{PATH}?since={since}", headers=[(WAIT, str(wait_ms))], timeout_ms=wait_ms + 500
+        """Return the reports after number `since`, or a fault.
+
+        The cache holds the call for up to `wait_ms` until there are reports.
+        """
+        response = await self.http_client.fetch(
+            "GET",
+            f"{PATH}?since={since}",
+            headers=[(WAIT_HEADER, str(wait_ms))],
+            timeout_ms=wait_ms + 500,
         )
-        if is_fault(got) or got[0] != 200:
+        if is_fault(response) or response[0] != 200:
             return (
-                got if is_fault(got) else BAD_BACKEND_RESPONSE.with_reason(f"reports say {got[0]}")
+                response
+                if is_fault(response)
+                else BAD_BACKEND_RESPONSE.with_reason(f"reports say {response[0]}")
             )
         try:
-            told = msgspec.convert(got[1], Told)
+            report = msgspec.convert(response[1], CacheResponse)
         except msgspec.ValidationError as error:
             return BAD_BACKEND_RESPONSE.with_reason(f"reports: {error}")
         return Reports(
-            told.epoch,
-            told.next,
-            told.lost,
+            report.epoch,
+            report.next,
+            report.lost,
             [
                 CacheReport(number, salt, part, tokens, sign == "+")
-                for number, sign, salt, part, tokens, _ in told.events
+                for number, sign, salt, part, tokens, _ in report.events
             ],
         )
--- a/swiftdeck/platform/lists.py
+++ b/swiftdeck/platform/lists.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers."""
+"""Reads the platform's list of workers."""
 
 import msgspec
 
@@ -6,19 +6,24 @@
 from swiftdeck.gateway.interfaces import WorkerListing
 from swiftdeck.http.client import fetch_json
 
-PATH, WORKERS, NEXT, PAGE = "/workers", "app-servers", "next-token", "page-token"
-PAGES_MOST = 200
+PATH, WORKERS_FIELD, NEXT_FIELD, PAGE_PARAMETER = (
+    "/workers",
+    "app-servers",
+    "next-token",
+    "page-token",
+)
+MAX_PAGES = 200
 
 
-class Weights(msgspec.Struct):
-    """A model that a worker has."""
+class ListedModel(msgspec.Struct):
+    """A model that a worker has loaded, and the version of its weights."""
 
     name: str
     version: int = 0
 
 
-class Entry(msgspec.Struct, rename="kebab"):
-    """One worker as the list has it."""
+class ListEntry(msgspec.Struct, rename="kebab"):
+    """A worker's entry in the list."""
 
     id: str
     backend: str
@@ -27,54 +32,60 @@
     capacity: int = 1
     server_state: str = "ready"
     warmup_left_ms: float = 0
-    models: list[Weights] | None = None
+    models: list[ListedModel] | None = None
 
 
-class Page(msgspec.Struct):
-    """One page of the list."""
+class ListPage(msgspec.Struct):
+    """A page of the list; `next` is the token of the following page."""
 
-    workers: list[Entry] = msgspec.field(name=WORKERS)
-    next: str | None = msgspec.field(name=NEXT, default=None)
+    workers: list[ListEntry] = msgspec.field(name=WORKERS_FIELD)
+    next: str | None = msgspec.field(name=NEXT_FIELD, default=None)
 
 
 class PlatformList:
-    """Reads the list whole, page after page; a page that can't be read makes the reading fail."""
+    """Reads the whole list page by page; a page that can't be read fails the whole read."""
 
     def __init__(self, addr: str):
         self.addr = addr
 
     async def read(self):
-        """All workers, or a fault."""
-        found, token, seen = [], None, set()
-        while token not in seen and len(seen) < PAGES_MOST:
-            seen.add(token)
-            got = await fetch_json(
-                self.addr, "GET", f"{PATH}?{PAGE}={token}" if token else PATH, timeoutMs=1000
+        """Return a WorkerListing for each worker, or a fault.
+
+        A page token that repeats, or more than `MAX_PAGES` pages, is a fault.
+        """
+        entries, token, seen_tokens = [], None, set()
+        while token not in seen_tokens and len(seen_tokens) < MAX_PAGES:
+            seen_tokens.add(token)
+            response = await fetch_json(
+                self.addr,
+                "GET",
+                f"{PATH}?{PAGE_PARAMETER}={token}" if token else PATH,
+                timeoutMs=1000,
             )
-            if is_fault(got) or got[0] != 200:
+            if is_fault(response) or response[0] != 200:
                 return (
-                    got
-                    if is_fault(got)
-                    else BAD_BACKEND_RESPONSE.with_reason(f"list says {got[0]}")
+                    response
+                    if is_fault(response)
+                    else BAD_BACKEND_RESPONSE.with_reason(f"list says {response[0]}")
                 )
             try:
-                page = msgspec.convert(got[1], Page)
+                page = msgspec.convert(response[1], ListPage)
             except msgspec.ValidationError as error:
                 return BAD_BACKEND_RESPONSE.with_reason(f"list: {error}")
-            found += page.workers
+            entries += page.workers
             token = page.next
             if token is None:
                 return [
                     WorkerListing(
-                        each.id,
-                        each.address,
-                        each.backend,
-                        each.zone,
-                        max(1, each.capacity),
-                        each.server_state != "ready",
-                        {one.name: one.version for one in each.models or ()},
-                        int(each.warmup_left_ms),
+                        entry.id,
+                        entry.address,
+                        entry.backend,
+                        entry.zone,
+                        max(1, entry.capacity),
+                        entry.server_state != "ready",
+                        {model.name: model.version for model in entry.models or ()},
+                        int(entry.warmup_left_ms),
                     )
-                    for each in found
+                    for entry in entries
                 ]
         return BAD_BACKEND_RESPONSE.with_reason("list goes round in circles")
--- a/swiftdeck/platform/nodes.py
+++ b/swiftdeck/platform/nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of the platform's programs: one for edge machines, one for cores."""
+"""Makes and runs the nodes of the platform's programs: routers and cores."""
 
 import asyncio
 import os
@@ -6,80 +6,90 @@
 import sys
 
 from swiftdeck.fault import is_fault
-from swiftdeck.platform.settings import SettingsWatch, read_place
+from swiftdeck.platform.settings import SettingsWatch, read_settings
 from swiftdeck.programs.loop import make_log, run_until_signal
 from swiftdeck.runtime.ticks import next_tick
 
-READY = "/swiftdeck/ready"
-LOOK_S, COUNTERS_S = 1.0, 10.0
+READY_PATH = "/swiftdeck/ready"
+SETTINGS_POLL_S, COUNTERS_LOG_S = 1.0, 10.0
 
 
 def ready_handler(node):
-    """Answers whether new connections should come here; the rest goes to the node's own door."""
+    """Return a handler that answers readiness checks and leaves other paths to the node."""
 
     async def handle(exchange):
-        if exchange.path != READY:
+        if exchange.path != READY_PATH:
             return await node.operate(exchange)
         return await exchange.send_response(200 if node.is_ready() else 503, [], b"")
 
     return handle
 
 
-async def _look_for_seeds(role, node, log):
-    """The settings file may change without a signal."""
+async def _watch_seeds(role, node, log):
+    """Reload the seeds whenever the settings file changes, as that may happen without a signal."""
     watch = SettingsWatch()
-    _seeds_again(role, node, log)
+    _reload_seeds(role, node, log)
     while True:
-        await next_tick(LOOK_S)
+        await next_tick(SETTINGS_POLL_S)
         if watch.has_changed():
-            _seeds_again(role, node, log)
+            _reload_seeds(role, node, log)
 
 
-def _seeds_again(role, node, log):
-    place = read_place(role)
-    if is_fault(place):
-        node.telemetry.set_fact("settings", place.reason)
-    elif place.settings.seeds != node.membership.seeds:
-        node.membership.set_seeds(place.settings.seeds)
-        log.info("seeds exchanged", seeds=place.settings.seeds)
+def _reload_seeds(role, node, log):
+    platform_settings = read_settings(role)
+    if is_fault(platform_settings):
+        node.telemetry.set_fact("settings", platform_settings.reason)
+    elif platform_settings.settings.seeds != node.membership.seeds:
+        node.membership.set_seeds(platform_settings.settings.seeds)
+        log.info("seeds exchanged", seeds=platform_settings.settings.seeds)
 
 
-async def _count_aloud(node, log):
-    """A line of counters now and then."""
+async def _log_counters(node, log):
+    """Log the counters every `COUNTERS_LOG_S` seconds."""
     while True:
-        await asyncio.sleep(COUNTERS_S)
+        await asyncio.sleep(COUNTERS_LOG_S)
         log.info("counters", **node.counters())
 
 
-def _run(role, place, make):
-    log, box = make_log(place.settings.name, os.environ.get("SWIFTDECK_LOG", "info")), []
+def _run(role, platform_settings, make_node):
+    log, node_and_tasks = (
+        make_log(platform_settings.settings.name, os.environ.get("SWIFTDECK_LOG", "info")),
+        [],
+    )
 
     async def start():
-        box.append(make(place, log))
-        fault = await box[0].start()
-        box.append(asyncio.ensure_future(_look_for_seeds(role, box[0], log)))
-        box.append(asyncio.ensure_future(_count_aloud(box[0], log)))
+        node_and_tasks.append(make_node(platform_settings, log))
+        fault = await node_and_tasks[0].start()
+        node_and_tasks.append(asyncio.ensure_future(_watch_seeds(role, node_and_tasks[0], log)))
+        node_and_tasks.append(asyncio.ensure_future(_log_counters(node_and_tasks[0], log)))
         return fault
 
-    return run_until_signal(start, lambda: box[0].stop(), lambda: _seeds_again(role, box[0], log))
+    return run_until_signal(
+        start, lambda: node_and_tasks[0].stop(), lambda: _reload_seeds(role, node_and_tasks[0], log)
+    )
 
 
-def _seeded():
-    """Random numbers that cost no system call each, from a seed that nobody can guess."""
+def _new_random():
+    """Return a generator with an unpredictable seed that makes no system calls later."""
     return random.Random(random.SystemRandom().getrandbits(128))
 
 
-def router(place, log):
-    """The process of an edge machine."""
+def make_router(platform_settings, log):
+    """Make the router of an edge machine."""
     from swiftdeck.gateway.gateway import Gateway
     from swiftdeck.platform.caches import PlatformCaches
     from swiftdeck.platform.header_codec import ClientHeaderCodec, WorkerHeaderCodec
     from swiftdeck.platform.lists import PlatformList
 
     node = Gateway(
-        place.settings,
-        (ClientHeaderCodec(), WorkerHeaderCodec(), PlatformList(place.list_addr), PlatformCaches()),
-        _seeded(),
+        platform_settings.settings,
+        (
+            ClientHeaderCodec(),
+            WorkerHeaderCodec(),
+            PlatformList(platform_settings.list_addr),
+            PlatformCaches(),
+        ),
+        _new_random(),
         log,
     )
     if node.ops:
@@ -87,8 +97,8 @@
     return node
 
 
-def core(place, log):
-    """The process of a core machine."""
+def make_core(platform_settings, log):
+    """Make the core of a core machine."""
     from swiftdeck.disk.folder import DataFolder
     from swiftdeck.gateway.swap import SwapCore
     from swiftdeck.platform.lists import PlatformList
@@ -96,28 +106,34 @@
     from swiftdeck.platform.orders import PlatformOrders
 
     node = SwapCore(
-        place.settings,
-        DataFolder(place.settings.dataFolder),
-        _seeded(),
+        platform_settings.settings,
+        DataFolder(platform_settings.settings.dataFolder),
+        _new_random(),
         log,
-        PlatformList(place.list_addr),
+        PlatformList(platform_settings.list_addr),
         PlatformOrders(),
     )
     node.http.handler = OperatorApi(node).handle
     return node
 
 
-MAKERS = {"router": router, "core": core}
+MAKERS = {"router": make_router, "core": make_core}
+
 
+def run_role(makers_by_role) -> int:
+    """Run the role that the first argument names and return the exit status.
 
-def run_role(makers) -> int:
-    """Run the role that is the first word; its node is made by the maker of that role."""
+    The status is 2 for an unknown role or invalid settings.
+    """
     role = sys.argv[1] if len(sys.argv) > 1 else ""
-    if role not in makers:
+    if role not in makers_by_role:
         print("fault 600 setting is invalid: say router or core", file=sys.stderr)
         return 2
-    place = read_place(role)
-    if is_fault(place):
-        print(f"fault {place.code} {place.name}: {place.reason}", file=sys.stderr)
+    platform_settings = read_settings(role)
+    if is_fault(platform_settings):
+        print(
+            f"fault {platform_settings.code} {platform_settings.name}: {platform_settings.reason}",
+            file=sys.stderr,
+        )
         return 2
-    return _run(role, place, makers[role])
+    return _run(role, platform_settings, makers_by_role[role])
--- a/swiftdeck/platform/operator_api.py
+++ b/swiftdeck/platform/operator_api.py
@@ -1,4 +1,4 @@
-"""The platform's operator at a core: its calls in, the chain's outcomes out."""
+"""HTTP API of a core for the platform's operator."""
 
 import asyncio
 
@@ -21,24 +21,24 @@
 
 CONFIG_PATH, WEIGHTS_PATH = "/swiftdeck/config", "/swiftdeck/version-put"
 BASE_HEADER = "if-match"
-STATUSES = {
+STATUS_BY_FAULT_CODE = {
     VERSION_CONFLICT.code: 412,
     INVALID_CONFIG.code: 400,
     BAD_REQUEST.code: 400,
     BAD_METHOD.code: 405,
 }
-BASE_DIGITS, ANSWER_WITHIN_MS = 15, 850
-WAIT_S = "0.3"
+MAX_BASE_DIGITS, ANSWER_WITHIN_MS = 15, 850
+RETRY_AFTER_S = "0.3"
 
 
 class OperatorApi:
-    """Answers the platform's operator, and leaves all other paths to the operators' own API."""
+    """Serves the platform operator's paths and passes all other paths to the core's own API."""
 
     def __init__(self, core):
-        self.core, self.under_way = core, {}
+        self.core, self.pending_writes = core, {}
 
     async def handle(self, exchange):
-        """One exchange with an operator."""
+        """Answer one HTTP exchange."""
         path, method = exchange.path.rstrip("/"), exchange.method
         if path not in (CONFIG_PATH, WEIGHTS_PATH):
             return await self.core.operators.handle(exchange)
@@ -47,53 +47,65 @@
             return await self._show(exchange)
         if method not in (("PUT", "PATCH") if path == CONFIG_PATH else ("POST",)):
             return await self._refuse(exchange, BAD_METHOD)
-        asked = configs.weights(exchange.body) if path == WEIGHTS_PATH else self._asked(exchange)
-        got = asked if is_fault(asked) else await self._outcome(*asked)
-        if is_fault(got):
-            return await self._refuse(exchange, got)
+        id_and_change = (
+            configs.parse_weights(exchange.body)
+            if path == WEIGHTS_PATH
+            else self._parse_change(exchange)
+        )
+        outcome = id_and_change if is_fault(id_and_change) else await self._outcome(*id_and_change)
+        if is_fault(outcome):
+            return await self._refuse(exchange, outcome)
         self.core.telemetry.count["changesTaken"] += 1
-        return await exchange.send_json(200, {"code": 0, "changeId": asked[0]})
+        return await exchange.send_json(200, {"code": 0, "changeId": id_and_change[0]})
 
-    def _asked(self, exchange):
+    def _parse_change(self, exchange):
         base = exchange.headers.get(BASE_HEADER, "").strip().strip('"')
-        if not (base.isascii() and base.isdecimal()) or len(base) > BASE_DIGITS:
+        if not (base.isascii() and base.isdecimal()) or len(base) > MAX_BASE_DIGITS:
             return BAD_REQUEST.with_reason("If-Match is the number that the change builds on")
-        return (configs.whole if exchange.method == "PUT" else configs.items)(
+        return (configs.parse_whole if exchange.method == "PUT" else configs.parse_items)(
             exchange.body, int(base)
         )
 
     async def _outcome(self, change_id, change):
-        """What is known of a change in time for an answer; it goes on where that isn't its end."""
-        task = self.under_way.get(change_id)
+        """Return the outcome of a change, or a fault when it is undecided in time for an answer.
+
+        The write goes on after that, and a repeat of the call joins it. A change that is invalid by
+        itself gets that fault even when it is undecided.
+        """
+        task = self.pending_writes.get(change_id)
         if task is None:
-            task = self.under_way[change_id] = asyncio.ensure_future(self._write(change_id, change))
-            task.add_done_callback(lambda _: self.under_way.pop(change_id))
+            task = self.pending_writes[change_id] = asyncio.ensure_future(
+                self._write(change_id, change)
+            )
+            task.add_done_callback(lambda _: self.pending_writes.pop(change_id))
         await asyncio.wait([task], timeout=ANSWER_WITHIN_MS / 1000)
-        got = task.result() if task.done() else OUTCOME_UNDECIDED.with_reason(change_id)
-        is_open = is_fault(got) and got.code not in STATUSES
-        fault = invalid_by_itself(change) if is_open else None
-        return got if fault is None else fault
+        outcome = task.result() if task.done() else OUTCOME_UNDECIDED.with_reason(change_id)
+        is_undecided = is_fault(outcome) and outcome.code not in STATUS_BY_FAULT_CODE
+        fault = invalid_by_itself(change) if is_undecided else None
+        return outcome if fault is None else fault
 
     async def _write(self, change_id, change):
-        got = await self.core.change_writer.write(change_id, change)
-        is_other = is_fault(got) and got.code == CHANGE_ID_REUSED.code
-        return await self.core.change_writer.outcome(change_id) if is_other else got
+        outcome = await self.core.change_writer.write(change_id, change)
+        is_id_reused = is_fault(outcome) and outcome.code == CHANGE_ID_REUSED.code
+        return await self.core.change_writer.outcome(change_id) if is_id_reused else outcome
 
     async def _show(self, exchange):
         try:
             async with asyncio.timeout(ANSWER_WITHIN_MS / 1000):
-                got = await self.core.change_writer.read_tail(ConfigAsk())
+                response = await self.core.change_writer.read_tail(ConfigAsk())
         except TimeoutError:
-            got = PEER_TIMEOUT
-        if is_fault(got):
-            return await self._refuse(exchange, got)
+            response = PEER_TIMEOUT
+        if is_fault(response):
+            return await self._refuse(exchange, response)
         return await exchange.send_json(
-            200, configs.shown(msgspec.json.decode(got.document or b"{}"))
+            200, configs.shown(msgspec.json.decode(response.document or b"{}"))
         )
 
     async def _refuse(self, exchange, fault):
         self.core.telemetry.count[f"faults.{fault.code}"] += 1
-        status = STATUSES.get(fault.code, NO_VIEW.status)
+        status = STATUS_BY_FAULT_CODE.get(fault.code, NO_VIEW.status)
         await exchange.send_json(
-            status, fault.as_body(), [] if fault.code in STATUSES else [("retry-after", WAIT_S)]
+            status,
+            fault.as_body(),
+            [] if fault.code in STATUS_BY_FAULT_CODE else [("retry-after", RETRY_AFTER_S)],
         )
--- a/swiftdeck/platform/orders.py
+++ b/swiftdeck/platform/orders.py
@@ -1,17 +1,17 @@
-"""Orders to the platform's workers to take new weights."""
+"""Orders the platform's workers to load new weights."""
 
 from swiftdeck.fault import BAD_BACKEND_RESPONSE, is_fault
 from swiftdeck.gateway.interfaces import WorkerReport
 from swiftdeck.http.client import fetch_json
 from swiftdeck.platform.header_codec import EXPECTED_WORKER
 
-ORDER, REPORT, METHOD = "/swiftdeck/order", "/swiftdeck/report", "wait"
-EXPECTED_COUNT, ORDER_COUNT = "expected-count", "call-count"
+ORDER_PATH, REPORT_PATH, WAIT_METHOD = "/swiftdeck/order", "/swiftdeck/report", "wait"
+EXPECTED_COUNT_FIELD, ORDER_COUNT_FIELD = "expected-count", "call-count"
 TIMEOUT_MS = 800
 
 
 class PlatformOrders:
-    """Tells a worker to take weights once its runs have ended, and asks it what it has."""
+    """Orders workers to load weights once their runs have ended, and reads their reports."""
 
     async def order(
         self,
@@ -23,37 +23,42 @@
         worker: str = "",
         expected_count: int | None = None,
     ):
-        """The status of the order, or a fault; with a fault it may be taken, now or later.
+        """Send an order and return its HTTP status, or a fault.
 
-        One that names its worker and a count of orders is refused once another one was taken.
+        After a fault the worker may still accept the order, now or later. An order that names its
+        worker and an expected count of orders is refused once the worker accepted another one.
         """
         body = {
             "operation": "version",
             "model": model,
             "version": version,
-            "method": METHOD,
+            "method": WAIT_METHOD,
             "owner": owner,
             "fence": fence,
         }
         if expected_count is not None:
-            body[EXPECTED_COUNT] = expected_count
+            body[EXPECTED_COUNT_FIELD] = expected_count
         headers = [(EXPECTED_WORKER.decode(), worker)] if worker else []
-        got = await fetch_json(addr, "POST", ORDER, body, headers, timeoutMs=TIMEOUT_MS)
-        return got if is_fault(got) else got[0]
+        response = await fetch_json(addr, "POST", ORDER_PATH, body, headers, timeoutMs=TIMEOUT_MS)
+        return response if is_fault(response) else response[0]
 
     async def report(self, addr: str):
-        """The worker's report, or a fault."""
-        got = await fetch_json(addr, "GET", REPORT, timeoutMs=TIMEOUT_MS)
-        if is_fault(got) or got[0] != 200 or not isinstance(got[1], dict):
+        """Return the WorkerReport of the worker at `addr`, or a fault."""
+        response = await fetch_json(addr, "GET", REPORT_PATH, timeoutMs=TIMEOUT_MS)
+        if is_fault(response) or response[0] != 200 or not isinstance(response[1], dict):
             return (
-                got if is_fault(got) else BAD_BACKEND_RESPONSE.with_reason("report can't be read")
+                response
+                if is_fault(response)
+                else BAD_BACKEND_RESPONSE.with_reason("report can't be read")
             )
         models = [
-            each
-            for each in got[1].get("models") or ()
-            if isinstance(each, dict) and isinstance(each.get("version"), int)
+            model
+            for model in response[1].get("models") or ()
+            if isinstance(model, dict) and isinstance(model.get("version"), int)
         ]
-        versions = {each.get("name"): each["version"] for each in models}
-        count = got[1].get(ORDER_COUNT)
-        is_count = isinstance(count, int) and not isinstance(count, bool)
-        return WorkerReport(versions, bool(got[1].get("busy")), count if is_count else None)
+        versions = {model.get("name"): model["version"] for model in models}
+        order_count = response[1].get(ORDER_COUNT_FIELD)
+        has_order_count = isinstance(order_count, int) and not isinstance(order_count, bool)
+        return WorkerReport(
+            versions, bool(response[1].get("busy")), order_count if has_order_count else None
+        )
--- a/swiftdeck/platform/program.py
+++ b/swiftdeck/platform/program.py
@@ -1,14 +1,16 @@
-"""The programs that the platform starts: `router` on edge machines, `core` on core machines."""
+"""Entry point of the programs that the platform starts: `router` and `core`."""
 
 import signal
 import sys
 
 
 def main(makers=None) -> int:
-    """Entry; `makers` gives the maker of each role's node, by default the platform's own.
+    """Run the role that the command line names and return the exit status.
 
-    A hang-up that comes before the node can take it would end the process. It is passed over, as
-    the settings are read after it anyway; what takes time to import is imported later.
+    `makers` returns the function that makes each role's node; by default these are
+    `nodes.MAKERS`. SIGHUP is ignored first, because it would end the process until the node
+    installs its handler. No change is missed, as the settings are read after that. Slow imports
+    come later for the same reason.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from swiftdeck.platform import nodes
--- a/swiftdeck/platform/settings.py
+++ b/swiftdeck/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as checked settings of our own."""
+"""Reads the platform's settings file and converts it to validated settings."""
 
 import os
 import tomllib
@@ -12,23 +12,23 @@
 
 PATH_VARIABLE = "SWIFTDECK_CONFIG"
 SEED_PORT_OF = "control"
-OLD_WEIGHTS_SPARE_MS = 2000
-"""How long before the bound routers stop sending to older weights.
+OLD_WEIGHTS_MARGIN_MS = 2000
+"""How long before `version-ms` ends routers stop sending requests to workers with older weights.
 
 Requests may wait at a worker before they begin.
 """
 
 
-class Listen(msgspec.Struct, rename="kebab", frozen=True):
-    """Addresses of what the role serves."""
+class ListenAddresses(msgspec.Struct, rename="kebab", frozen=True):
+    """Addresses that the role listens on."""
 
     front: str = ""
     readiness: str = ""
     control: str = ""
 
 
-class Bounds(msgspec.Struct, rename="kebab", frozen=True):
-    """Figures of the rules."""
+class BoundsTable(msgspec.Struct, rename="kebab", frozen=True):
+    """Time limits and retry limits that the platform sets."""
 
     contact_ms: float = 3000
     ack_within_ms: float = 4000
@@ -43,49 +43,49 @@
     version_ms: float = 8000
 
 
-class Tolerate(msgspec.Struct, rename="kebab", frozen=True):
-    """What may be lost at the same time."""
+class TolerateTable(msgspec.Struct, rename="kebab", frozen=True):
+    """How many machines may be lost at the same time."""
 
     machines: int = 1
 
 
-class Api(msgspec.Struct, rename="kebab", frozen=True):
-    """Where the list of workers is."""
+class PlatformApi(msgspec.Struct, rename="kebab", frozen=True):
+    """Address and limits of the API that lists the workers."""
 
     address: str
     rate_per_s: float = 10
     max_lag_ms: float = 800
 
 
-class File(msgspec.Struct, rename="kebab"):
-    """The settings file; fields that aren't known are ignored."""
+class SettingsFile(msgspec.Struct, rename="kebab"):
+    """The settings file; unknown fields are ignored."""
 
     node_name: str
     ip: str
     zone: str
     internal_ports: list[int]
     seed_addresses: list[str]
-    platform_api: Api
-    listen_addresses: Listen = Listen()
-    bounds: Bounds = Bounds()
-    tolerate: Tolerate = Tolerate()
+    platform_api: PlatformApi
+    listen_addresses: ListenAddresses = ListenAddresses()
+    bounds: BoundsTable = BoundsTable()
+    tolerate: TolerateTable = TolerateTable()
     first_start: bool = False
     data_dir: str = ""
 
 
-class Place(msgspec.Struct):
-    """Our settings and what only the adapter needs."""
+class PlatformSettings(msgspec.Struct):
+    """Settings of the node, and the list address that only the adapter uses."""
 
     settings: Settings
     list_addr: str = ""
 
 
 class SettingsWatch:
-    """Knows whether the settings file has other contents than at the last look."""
+    """Detects changes of the settings file between two checks."""
 
     def __init__(self, path: str = ""):
         self.path = path or os.environ.get(PATH_VARIABLE, "")
-        self.seen = self._contents()
+        self.seen_contents = self._contents()
 
     def _contents(self):
         try:
@@ -94,17 +94,23 @@
             return None
 
     def has_changed(self) -> bool:
-        """Whether something else is there than at the last look."""
-        before, self.seen = self.seen, self._contents()
-        return self.seen != before
+        """Return whether the contents differ from those at the previous check.
 
+        A file that can't be read counts as contents of its own.
+        """
+        previous_contents, self.seen_contents = self.seen_contents, self._contents()
+        return self.seen_contents != previous_contents
 
-def read_place(role: str, path: str = ""):
-    """Checked settings from the platform's file, or a fault."""
+
+def read_settings(role: str, path: str = ""):
+    """Return the validated PlatformSettings of a role, or a fault.
+
+    `path` defaults to the value of the environment variable `SWIFTDECK_CONFIG`.
+    """
     path = path or os.environ.get(PATH_VARIABLE, "")
     try:
-        file = msgspec.convert(tomllib.loads(Path(path).read_text()), File, strict=False)
-        return _place(role, file)
+        file = msgspec.convert(tomllib.loads(Path(path).read_text()), SettingsFile, strict=False)
+        return _to_platform_settings(role, file)
     except (
         OSError,
         tomllib.TOMLDecodeError,
@@ -117,10 +123,10 @@
         return BAD_SETTING.with_reason(f"{path or PATH_VARIABLE}: {error}")
 
 
-def _place(role, file):
+def _to_platform_settings(role, file):
     port, bounds = file.internal_ports[0], file.bounds
     drain = DrainTimes.within(bounds.grace_s)
-    seeds = [f"{each.rpartition(':')[0]}:{port}" for each in file.seed_addresses]
+    seeds = [f"{address.rpartition(':')[0]}:{port}" for address in file.seed_addresses]
     is_core = role == "core"
     http = file.listen_addresses.control if is_core else file.listen_addresses.front
     settings = msgspec.convert(
@@ -140,7 +146,7 @@
             budgetShare=bounds.retry_ratio,
             budgetExtra=int(bounds.extra_retries),
             budgetWindowMs=int(bounds.retry_window_s * 1000),
-            oldWeightsMs=int(max(500, bounds.version_ms - OLD_WEIGHTS_SPARE_MS)),
+            oldWeightsMs=int(max(500, bounds.version_ms - OLD_WEIGHTS_MARGIN_MS)),
             weightsBoundMs=int(bounds.version_ms),
             orderLeaseMs=int(bounds.lease_ms + bounds.thaw_slack_ms),
             viewLicenceMs=1500,
@@ -152,7 +158,7 @@
         ),
         Settings,
     )
-    first = next(settings.faults(), None)
-    if first is not None:
-        return BAD_SETTING.with_reason(first)
-    return Place(settings, file.platform_api.address)
+    first_fault = next(settings.faults(), None)
+    if first_fault is not None:
+        return BAD_SETTING.with_reason(first_fault)
+    return PlatformSettings(settings, file.platform_api.address)
--- a/tests/gateway/cases/late_messages.py
+++ b/tests/gateway/cases/late_messages.py
@@ -91,7 +91,7 @@
 
     def write_of(self, order):
         """The message that brought an order to the head."""
-        change_id, change = configs.items(msgspec.json.encode(order.body), order.base)
+        change_id, change = configs.parse_items(msgspec.json.encode(order.body), order.base)
         return Write(change_id=change_id, body=msgspec.msgpack.encode(change | {"id": change_id}))
 
     def test_a_late_write_changes_nothing(self):
@@ -110,7 +110,7 @@
     def late_pass(self):
         """An entry of an earlier view, one past the last that the tail has."""
         tail, made = self.core(-1).chain, self.cluster.patch(9, 7)
-        change_id, change = configs.items(msgspec.json.encode(made.body), made.base)
+        change_id, change = configs.parse_items(msgspec.json.encode(made.body), made.base)
         entry = tail.state.examine(change | {"id": change_id})
         entries = [ChainEntry(serial=tail.serial + 1, body=msgspec.msgpack.encode(entry))]
         return ReplicateAsk(view=self.old_view.number, entries=entries, last=tail.serial + 1)
@@ -185,7 +185,7 @@
         self.assertEqual(self.bring(DurableConfigAsk(), -1, 0).digest, digest)
         view = self.bring(ViewAsk(), -1, 0).view
         self.assertEqual(view.number, self.core(-1).agreement.decided.number)
-        change_id, _ = configs.items(msgspec.json.encode(self.taken.body), self.taken.base)
+        change_id, _ = configs.parse_items(msgspec.json.encode(self.taken.body), self.taken.base)
         outcome = self.bring(OutcomeAsk(change_id=change_id, wait_ms=10), -1, 0)
         self.assertEqual(outcome.version, self.version())
 
--- a/tests/gateway/orders.py
+++ b/tests/gateway/orders.py
@@ -40,7 +40,7 @@
 
     def change_id(self):
         """The id that a core gives it."""
-        read = configs.whole if self.method == "PUT" else configs.items
+        read = configs.parse_whole if self.method == "PUT" else configs.parse_items
         return read(msgspec.json.encode(self.body), self.base)[0]
 
     def statuses(self):
--- a/tests/gateway/platform_cluster.py
+++ b/tests/gateway/platform_cluster.py
@@ -27,7 +27,7 @@
 from swiftdeck.platform.nodes import ready_handler
 from swiftdeck.platform.operator_api import OperatorApi
 from swiftdeck.platform.orders import PlatformOrders
-from swiftdeck.platform.settings import read_place
+from swiftdeck.platform.settings import read_settings
 from swiftdeck.sim.folder import SimFolder
 from swiftdeck.sim.late import LateMessages
 from swiftdeck.sim.world import World
@@ -184,7 +184,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.toml"
             path.write_text(settings.text())
-            place = read_place(role, str(path))
+            place = read_settings(role, str(path))
         assert not is_fault(place), place
         return place
 
--- a/tests/gateway/test_mended.py
+++ b/tests/gateway/test_mended.py
@@ -17,7 +17,7 @@
 from tests.gateway.platform_cluster import MODEL, STORE, PlatformCluster
 from tests.gateway.test_ledger import LOST, ledger
 from tests.gateway.test_pool import ANSWER, PoolTest
-from tests.platform.test_header_codec import ERRAND, SENT, exchange
+from tests.platform.test_header_codec import REQUEST_HEADERS, UPSTREAM_REQUEST, exchange
 
 
 class SwapsTest(SiteCase):
@@ -111,11 +111,11 @@
 
 class HeadersTest(SimCase):
     def test_headers_that_connection_names_concern_one_connection(self):
-        sent = [*SENT, (b"Connection", b"keep-alive, X-Hop"), (b"X-Hop", b"1")]
+        sent = [*REQUEST_HEADERS, (b"Connection", b"keep-alive, X-Hop"), (b"X-Hop", b"1")]
         names = [
             name.lower()
             for name, _ in WorkerHeaderCodec().head(
-                ClientHeaderCodec().read(exchange(sent)), ERRAND
+                ClientHeaderCodec().read(exchange(sent)), UPSTREAM_REQUEST
             )
         ]
         self.assertNotIn(b"x-hop", names)
--- a/tests/platform/test_configs.py
+++ b/tests/platform/test_configs.py
@@ -1,4 +1,4 @@
-"""Tests of the operator's configuration in both forms."""
+"""Tests of converting the operator's configuration to and from the document."""
 
 import copy
 import unittest
@@ -104,17 +104,17 @@
 }
 
 
-def changed(path, value, whole=WHOLE):
-    """A configuration with one field changed, or left out where the value is `...`."""
+def with_field(path, value, whole=WHOLE):
+    """Return a copy with one field set, or deleted if the value is `...`."""
     whole = copy.deepcopy(whole)
-    *before, last = path
-    at = whole
-    for step in before:
-        at = at[step]
+    *parents, key = path
+    container = whole
+    for parent_key in parents:
+        container = container[parent_key]
     if value is ...:
-        del at[last]
+        del container[key]
     else:
-        at[last] = value
+        container[key] = value
     return whole
 
 
@@ -122,12 +122,12 @@
     def setUp(self):
         self.state = ChainState()
 
-    def take(self, translate, body, *base):
-        """Put a call of the operator through a chain's state: a fault, or none."""
-        got = translate(body if isinstance(body, bytes) else msgspec.json.encode(body), *base)
-        if is_fault(got):
-            return got
-        change_id, change = got
+    def apply_call(self, translate, body, *base):
+        """Apply an operator's call to the chain state and return a fault or None."""
+        parsed = translate(body if isinstance(body, bytes) else msgspec.json.encode(body), *base)
+        if is_fault(parsed):
+            return parsed
+        change_id, change = parsed
         entry = self.state.examine(
             msgspec.msgpack.decode(msgspec.msgpack.encode(change | {"id": change_id}))
         )
@@ -138,24 +138,24 @@
     def shown(self):
         return configs.shown(msgspec.json.decode(self.state.config.bytes()))
 
-    def test_what_was_sent_reads_back_in_its_order(self):
+    def test_a_configuration_reads_back_as_sent_and_in_order(self):
         self.assertEqual(self.shown(), {"version": 0, "routes": [], "backends": []})
-        self.assertIsNone(self.take(configs.whole, WHOLE, 0))
+        self.assertIsNone(self.apply_call(configs.parse_whole, WHOLE, 0))
         self.assertEqual(self.shown(), WHOLE)
-        other = changed(["version"], 8) | {
+        other = with_field(["version"], 8) | {
             "routes": [ROUTES[2], ROUTES[0] | {"name": "new"}, ROUTES[1] | {"urgency": 3}]
         }
         other["routes"][1]["path-start"] = "/new/"
         del other["customers"], other["limits"], other["note"]
-        self.assertIsNone(self.take(configs.whole, other, 7))
+        self.assertIsNone(self.apply_call(configs.parse_whole, other, 7))
         self.assertEqual(self.shown(), other)
         copied = ChainState()
         copied.from_bytes(self.state.to_bytes())
         self.assertEqual(configs.shown(msgspec.json.decode(copied.config.bytes())), other)
         self.assertEqual(copied.config.digest(), self.state.config.digest())
 
-    def test_the_tables_of_ours(self):
-        self.take(configs.whole, WHOLE, 0)
+    def test_the_tables_of_the_document(self):
+        self.apply_call(configs.parse_whole, WHOLE, 0)
         document = self.state.config.document
         stream, split, safe = document.paths.values()
         self.assertEqual(
@@ -163,7 +163,7 @@
             (True, True, True, 2, 250),
         )
         self.assertEqual(
-            (split.streaming, split.repeatable, [each.share for each in split.services]),
+            (split.streaming, split.repeatable, [backing.share for backing in split.services]),
             (True, False, [90, 10]),
         )
         self.assertEqual(
@@ -210,14 +210,14 @@
         )
 
     def test_items_are_replaced_in_place_and_new_ones_come_last(self):
-        self.take(configs.whole, changed(["customers"], ...), 0)
+        self.apply_call(configs.parse_whole, with_field(["customers"], ...), 0)
         fresh, renewed = (
             ROUTES[0] | {"name": "fresh", "path-start": "/f/"},
             ROUTES[1] | {"timeout-ms": 1},
         )
         self.assertIsNone(
-            self.take(
-                configs.items,
+            self.apply_call(
+                configs.parse_items,
                 {
                     "version": 11,
                     "put-items": {
@@ -241,7 +241,7 @@
         )
         self.assertEqual(
             self.shown(),
-            changed(["customers"], ...)
+            with_field(["customers"], ...)
             | {
                 "version": 11,
                 "routes": [renewed, ROUTES[2], fresh],
@@ -256,21 +256,23 @@
         self.assertEqual(sorted(self.state.config.document.models), ["daka510000", "m2"])
         self.assertFalse(self.state.config.document.edition["operator"].keyed)
         self.assertIsNone(
-            self.take(configs.items, {"version": 12, "put-items": {"customers": CUSTOMERS[:1]}}, 11)
+            self.apply_call(
+                configs.parse_items, {"version": 12, "put-items": {"customers": CUSTOMERS[:1]}}, 11
+            )
         )
         self.assertEqual(
             (self.shown()["customers"], self.state.config.document.edition["operator"].keyed),
             (CUSTOMERS[:1], True),
         )
         self.assertIsNone(
-            self.take(
-                configs.items, {"version": 13, "remove-names": {"customers": ["nowu640"]}}, 12
+            self.apply_call(
+                configs.parse_items, {"version": 13, "remove-names": {"customers": ["nowu640"]}}, 12
             )
         )
         self.assertEqual((self.shown()["customers"], self.shown()["version"]), ([], 13))
 
-    def test_what_is_invalid_is_refused_and_says_where(self):
-        self.assertIsNone(self.take(configs.whole, WHOLE, 0))
+    def test_invalid_input_is_refused_with_its_path(self):
+        self.assertIsNone(self.apply_call(configs.parse_whole, WHOLE, 0))
         route = ["routes", 0]
         for path, value, word in [
             ([*route, "backend"], "nobody", "paths.r-a9rgy35"),
@@ -324,8 +326,8 @@
             (["version"], 7, "$.edition"),
             (["version"], 6, "$.edition"),
         ]:
-            whole = changed(["version"], 9) if path != ["version"] else WHOLE
-            fault = self.take(configs.whole, changed(path, value, whole), 7)
+            whole = with_field(["version"], 9) if path != ["version"] else WHOLE
+            fault = self.apply_call(configs.parse_whole, with_field(path, value, whole), 7)
             self.assertTrue(is_fault(fault), path)
             self.assertEqual(
                 (fault.code, word in fault.reason),
@@ -341,15 +343,17 @@
             msgspec.json.encode(WHOLE)[:-2],
             b'{"version":1e999}',
             b"[" * 100000,
-            msgspec.json.encode(changed(["version"], 9)).replace(
+            msgspec.json.encode(with_field(["version"], 9)).replace(
                 b'"extra":1', b'"extra":' + b"9" * 40
             ),
         ):
-            self.assertEqual(self.take(configs.whole, body, 7).code, INVALID_CONFIG.code, body[:40])
+            self.assertEqual(
+                self.apply_call(configs.parse_whole, body, 7).code, INVALID_CONFIG.code, body[:40]
+            )
         self.assertEqual(self.shown(), WHOLE)
 
     def test_invalid_changes_of_items(self):
-        self.take(configs.whole, WHOLE, 0)
+        self.apply_call(configs.parse_whole, WHOLE, 0)
         for more, word in [
             (
                 {"put-items": {"routes": [ROUTES[0] | {"timeout-ms": 0}]}},
@@ -374,18 +378,20 @@
             ({"version": 7}, "$.edition"),
             ({"version": None}, "$.version"),
         ]:
-            fault = self.take(configs.items, {"version": 9} | more, 7)
+            fault = self.apply_call(configs.parse_items, {"version": 9} | more, 7)
             self.assertTrue(is_fault(fault), more)
             self.assertEqual(
                 (fault.code, word in fault.reason),
                 (INVALID_CONFIG.code, True),
                 f"{more} {fault.reason}",
             )
-        self.assertEqual(self.take(configs.items, {"version": 9}, 6).code, VERSION_CONFLICT.code)
+        self.assertEqual(
+            self.apply_call(configs.parse_items, {"version": 9}, 6).code, VERSION_CONFLICT.code
+        )
         self.assertEqual(self.shown(), WHOLE)
 
-    def test_weights_go_up_only(self):
-        self.take(configs.whole, WHOLE, 0)
+    def test_weights_are_never_lowered(self):
+        self.apply_call(configs.parse_whole, WHOLE, 0)
         for body in (
             {"model": "daka510000"},
             {"version": 2},
@@ -394,22 +400,24 @@
             {"model": "nobody", "version": 2},
             {"model": "daka510000", "version": "2"},
         ):
-            self.assertEqual(self.take(configs.weights, body).code, INVALID_CONFIG.code, body)
+            self.assertEqual(
+                self.apply_call(configs.parse_weights, body).code, INVALID_CONFIG.code, body
+            )
         for number, held in ((3, "3"), (3, "3"), (2, "3"), (12, "12")):
             self.assertIsNone(
-                self.take(configs.weights, {"model": "daka510000", "version": number})
+                self.apply_call(configs.parse_weights, {"model": "daka510000", "version": number})
             )
             self.assertEqual(self.state.config.document.models["daka510000"].weights, held)
-        self.assertIsNone(self.take(configs.whole, changed(["version"], 9), 7))
+        self.assertIsNone(self.apply_call(configs.parse_whole, with_field(["version"], 9), 7))
         self.assertEqual(self.state.config.document.models["daka510000"].weights, "12")
 
-    def test_an_unchanged_repeat_has_the_same_id_and_others_have_not(self):
+    def test_only_an_unchanged_repeat_has_the_same_id(self):
         body = msgspec.json.encode(WHOLE)
         ids = [
-            configs.whole(body, 0)[0],
-            configs.whole(msgspec.json.format(body, indent=2), 0)[0],
-            configs.whole(body, 1)[0],
-            configs.whole(msgspec.json.encode(changed(["note"], 1)), 0)[0],
-            configs.items(b'{"version":7}', 0)[0],
+            configs.parse_whole(body, 0)[0],
+            configs.parse_whole(msgspec.json.format(body, indent=2), 0)[0],
+            configs.parse_whole(body, 1)[0],
+            configs.parse_whole(msgspec.json.encode(with_field(["note"], 1)), 0)[0],
+            configs.parse_items(b'{"version":7}', 0)[0],
         ]
         self.assertEqual((ids[0], len(set(ids))), (ids[1], 4))
--- a/tests/platform/test_header_codec.py
+++ b/tests/platform/test_header_codec.py
@@ -1,4 +1,4 @@
-"""Tests of what clients and workers say."""
+"""Tests of the headers of client requests and worker responses."""
 
 import unittest
 from types import SimpleNamespace
@@ -18,13 +18,13 @@
 )
 from swiftdeck.gateway.interfaces import Part, UpstreamRequest, Verdict
 from swiftdeck.platform.header_codec import (
-    FOREVER_MS,
+    MAX_TIME_LEFT_MS,
     ClientHeaderCodec,
     WorkerHeaderCodec,
     parse_parts,
 )
 
-SENT = [
+REQUEST_HEADERS = [
     (b"Host", b"ficu95.example"),
     (b"Swiftdeck-Request-Id", b"9c41d07be2a35f68"),
     (b"Swiftdeck-Model", b"daka510000"),
@@ -33,38 +33,47 @@
     (b"Swiftdeck-Time-Left-Ms", b"6000"),
     (b"Authorization", b"Bearer 3d3zji9n73hh2b9wu3fe"),
 ]
-ERRAND = UpstreamRequest(
+UPSTREAM_REQUEST = UpstreamRequest(
     "i-7f3a91c2", "nowu640", 5300, 1, "3", "3/nowu640", "10.2.64.3:8080", "172.20.0.2:8080", "17"
 )
-SEALED = [
+SEALED_HEADERS = [
     (b"Swiftdeck-Request-Id", b"9c41d07be2a35f68"),
     (b"Swiftdeck-Server-Seal", b"3e1b.07"),
     (b"Content-Length", b"2"),
 ]
 
 
-def exchange(headers=SENT, method=b"POST", target=b"/lohu930/2f?q=%2F", body=b"{}"):
-    """What the door hands over."""
+def exchange(headers=REQUEST_HEADERS, method=b"POST", target=b"/lohu930/2f?q=%2F", body=b"{}"):
+    """Return a stand-in for the HTTP server's exchange."""
     return SimpleNamespace(raw_headers=list(headers), raw_method=method, target=target, body=body)
 
 
-def changed(headers, name, value):
-    """Headers with one exchanged, or left out where the value is None."""
+def with_header(headers, name, value):
+    """Return headers with one value replaced, or left out if the value is None."""
     return [
-        (each, value if each.lower() == name else old)
-        for each, old in headers
-        if value is not None or each.lower() != name
+        (header, value if header.lower() == name else old)
+        for header, old in headers
+        if value is not None or header.lower() != name
     ]
 
 
-class CallersTest(unittest.TestCase):
+class ClientHeaderCodecTest(unittest.TestCase):
     def read(self, *args, **more):
         return ClientHeaderCodec().read(exchange(*args, **more))
 
-    def test_a_request_as_the_page_shows_it(self):
-        got = self.read()
+    def test_a_request_is_parsed(self):
+        request = self.read()
         self.assertEqual(
-            (got.name, got.method, got.target, got.host, got.path, got.key, got.model, got.body),
+            (
+                request.name,
+                request.method,
+                request.target,
+                request.host,
+                request.path,
+                request.key,
+                request.model,
+                request.body,
+            ),
             (
                 "9c41d07be2a35f68",
                 b"POST",
@@ -77,27 +86,27 @@
             ),
         )
         self.assertEqual(
-            got.parts, [Part("5c1e07a2", 800), Part("91bd3f06", 410), Part("e4402b7d", 250)]
+            request.parts, [Part("5c1e07a2", 800), Part("91bd3f06", 410), Part("e4402b7d", 250)]
         )
         self.assertEqual(
-            (got.shared(), got.prompt_tokens, got.time_left_ms, got.last_event),
-            (got.parts[:2], 1460, 6000.0, ""),
+            (request.shared(), request.prompt_tokens, request.time_left_ms, request.last_event),
+            (request.parts[:2], 1460, 6000.0, ""),
         )
-        self.assertEqual(self.read([*SENT, (b"last-event-id", b"12")]).last_event, "12")
+        self.assertEqual(self.read([*REQUEST_HEADERS, (b"last-event-id", b"12")]).last_event, "12")
 
     def test_a_request_without_an_id_is_refused(self):
         for value in (None, b"", b"  "):
-            got = self.read(changed(SENT, b"swiftdeck-request-id", value))
-            self.assertTrue(is_fault(got) and got.code == BAD_REQUEST.code, value)
-        got = self.read([*SENT, (b"swiftdeck-request-id", b"another")])
-        self.assertTrue(is_fault(got) and got.code == BAD_REQUEST.code)
+            result = self.read(with_header(REQUEST_HEADERS, b"swiftdeck-request-id", value))
+            self.assertTrue(is_fault(result) and result.code == BAD_REQUEST.code, value)
+        result = self.read([*REQUEST_HEADERS, (b"swiftdeck-request-id", b"another")])
+        self.assertTrue(is_fault(result) and result.code == BAD_REQUEST.code)
 
-    def test_what_cannot_be_read_is_left_out(self):
+    def test_malformed_headers_get_defaults(self):
         for name, value, field, wanted in [
-            (b"swiftdeck-time-left-ms", None, "time_left_ms", FOREVER_MS),
-            (b"swiftdeck-time-left-ms", b"soon", "time_left_ms", FOREVER_MS),
-            (b"swiftdeck-time-left-ms", b"-5", "time_left_ms", FOREVER_MS),
-            (b"swiftdeck-time-left-ms", b"nan", "time_left_ms", FOREVER_MS),
+            (b"swiftdeck-time-left-ms", None, "time_left_ms", MAX_TIME_LEFT_MS),
+            (b"swiftdeck-time-left-ms", b"soon", "time_left_ms", MAX_TIME_LEFT_MS),
+            (b"swiftdeck-time-left-ms", b"-5", "time_left_ms", MAX_TIME_LEFT_MS),
+            (b"swiftdeck-time-left-ms", b"nan", "time_left_ms", MAX_TIME_LEFT_MS),
             (b"swiftdeck-token-count", b"x", "prompt_tokens", 1460),
             (b"swiftdeck-token-count", None, "prompt_tokens", 1460),
             (b"swiftdeck-prompt-prefix", b",a:,:3,b:x,c:-1, d:7 ,", "parts", [Part("d", 7)]),
@@ -109,7 +118,9 @@
             (b"host", None, "host", ""),
         ]:
             self.assertEqual(
-                getattr(self.read(changed(SENT, name, value)), field), wanted, (name, value)
+                getattr(self.read(with_header(REQUEST_HEADERS, name, value)), field),
+                wanted,
+                (name, value),
             )
         self.assertEqual(parse_parts("a:b:3"), [Part("a:b", 3)])
 
@@ -129,10 +140,14 @@
             (STREAM_BROKEN, 502),
             (WEIGHTS_MISMATCH, 502),
         ):
-            got, headers, body = ClientHeaderCodec().refusal(fault, request)
-            named = dict(headers)
+            actual_status, headers, body = ClientHeaderCodec().refusal(fault, request)
+            headers_by_name = dict(headers)
             self.assertEqual(
-                (got, named["Swiftdeck-Request-Id"], "Retry-After" in named),
+                (
+                    actual_status,
+                    headers_by_name["Swiftdeck-Request-Id"],
+                    "Retry-After" in headers_by_name,
+                ),
                 (status, request.name, bool(fault.retry_ms) and status in (429, 503)),
                 fault,
             )
@@ -145,17 +160,17 @@
         )
 
 
-class WorkersTest(unittest.TestCase):
-    def head(self, headers=SENT, upstream_request=ERRAND, **more):
-        """The headers of an attempt by their names in lower case, each of which is there once."""
-        got = WorkerHeaderCodec().head(
+class WorkerHeaderCodecTest(unittest.TestCase):
+    def head(self, headers=REQUEST_HEADERS, upstream_request=UPSTREAM_REQUEST, **more):
+        """Return an attempt's headers by lower-case name, checking that none occurs twice."""
+        headers_sent = WorkerHeaderCodec().head(
             ClientHeaderCodec().read(exchange(headers, **more)), upstream_request
         )
-        names = [name.lower() for name, _ in got]
+        names = [name.lower() for name, _ in headers_sent]
         self.assertEqual(sorted(names), sorted(set(names)))
-        return {name.lower(): value for name, value in got}
+        return {name.lower(): value for name, value in headers_sent}
 
-    def test_an_attempt_as_the_page_shows_it(self):
+    def test_the_headers_of_an_attempt(self):
         self.assertEqual(
             self.head(),
             {
@@ -177,18 +192,20 @@
             },
         )
 
-    def test_the_key_is_never_passed_on(self):
+    def test_the_api_key_is_never_forwarded(self):
         for name in (b"Authorization", b"authorization", b"AUTHORIZATION"):
-            got = WorkerHeaderCodec().head(
+            headers = WorkerHeaderCodec().head(
                 ClientHeaderCodec().read(
-                    exchange([*SENT[:-1], (name, b"Bearer 3d3zji9n73hh2b9wu3fe")])
+                    exchange([*REQUEST_HEADERS[:-1], (name, b"Bearer 3d3zji9n73hh2b9wu3fe")])
                 ),
-                ERRAND,
+                UPSTREAM_REQUEST,
             )
-            self.assertFalse([each for each in got if b"3d3zji9n73hh2b9wu3fe" in each[1]])
-        self.assertNotIn(b"proxy-authorization", self.head([*SENT, (b"Proxy-Authorization", b"x")]))
+            self.assertFalse([header for header in headers if b"3d3zji9n73hh2b9wu3fe" in header[1]])
+        self.assertNotIn(
+            b"proxy-authorization", self.head([*REQUEST_HEADERS, (b"Proxy-Authorization", b"x")])
+        )
 
-    def test_what_the_system_sets_is_replaced_whatever_the_client_sent(self):
+    def test_headers_that_routers_set_replace_those_of_the_client(self):
         names = (
             b"Swiftdeck-Tenant",
             b"Swiftdeck-Urgency",
@@ -200,7 +217,7 @@
         )
         for change in (bytes, bytes.lower, bytes.upper):
             sent = [
-                *SENT,
+                *REQUEST_HEADERS,
                 *((change(name), b"forged") for name in names),
                 (change(names[0]), b"twice"),
             ]
@@ -208,11 +225,11 @@
             bare = self.head(sent, UpstreamRequest("i-1", "", 10, 5))
             self.assertFalse(b"forged" in bare.values() or b"twice" in bare.values())
             self.assertEqual(
-                set(bare) - {name.lower() for name, _ in SENT},
+                set(bare) - {name.lower() for name, _ in REQUEST_HEADERS},
                 {b"swiftdeck-expected-worker", b"swiftdeck-urgency", b"content-length"},
             )
 
-    def test_what_concerns_one_connection_is_dropped_and_the_rest_goes_through(self):
+    def test_hop_by_hop_headers_are_dropped_and_others_forwarded(self):
         hops = [
             (b"Connection", b"keep-alive"),
             (b"Keep-Alive", b"timeout=5"),
@@ -230,11 +247,11 @@
             (b"Content-Type", b"application/json"),
         ]
         self.assertEqual(
-            self.head([*SENT, *hops, *more]),
+            self.head([*REQUEST_HEADERS, *hops, *more]),
             self.head() | {name.lower(): value for name, value in more},
         )
 
-    def test_a_body_has_its_length_and_a_request_without_one_none(self):
+    def test_the_content_length_of_requests_with_and_without_a_body(self):
         for method, body, wanted in (
             (b"GET", b"", None),
             (b"POST", b"", b"0"),
@@ -249,11 +266,11 @@
         return WorkerHeaderCodec().verdict(ClientHeaderCodec().read(exchange()), status, headers)
 
     def test_verdicts(self):
-        name, seal = SEALED[:2]
+        name, seal = SEALED_HEADERS[:2]
         foreign, not_run = (b"Swiftdeck-Request-Id", b"other"), (b"Swiftdeck-Not-Run", b"1")
         for status, headers, wanted in [
-            (200, SEALED, Verdict.ANSWER),
-            (204, SEALED, Verdict.ANSWER),
+            (200, SEALED_HEADERS, Verdict.ANSWER),
+            (204, SEALED_HEADERS, Verdict.ANSWER),
             (200, [name], Verdict.BAD),
             (200, [seal], Verdict.BAD),
             (200, [], Verdict.BAD),
@@ -262,7 +279,7 @@
             (421, [foreign], Verdict.FOREIGN),
             (503, [name, not_run], Verdict.NOT_RUN),
             (429, [name, not_run], Verdict.NOT_RUN),
-            (200, [*SEALED, not_run], Verdict.BAD),
+            (200, [*SEALED_HEADERS, not_run], Verdict.BAD),
             (400, [name, not_run], Verdict.NOT_RUN),
             (421, [name, not_run], Verdict.ELSEWHERE),
             (421, [name], Verdict.ELSEWHERE),
@@ -276,52 +293,58 @@
             (301, [], Verdict.BAD),
             *((status, [], Verdict.BAD) for status in (421, 500, 502, 503, 504)),
             *((status, [not_run], Verdict.BAD) for status in (400, 421, 429, 503)),
-            (200, [*SEALED, (b"Content-Encoding", b"gzip")], Verdict.BAD),
-            (200, [*SEALED, (b"Content-Encoding", b"identity")], Verdict.ANSWER),
-            (200, [*SEALED, (b"Transfer-Encoding", b"chunked")], Verdict.BAD),
-            (200, [*SEALED, foreign], Verdict.BAD),
-            (200, [foreign, *SEALED], Verdict.BAD),
-            (200, [*SEALED, (b"Swiftdeck-Server-Seal", b"other")], Verdict.BAD),
-            (200, [*SEALED, name], Verdict.ANSWER),
+            (200, [*SEALED_HEADERS, (b"Content-Encoding", b"gzip")], Verdict.BAD),
+            (200, [*SEALED_HEADERS, (b"Content-Encoding", b"identity")], Verdict.ANSWER),
+            (200, [*SEALED_HEADERS, (b"Transfer-Encoding", b"chunked")], Verdict.BAD),
+            (200, [*SEALED_HEADERS, foreign], Verdict.BAD),
+            (200, [foreign, *SEALED_HEADERS], Verdict.BAD),
+            (200, [*SEALED_HEADERS, (b"Swiftdeck-Server-Seal", b"other")], Verdict.BAD),
+            (200, [*SEALED_HEADERS, name], Verdict.ANSWER),
         ]:
             self.assertIs(self.verdict(status, headers), wanted, (status, headers))
             self.assertIs(
-                self.verdict(status, [(each.lower(), value) for each, value in headers]),
+                self.verdict(status, [(header.lower(), value) for header, value in headers]),
                 wanted,
                 (status, headers),
             )
 
-    def test_an_answer_goes_on_with_its_seal_and_a_way_to_tell_its_end(self):
-        got = WorkerHeaderCodec().passed_on(
-            [*SEALED, (b"Connection", b"close"), (b"Keep-Alive", b"timeout=3"), (b"X-Own", b"1")]
+    def test_a_forwarded_response_keeps_its_seal_and_is_framed(self):
+        forwarded = WorkerHeaderCodec().passed_on(
+            [
+                *SEALED_HEADERS,
+                (b"Connection", b"close"),
+                (b"Keep-Alive", b"timeout=3"),
+                (b"X-Own", b"1"),
+            ]
         )
-        self.assertEqual(got, [*SEALED, (b"X-Own", b"1")])
-        stream = [(b"Transfer-Encoding", b"chunked"), *SEALED[:2]]
+        self.assertEqual(forwarded, [*SEALED_HEADERS, (b"X-Own", b"1")])
+        stream = [(b"Transfer-Encoding", b"chunked"), *SEALED_HEADERS[:2]]
         self.assertEqual(
-            WorkerHeaderCodec().passed_on(stream), [*SEALED[:2], (b"Transfer-Encoding", b"chunked")]
+            WorkerHeaderCodec().passed_on(stream),
+            [*SEALED_HEADERS[:2], (b"Transfer-Encoding", b"chunked")],
         )
 
-    def test_versions_and_lives_are_read_where_they_are_told(self):
-        workers = WorkerHeaderCodec()
+    def test_versions_and_worker_ids_are_parsed(self):
+        codec = WorkerHeaderCodec()
         self.assertEqual(
             [
-                workers.version([(b"Swiftdeck-Weight-Versions", value)])
+                codec.version([(b"Swiftdeck-Weight-Versions", value)])
                 for value in (b"3", b" 12 ", b"", b"x", b"-1")
             ],
             [3, 12, None, None, None],
         )
         self.assertEqual(
             (
-                workers.version([]),
-                workers.worker([(b"Swiftdeck-Worker-Id", b"i-2")]),
-                workers.worker([]),
+                codec.version([]),
+                codec.worker([(b"Swiftdeck-Worker-Id", b"i-2")]),
+                codec.worker([]),
             ),
             (None, "i-2", ""),
         )
         events = b"swiftdeck-weight-versions: 4\nid: 7\ndata: swiftdeck-weight-versions:9\n\nswiftdeck-weight-versions:5\r\nid: 8\n\n"
         self.assertEqual(
             [
-                workers.versions_in(data)
+                codec.versions_in(data)
                 for data in (events, b"data: x\n\n", b"swiftdeck-weight-versions:\n\n")
             ],
             [5, None, None],
--- a/tests/platform/test_lists.py
+++ b/tests/platform/test_lists.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's list of workers."""
+"""Tests of reading the platform's list of workers."""
 
 import asyncio
 import unittest
@@ -26,7 +26,7 @@
 
 class ListsTest(unittest.TestCase):
     def setUp(self):
-        self.world, self.pages, self.asked = World(1), {}, []
+        self.world, self.pages, self.requests = World(1), {}, []
         self.world.start("here", "10.0.0.1", lambda: asyncio.sleep(0))
         self.world.start(
             "platform", "10.0.0.9", lambda: HttpServer(self.handle).start("10.0.0.9", 80)
@@ -34,7 +34,7 @@
         self.world.run(0.1)
 
     async def handle(self, exchange):
-        self.asked.append((exchange.path, dict(exchange.query)))
+        self.requests.append((exchange.path, dict(exchange.query)))
         status, body = self.pages[exchange.query.get("page-token", "")]
         data = body if isinstance(body, bytes) else None
         return await (
@@ -44,18 +44,18 @@
         )
 
     def read(self, *pages):
-        """What is read from pages of entries."""
-        tokens = ["", *(f"p-{at}" for at in range(1, len(pages)))]
+        """Serve pages of entries and return the result of reading the list."""
+        tokens = ["", *(f"p-{index}" for index in range(1, len(pages)))]
         self.pages = {
             token: (200, {"app-servers": entries, "next-token": after})
             for token, entries, after in zip(tokens, pages, [*tokens[1:], None], strict=False)
         }
-        return self.reading()
+        return self.read_list()
 
-    def reading(self):
+    def read_list(self):
         return self.world.run_task("here", PlatformList(ADDR).read)
 
-    def test_an_entry_as_the_page_shows_it(self):
+    def test_an_entry_is_parsed(self):
         self.assertEqual(
             self.read([ENTRY]),
             [
@@ -71,17 +71,17 @@
                 )
             ],
         )
-        self.assertEqual(self.asked, [("/workers", {})])
+        self.assertEqual(self.requests, [("/workers", {})])
 
     def test_all_pages_are_read(self):
-        got = self.read([ENTRY], [ENTRY | {"id": "i-2"}], [], [ENTRY | {"id": "i-3"}])
-        self.assertEqual([each.name for each in got], ["i-7f3a91c2", "i-2", "i-3"])
+        workers = self.read([ENTRY], [ENTRY | {"id": "i-2"}], [], [ENTRY | {"id": "i-3"}])
+        self.assertEqual([worker.name for worker in workers], ["i-7f3a91c2", "i-2", "i-3"])
         self.assertEqual(
-            [query.get("page-token") for _, query in self.asked], [None, "p-1", "p-2", "p-3"]
+            [query.get("page-token") for _, query in self.requests], [None, "p-1", "p-2", "p-3"]
         )
         self.assertEqual(self.read([]), [])
 
-    def test_fields_that_are_missing_or_new(self):
+    def test_missing_and_unknown_fields(self):
         bare = {"id": "i-1", "backend": "b", "address": "10.1.1.1:80"}
         self.assertEqual(
             self.read([bare]), [WorkerListing("i-1", "10.1.1.1:80", "b", "", 1, False, {}, 0)]
@@ -102,13 +102,13 @@
             [WorkerListing("i-1", "10.1.1.1:80", "b", "", 1, True, {}, 12)],
         )
         for name in bare:
-            self.assert_fault({each: bare[each] for each in bare if each != name})
+            self.assert_fault({field: bare[field] for field in bare if field != name})
 
     def assert_fault(self, entry):
-        got = self.read([ENTRY], [entry])
-        self.assertTrue(is_fault(got) and got.code == BAD_BACKEND_RESPONSE.code, got)
+        result = self.read([ENTRY], [entry])
+        self.assertTrue(is_fault(result) and result.code == BAD_BACKEND_RESPONSE.code, result)
 
-    def test_entries_of_the_wrong_type_make_the_reading_fail(self):
+    def test_entries_of_the_wrong_type_fail_the_read(self):
         for field, value in (
             ("id", 3),
             ("address", None),
@@ -119,15 +119,15 @@
         ):
             self.assert_fault(ENTRY | {field: value})
 
-    def test_a_list_that_goes_round_in_circles_is_a_fault(self):
+    def test_a_repeated_page_token_is_a_fault(self):
         self.pages = {
             "": (200, {"app-servers": [ENTRY], "next-token": "p"}),
             "p": (200, {"app-servers": [ENTRY], "next-token": "p"}),
         }
-        self.assertEqual(self.reading().code, BAD_BACKEND_RESPONSE.code)
-        self.assertEqual(len(self.asked), 2)
+        self.assertEqual(self.read_list().code, BAD_BACKEND_RESPONSE.code)
+        self.assertEqual(len(self.requests), 2)
 
-    def test_what_is_no_list_is_a_fault(self):
+    def test_a_malformed_page_is_a_fault(self):
         good = (200, {"app-servers": [ENTRY], "next-token": "p"})
         for bad in (
             (429, {}),
@@ -139,8 +139,8 @@
             (200, {"app-servers": {}}),
         ):
             self.pages = {"": good, "p": bad}
-            self.assertTrue(is_fault(self.reading()), bad)
+            self.assertTrue(is_fault(self.read_list()), bad)
 
-    def test_nobody_there_is_a_fault(self):
+    def test_an_unreachable_platform_is_a_fault(self):
         self.world.kill("platform")
-        self.assertTrue(is_fault(self.reading()))
+        self.assertTrue(is_fault(self.read_list()))
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,11 +1,11 @@
-"""Tests of where the platform's names may stand."""
+"""Tests that the platform's names occur only in the adapter and the bench."""
 
 import re
 import unittest
 from pathlib import Path
 
 PACKAGE = Path(__file__).resolve().parent.parent.parent / "swiftdeck"
-FREE = ("platform/", "bench/")
+EXEMPT = ("platform/", "bench/")
 NAMES = re.compile(
     "|".join(
         (
@@ -50,27 +50,31 @@
 )
 
 
-def named(text):
-    """Names of the platform in a text."""
+def find_names(text):
+    """Return the platform's names that occur in a text."""
     return sorted(set(NAMES.findall(text)))
 
 
 class NamesTest(unittest.TestCase):
-    def test_the_platforms_names_stand_in_the_adapter_alone(self):
+    def test_platform_names_occur_only_in_the_adapter(self):
         texts = {
             path.relative_to(PACKAGE).as_posix(): path.read_text()
             for path in sorted(PACKAGE.rglob("*.py"))
         }
-        found = {name: named(text) for name, text in texts.items() if not name.startswith(FREE)}
-        self.assertEqual({name: wrong for name, wrong in found.items() if wrong}, {})
+        found = {
+            name: find_names(text) for name, text in texts.items() if not name.startswith(EXEMPT)
+        }
+        self.assertEqual({name: names for name, names in found.items() if names}, {})
         self.assertGreater(len(found), 60)
         self.assertTrue(
             all(
-                named("".join(text for name, text in texts.items() if name.startswith("platform/")))
+                find_names(
+                    "".join(text for name, text in texts.items() if name.startswith("platform/"))
+                )
             )
         )
 
-    def test_planted_names_are_found(self):
+    def test_sample_names_are_found(self):
         for text in (
             'b"swiftdeck-request-id"',
             '"Swiftdeck-Tenant"',
@@ -81,11 +85,11 @@
             'rename="server-state"',
             '"retry-ratio"',
         ):
-            self.assertTrue(named(text), text)
+            self.assertTrue(find_names(text), text)
         for text in (
             "from swiftdeck.gateway import swap",
             "swiftdeck-bench",
             "customers wait",
             "SWIFTDECK_LOG",
         ):
-            self.assertEqual(named(text), [], text)
+            self.assertEqual(find_names(text), [], text)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to workers."""
+"""Tests of orders to workers and of their reports."""
 
 import asyncio
 import unittest
@@ -24,8 +24,8 @@
 
 class OrdersTest(unittest.TestCase):
     def setUp(self):
-        self.world, self.answer, self.asked = World(1), (202, {}), []
-        self.named = []
+        self.world, self.answer, self.requests = World(1), (202, {}), []
+        self.expected_workers = []
         self.world.start("here", "10.0.0.1", lambda: asyncio.sleep(0))
         self.world.start(
             "worker", "10.0.0.9", lambda: HttpServer(self.handle).start("10.0.0.9", 80)
@@ -33,10 +33,10 @@
         self.world.run(0.1)
 
     async def handle(self, exchange):
-        self.asked.append(
+        self.requests.append(
             (exchange.method, exchange.path, exchange.json() if exchange.body else None)
         )
-        self.named.append(exchange.headers.get("swiftdeck-expected-worker"))
+        self.expected_workers.append(exchange.headers.get("swiftdeck-expected-worker"))
         if self.answer is None:
             await asyncio.sleep(60)
         status, body = self.answer
@@ -54,10 +54,10 @@
     def report(self):
         return self.world.run_task("here", lambda: PlatformOrders().report(ADDR))
 
-    def test_an_order_as_the_page_shows_it(self):
+    def test_the_request_of_an_order(self):
         self.assertEqual(self.order(), 202)
         self.assertEqual(
-            self.asked,
+            self.requests,
             [
                 (
                     "POST",
@@ -74,15 +74,15 @@
             ],
         )
 
-        self.assertEqual(self.named, [None])
+        self.assertEqual(self.expected_workers, [None])
 
     def test_an_order_names_its_worker_and_the_count_that_it_expects(self):
         for count in (0, 7):
             self.assertEqual(self.order("i-7f3a91c2", count), 202)
-            self.assertEqual(self.asked[-1][2]["expected-count"], count)
-        self.assertEqual(self.named, ["i-7f3a91c2"] * 2)
+            self.assertEqual(self.requests[-1][2]["expected-count"], count)
+        self.assertEqual(self.expected_workers, ["i-7f3a91c2"] * 2)
 
-    def test_each_answer_is_told_by_its_status(self):
+    def test_an_order_returns_the_status_of_the_response(self):
         for status in (200, 202, 400, 409, 412, 421):
             for body in ({}, b"", b"{}"):
                 self.answer = (status, body)
@@ -94,7 +94,7 @@
         self.world.kill("worker")
         self.assertTrue(is_fault(self.order()))
 
-    def test_a_report_tells_versions_and_whether_an_order_is_under_way(self):
+    def test_a_report_has_versions_and_whether_an_order_is_in_progress(self):
         for report, wanted in (
             (REPORT, ({"daka510000": 1}, False)),
             (REPORT | {"busy": True}, ({"daka510000": 1}, True)),
@@ -106,21 +106,21 @@
             ({"models": [{"name": "a", "version": "3"}, 5, None]}, ({}, False)),
         ):
             self.answer = (200, report)
-            got = self.report()
-            self.assertEqual((got.versions, got.is_busy), wanted)
-        self.assertEqual(self.asked[0], ("GET", "/swiftdeck/report", None))
+            result = self.report()
+            self.assertEqual((result.versions, result.is_busy), wanted)
+        self.assertEqual(self.requests[0], ("GET", "/swiftdeck/report", None))
 
-    def test_a_report_tells_how_many_orders_were_taken(self):
-        for told, wanted in ((0, 0), (2, 2), ("2", None), (None, None), (True, None)):
-            self.answer = (200, REPORT | {"call-count": told})
+    def test_a_report_has_the_count_of_accepted_orders(self):
+        for count, wanted in ((0, 0), (2, 2), ("2", None), (None, None), (True, None)):
+            self.answer = (200, REPORT | {"call-count": count})
             self.assertEqual(self.report().order_count, wanted)
 
-    def test_what_a_worker_is_busy_with_it_does_not_hold(self):
+    def test_a_busy_worker_does_not_hold_its_weights(self):
         for is_busy, version, wanted in ((False, 1, True), (False, 2, False), (True, 1, False)):
             self.answer = (200, REPORT | {"busy": is_busy})
             self.assertEqual(self.report().holds("daka510000", version), wanted)
 
-    def test_a_report_that_cannot_be_read_is_a_fault(self):
+    def test_a_malformed_report_is_a_fault(self):
         for bad in ((503, {}), (200, []), (200, b"{"), (200, b""), (200, 7)):
             self.answer = bad
             self.assertTrue(is_fault(self.report()), bad)
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -18,18 +18,18 @@
 
 
 class ProgramTest(unittest.TestCase):
-    def test_a_hang_up_during_the_start_is_passed_over_before_anything_large_is_imported(self):
-        ran = subprocess.run(
+    def test_sighup_is_ignored_before_slow_imports(self):
+        result = subprocess.run(
             [sys.executable, "-c", PRINT_HANDLING], capture_output=True, text=True, timeout=30
         )
-        self.assertEqual((ran.stdout.split(), ran.returncode), (["True", "False"], 2))
+        self.assertEqual((result.stdout.split(), result.returncode), (["True", "False"], 2))
 
-    def test_a_role_that_there_is_not_is_refused(self):
-        ran = subprocess.run(
+    def test_an_unknown_role_is_refused(self):
+        result = subprocess.run(
             [sys.executable, "-m", "swiftdeck.platform.program", "none"],
             capture_output=True,
             text=True,
             timeout=30,
         )
-        self.assertEqual(ran.returncode, 2)
-        self.assertIn("say router or core", ran.stderr)
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("say router or core", result.stderr)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from swiftdeck.fault import BAD_SETTING, is_fault
-from swiftdeck.platform.settings import SettingsWatch, read_place
+from swiftdeck.platform.settings import SettingsWatch, read_settings
 
 ROUTER = """
 node-name = "node-3"
@@ -41,18 +41,19 @@
 
     def read(self, text, role="router"):
         self.path.write_bytes(text if isinstance(text, bytes) else text.encode())
-        return read_place(role, str(self.path))
+        return read_settings(role, str(self.path))
 
     def test_a_router(self):
-        place = self.read(ROUTER)
-        settings = place.settings
+        platform_settings = self.read(ROUTER)
+        settings = platform_settings.settings
         self.assertEqual(
             (settings.name, settings.inner, settings.http, settings.zone, settings.dataFolder),
             ("node-3", "10.0.0.3:7000", "10.0.0.3:8080", "galpao-norte", ""),
         )
         self.assertEqual(settings.seeds, ["10.0.0.10:7000", "10.0.0.11:7000"])
         self.assertEqual(
-            (place.settings.opsHttp, place.list_addr), ("10.0.0.3:8081", "10.0.0.99:80")
+            (platform_settings.settings.opsHttp, platform_settings.list_addr),
+            ("10.0.0.3:8081", "10.0.0.99:80"),
         )
         self.assertEqual(
             (
@@ -71,24 +72,24 @@
         self.assertEqual((settings.http, settings.dataFolder), ("10.0.0.3:8080", "/data"))
         self.assertEqual(self.read(CORE).settings.dataFolder, "")
 
-    def test_fields_that_are_not_known_are_ignored(self):
+    def test_unknown_fields_are_ignored(self):
         more = ROUTER + "\n[novel]\na = 1\n[tolerate]\nmachines = 1\nnovel = [1]\n"
         self.assertEqual(
             self.read(more.replace("[bounds]", "[bounds]\nnovel-ms = 3")).settings,
             self.read(ROUTER).settings,
         )
 
-    def assert_bad(self, got):
-        self.assertTrue(is_fault(got) and got.code == BAD_SETTING.code, got)
+    def assert_bad(self, result):
+        self.assertTrue(is_fault(result) and result.code == BAD_SETTING.code, result)
 
-    def test_a_file_that_is_not_there(self):
-        self.assert_bad(read_place("router", str(self.path)))
+    def test_a_missing_file(self):
+        self.assert_bad(read_settings("router", str(self.path)))
 
-    def test_what_is_no_toml(self):
+    def test_invalid_toml(self):
         for text in ("node-name = ", "[[[", b"\xff\xfe"):
             self.assert_bad(self.read(text))
 
-    def test_fields_that_are_missing(self):
+    def test_missing_fields(self):
         for line in ROUTER.strip().splitlines()[:5] + ['address = "10.0.0.99:80"']:
             self.assert_bad(self.read(ROUTER.replace(line, "")))
 
@@ -108,7 +109,7 @@
         ):
             self.assert_bad(self.read(ROUTER.replace(old, new)))
 
-    def test_a_watch_tells_of_other_contents_once(self):
+    def test_a_watch_reports_each_change_once(self):
         self.read(ROUTER)
         watch = SettingsWatch(str(self.path))
         self.assertFalse(watch.has_changed())
