--- a/swiftdeck/programs/__init__.py
+++ b/swiftdeck/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Thin programs that put the planes together."""
+"""Command-line programs that assemble the other packages."""
--- a/swiftdeck/programs/bench.py
+++ b/swiftdeck/programs/bench.py
@@ -1,4 +1,4 @@
-"""The command line of the stand-ins and of the one-machine fleet."""
+"""The command line of the stand-ins, the measurements and the one-machine fleet."""
 
 import asyncio
 import json
@@ -43,20 +43,20 @@
 )
 app.command()(model)
 app.add_typer(days, name="days")
-Addr = Annotated[str, typer.Option(help="IP:PORT to listen on.")]
+Address = Annotated[str, typer.Option(help="IP:PORT to listen on.")]
 RecordFile = Annotated[str, typer.Option(help="File that takes what the stand-in saw.")]
 
 
-def _serve(part):
+def _serve(stand_in):
     async def stop():
-        part.http.stop()
+        stand_in.http.stop()
 
-    raise typer.Exit(run_until_signal(part.start, stop))
+    raise typer.Exit(run_until_signal(stand_in.start, stop))
 
 
 @app.command()
 def worker(
-    addr: Addr,
+    addr: Address,
     name: str = "worker1",
     weights: str = "w1",
     store: str = "",
@@ -71,14 +71,14 @@
 
 
 @app.command()
-def store(addr: Addr, record: RecordFile = "/dev/null"):
+def store(addr: Address, record: RecordFile = "/dev/null"):
     """Run a stand-in for the store of prefixes."""
     _serve(Store(addr, FileRecord(record, "store")))
 
 
 @app.command()
 def platform(
-    addr: Addr,
+    addr: Address,
     workers: Annotated[str, typer.Option(help="JSON file with the list of workers.")],
     record: RecordFile = "/dev/null",
 ):
@@ -96,11 +96,13 @@
     turns: int = 3,
     record: RecordFile = "/dev/null",
 ):
-    """Hold one conversation of some turns, and print what came back."""
+    """Run one conversation of some turns, and print how many were served."""
 
     async def main():
-        one = Caller("caller", door, FileRecord(record, "caller"), random.Random(), {"tenant": key})
-        return await one.agent("tenant", route, turns)
+        client = Caller(
+            "caller", door, FileRecord(record, "caller"), random.Random(), {"tenant": key}
+        )
+        return await client.agent("tenant", route, turns)
 
     served = asyncio.run(main())
     typer.echo(f"{served} of {turns} turns served")
@@ -122,39 +124,40 @@
     short_every_s: float = 0.8,
 ):
     """Run a whole site on loopback, drive its traffic, and check the records."""
-    it = Fleet(folder, site, base_port, routers)
+    running_fleet = Fleet(folder, site, base_port, routers)
     status = 1
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         with asyncio.Runner(loop_factory=BootLoop) as runner:
-            status = runner.run(_run_fleet(it, seconds, faults, short_every_s))
+            status = runner.run(_run_fleet(running_fleet, seconds, faults, short_every_s))
     except KeyboardInterrupt:
         status = 0
     finally:
-        it.stop_all()
-    raise typer.Exit(_show_verdict(it, status) if seconds else status)
+        running_fleet.stop_all()
+    raise typer.Exit(_show_verdict(running_fleet, status) if seconds else status)
 
 
-async def _run_fleet(it, seconds, faults, short_every_s):
-    """Start a fleet and drive its traffic, or serve without end; returns the status."""
-    it.start_all()
-    got = await it.configure()
-    typer.echo(f"configured: {got}")
-    if got is None:
+async def _run_fleet(running_fleet, seconds, faults, short_every_s):
+    """Start a fleet and drive its traffic, or serve until cancelled; return the exit status."""
+    running_fleet.start_all()
+    response = await running_fleet.configure()
+    typer.echo(f"configured: {response}")
+    if response is None:
         return 1
     if not seconds:
         typer.echo(
-            f"serving: core {it.site.cores[0]['http']}, router {it.site.routers[0]['http']}, "
-            f"key {next(iter(it.site.keys.values()))}"
+            f"serving: core {running_fleet.site.cores[0]['http']}, "
+            f"router {running_fleet.site.routers[0]['http']}, "
+            f"key {next(iter(running_fleet.site.keys.values()))}"
         )
         await asyncio.Event().wait()
-    await it.drive(seconds, faults, short_every_s)
+    await running_fleet.drive(seconds, faults, short_every_s)
     return 0
 
 
-def _show_verdict(it, status):
-    """Print sums and breaches; returns the status, which is 1 when a rule was broken."""
-    breaches, sums = it.verdict()
+def _show_verdict(running_fleet, status):
+    """Print the sums and breaches of a run; return the exit status, 1 if a rule was broken."""
+    breaches, sums = running_fleet.verdict()
     typer.echo(json.dumps(sums))
     typer.echo(json.dumps({"breaches": breaches}, indent=1))
     return status or int(bool(breaches))
@@ -173,14 +176,17 @@
         str, typer.Option(help="Folder for logs and records; by default one that is removed.")
     ] = "",
 ):
-    """Run a site of real processes under overlapping troubles drawn from a seed, and judge it.
+    """Run a site of real processes under overlapping faults drawn from a seed, and check it.
 
     The status is 1 when a rule or an invariant was broken, or the site did not recover.
     """
     size = SHORT_SOAK if short else SoakSize(seconds=seconds, routers=routers, slack=slack)
-    with tempfile.TemporaryDirectory() as spare, asyncio.Runner(loop_factory=BootLoop) as runner:
+    with (
+        tempfile.TemporaryDirectory() as temporary_folder,
+        asyncio.Runner(loop_factory=BootLoop) as runner,
+    ):
         signal.signal(signal.SIGTERM, signal.default_int_handler)
-        verdict = runner.run(Soak(seed, folder or spare, size, say=typer.echo).run())
+        verdict = runner.run(Soak(seed, folder or temporary_folder, size, say=typer.echo).run())
     typer.echo(json.dumps(attrs.asdict(verdict), indent=1))
     typer.echo(verdict.line())
     raise typer.Exit(0 if verdict.is_clean() else 1)
@@ -195,7 +201,7 @@
     jobs: Annotated[int, typer.Option(help="Seeds at a time, each in a process of its own.")] = 4,
     trace: Annotated[bool, typer.Option(help="Show the faults of each seed.")] = False,
 ):
-    """Sweep scenarios of faults over seeds in virtual time.
+    """Run fault scenarios over a range of seeds in virtual time.
 
     The status is 1 when a rule was broken.
     """
@@ -216,15 +222,15 @@
     ] = GROWTH_ROUTES,
     base_port: int = 22000,
 ):
-    """Measure acknowledgements and stalls on real processes, with configurations of many routes."""
-    for at, count in enumerate(routes):
-        it = Fleet(f"{folder}/{count}", base_port=base_port + 100 * at)
-        it.start_all()
+    """Measure acknowledgement times and stalls of real processes with many routes configured."""
+    for index, count in enumerate(routes):
+        running_fleet = Fleet(f"{folder}/{count}", base_port=base_port + 100 * index)
+        running_fleet.start_all()
         try:
             with asyncio.Runner(loop_factory=BootLoop) as runner:
-                typer.echo(json.dumps(runner.run(growth(it, count))))
+                typer.echo(json.dumps(runner.run(growth(running_fleet, count))))
         finally:
-            it.stop_all()
+            running_fleet.stop_all()
 
 
 @app.command()
@@ -236,13 +242,13 @@
     seeds: int = 3,
     jobs: int = 4,
 ):
-    """Measure the design in virtual time: a line of figures for each case and seed."""
+    """Measure the design in virtual time; print a line of figures for each case and seed."""
     if name not in MEASURES:
         typer.echo(f"measures: {', '.join(sorted(MEASURES))}", err=True)
         raise typer.Exit(2)
     seeds_run = range(seed, seed + seeds)
     with ProcessPoolExecutor(jobs) as pool:
-        results = pool.map(run_measure, [(name, each) for each in seeds_run])
+        results = pool.map(run_measure, [(name, run_seed) for run_seed in seeds_run])
         for number, rows in zip(seeds_run, results, strict=False):
             for row in rows:
                 typer.echo(json.dumps({"seed": number} | row))
@@ -256,7 +262,7 @@
     ] = None,
     aim: Annotated[float, typer.Option(help="Aim of long calls in milliseconds.")] = 600.0,
 ):
-    """Where a day's worth was lost, and why long calls were late or read again."""
+    """Show where a day's worth was lost, and why long calls were late or read again."""
     for path in reports:
         try:
             report = read_report(path)
@@ -288,7 +294,7 @@
 
 
 def main():
-    """Entry of the program."""
+    """Run the command line."""
     app()
 
 
--- a/swiftdeck/programs/cli.py
+++ b/swiftdeck/programs/cli.py
@@ -44,19 +44,19 @@
     typer.Option("--seed", help="Inner IP:PORT of another process; give three."),
 ]
 Zone = Annotated[str | None, typer.Option(help="Zone of the machine.")]
-ShownKey = Annotated[
+RequiredOperatorKey = Annotated[
     str | None, typer.Option("--operatorKey", help="Key that operators must show.")
 ]
-Level = Annotated[str, typer.Option(help="debug, info, warning or error.")]
-Door = Annotated[
+LogLevel = Annotated[str, typer.Option(help="debug, info, warning or error.")]
+CoreAddress = Annotated[
     str, typer.Option("--core", envvar="SWIFTDECK_CORE", help="HTTP IP:PORT of a core.")
 ]
-Operator = Annotated[
+OperatorKey = Annotated[
     str, typer.Option("--operator-key", envvar="SWIFTDECK_OPERATOR_KEY", help="Key of operators.")
 ]
 
 
-def _settings(path, flags):
+def _read_settings_or_exit(path, flags):
     settings = read_settings(path, flags)
     if is_fault(settings):
         typer.echo(f"fault {settings.code} {settings.name}: {settings.reason}", err=True)
@@ -64,10 +64,10 @@
     return settings
 
 
-def _seeds_again(path, flags, node, log):
-    """A function that reads the seeds anew from the settings and tells a node."""
+def _make_seed_reload(path, flags, node, log):
+    """Return a function that rereads the settings and passes their seeds to a node."""
 
-    def again():
+    def reload_seeds():
         settings = read_settings(path, flags)
         if is_fault(settings):
             log.warning("settings not taken", reason=settings.reason)
@@ -75,7 +75,7 @@
             node.membership.set_seeds(settings.seeds)
             log.info("seeds exchanged", seeds=settings.seeds)
 
-    return again
+    return reload_seeds
 
 
 @app.command()
@@ -87,12 +87,12 @@
     seed: Seeds = None,
     zone: Zone = None,
     data: Annotated[str | None, typer.Option(help="Data folder.")] = None,
-    operator_key: ShownKey = None,
-    level: Level = "info",
+    operator_key: RequiredOperatorKey = None,
+    level: LogLevel = "info",
 ):
     """Run a core: a member of the chain, with a data folder.
 
-    SIGHUP reads the seeds anew, SIGTERM ends it.
+    SIGHUP rereads the seeds, SIGTERM stops the core.
     """
     flags = {
         "name": name,
@@ -103,25 +103,27 @@
         "dataFolder": data,
         "operatorKey": operator_key,
     }
-    checked = _settings(settings, flags)
-    if not checked.dataFolder:
+    checked_settings = _read_settings_or_exit(settings, flags)
+    if not checked_settings.dataFolder:
         typer.echo("fault 600 setting is invalid: a core needs dataFolder (--data)", err=True)
         raise typer.Exit(2)
-    log = make_log(checked.name, level)
+    log = make_log(checked_settings.name, level)
     try:
-        folder = DataFolder(checked.dataFolder)
+        folder = DataFolder(checked_settings.dataFolder)
     except OSError as error:
         typer.echo(f"fault 304 disk failed: {error}", err=True)
         raise typer.Exit(1) from error
-    box = []
+    nodes = []
 
     async def start():
-        box.append(Core(checked, folder, random.SystemRandom(), log))
-        return await box[0].start()
+        nodes.append(Core(checked_settings, folder, random.SystemRandom(), log))
+        return await nodes[0].start()
 
     raise typer.Exit(
         run_until_signal(
-            start, lambda: box[0].stop(), lambda: _seeds_again(settings, flags, box[0], log)()
+            start,
+            lambda: nodes[0].stop(),
+            lambda: _make_seed_reload(settings, flags, nodes[0], log)(),
         )
     )
 
@@ -136,12 +138,12 @@
     zone: Zone = None,
     platform: Annotated[str | None, typer.Option(help="IP:PORT of the platform's list.")] = None,
     store: Annotated[str | None, typer.Option(help="IP:PORT of the store of prefixes.")] = None,
-    operator_key: ShownKey = None,
-    level: Level = "info",
+    operator_key: RequiredOperatorKey = None,
+    level: LogLevel = "info",
 ):
-    """Run a router: callers' HTTP and attempts towards workers.
+    """Run a router: serves callers over HTTP and sends their calls to workers.
 
-    SIGHUP reads the seeds anew, SIGTERM drains.
+    SIGHUP rereads the seeds, SIGTERM drains the router and stops it.
     """
     flags = {
         "name": name,
@@ -153,44 +155,46 @@
         "store": store,
         "operatorKey": operator_key,
     }
-    checked = _settings(settings, flags)
-    log = make_log(checked.name, level)
-    box = []
+    checked_settings = _read_settings_or_exit(settings, flags)
+    log = make_log(checked_settings.name, level)
+    nodes = []
 
     async def start():
-        box.append(Router(checked, random.SystemRandom(), log))
-        await box[0].start()
+        nodes.append(Router(checked_settings, random.SystemRandom(), log))
+        await nodes[0].start()
 
     raise typer.Exit(
         run_until_signal(
-            start, lambda: box[0].stop(), lambda: _seeds_again(settings, flags, box[0], log)()
+            start,
+            lambda: nodes[0].stop(),
+            lambda: _make_seed_reload(settings, flags, nodes[0], log)(),
         )
     )
 
 
-def _show(got):
-    """Print an answer; ends with status 1 on a fault."""
-    if is_fault(got):
-        typer.echo(f"fault {got.code} {got.name}: {got.reason}", err=True)
+def _show_response(response):
+    """Print a response; exit with status 1 on a fault or an HTTP status other than 200."""
+    if is_fault(response):
+        typer.echo(f"fault {response.code} {response.name}: {response.reason}", err=True)
         raise typer.Exit(1)
-    status, body = got
+    status, body = response
     typer.echo(msgspec.json.format(msgspec.json.encode(body)).decode())
     if status != 200:
         raise typer.Exit(1)
 
 
-def _read(file):
+def _read_json(path):
     try:
-        data = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
+        data = sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
         return msgspec.json.decode(data)
     except (OSError, msgspec.DecodeError, UnicodeDecodeError) as error:
-        typer.echo(f"fault 201 configuration is invalid: {file}: {error}", err=True)
+        typer.echo(f"fault 201 configuration is invalid: {path}: {error}", err=True)
         raise typer.Exit(2) from error
 
 
-def _change(method, file, base, change_id, author, door, operator):
-    client, document = OperatorClient(door, operator), _read(file)
-    _show(
+def _send_change(method, file, base, change_id, author, core_address, operator_key):
+    client, document = OperatorClient(core_address, operator_key), _read_json(file)
+    _show_response(
         asyncio.run(
             client.change_newest(method, lambda _: document, change_id, author)
             if base is None
@@ -199,8 +203,8 @@
     )
 
 
-File = Annotated[str, typer.Argument(help="JSON file, - for standard input.")]
-Base = Annotated[
+JsonFile = Annotated[str, typer.Argument(help="JSON file, - for standard input.")]
+BaseVersion = Annotated[
     int | None, typer.Option(help="Version that the change builds on; default: the newest.")
 ]
 ChangeId = Annotated[
@@ -212,39 +216,39 @@
 
 @ctl.command()
 def put(
-    file: File,
-    base: Base = None,
+    file: JsonFile,
+    base: BaseVersion = None,
     change_id: ChangeId = "",
     author: Author = "",
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
 ):
-    """Put a whole configuration; returns once it is in force."""
-    _change("PUT", file, base, change_id, author, core, operator_key)
+    """Replace the whole configuration; returns once it is in force."""
+    _send_change("PUT", file, base, change_id, author, core, operator_key)
 
 
 @ctl.command()
 def patch(
-    file: File,
-    base: Base = None,
+    file: JsonFile,
+    base: BaseVersion = None,
     change_id: ChangeId = "",
     author: Author = "",
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
 ):
-    """Put a partial configuration (JSON merge patch); returns once it is in force."""
-    _change("PATCH", file, base, change_id, author, core, operator_key)
+    """Apply a partial configuration (JSON merge patch); returns once it is in force."""
+    _send_change("PATCH", file, base, change_id, author, core, operator_key)
 
 
 @ctl.command()
-def get(core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
-    """Read the configuration back, with its version."""
-    _show(asyncio.run(OperatorClient(core, operator_key).ask("GET", "/v1/config")))
+def get(core: CoreAddress = "127.0.0.1:8000", operator_key: OperatorKey = ""):
+    """Show the configuration and its version."""
+    _show_response(asyncio.run(OperatorClient(core, operator_key).ask("GET", "/v1/config")))
 
 
 @ctl.command()
-def changes(file: File, core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
-    """Send a stream of changes (NDJSON) in; an answer line comes out for each."""
+def changes(file: JsonFile, core: CoreAddress = "127.0.0.1:8000", operator_key: OperatorKey = ""):
+    """Send a stream of changes (NDJSON) and print a line with the answer to each."""
     client = OperatorClient(core, operator_key)
     with contextlib.ExitStack() as stack:
         lines = sys.stdin.buffer if file == "-" else stack.enter_context(open(file, "rb"))
@@ -255,17 +259,19 @@
 @ctl.command()
 def change(
     change_id: Annotated[str, typer.Argument(help="Id of the change.")],
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
 ):
-    """Ask what became of a change."""
-    _show(asyncio.run(OperatorClient(core, operator_key).ask("GET", f"/v1/changes/{change_id}")))
+    """Show the outcome of a change."""
+    _show_response(
+        asyncio.run(OperatorClient(core, operator_key).ask("GET", f"/v1/changes/{change_id}"))
+    )
 
 
 @ctl.command()
 def watch(
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
     follow: Annotated[bool, typer.Option(help="Go on as decisions are made.")] = True,
 ):
     """Watch the stream of decisions of all routers."""
@@ -277,43 +283,43 @@
 
 @ctl.command()
 def status(
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
     full: Annotated[bool, typer.Option(help="Show all counters.")] = False,
 ):
-    """Show every process of the fleet, the chain, the books and the counters."""
-    _show(asyncio.run(OperatorClient(core, operator_key).fleet(full)))
+    """Show every process of the fleet, the chain, the slot tables and the counters."""
+    _show_response(asyncio.run(OperatorClient(core, operator_key).fleet(full)))
 
 
 @ctl.command()
 def explain(
     name: Annotated[str, typer.Argument(help="Id of a call or of a conversation.")],
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
 ):
-    """Tell why a call waited, moved, was refused or ended as it did."""
-    _show(asyncio.run(OperatorClient(core, operator_key).explain(name)))
+    """Explain why a call waited, moved, was refused or ended as it did."""
+    _show_response(asyncio.run(OperatorClient(core, operator_key).explain(name)))
 
 
 @ctl.command()
-def log(core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
+def log(core: CoreAddress = "127.0.0.1:8000", operator_key: OperatorKey = ""):
     """List the acknowledged versions that this core's archive keeps."""
-    _show(asyncio.run(OperatorClient(core, operator_key).ask("GET", "/v1/history")))
+    _show_response(asyncio.run(OperatorClient(core, operator_key).ask("GET", "/v1/history")))
 
 
 @ctl.command()
-def diff(old: int, new: int, core: Door = "127.0.0.1:8000", operator_key: Operator = ""):
+def diff(old: int, new: int, core: CoreAddress = "127.0.0.1:8000", operator_key: OperatorKey = ""):
     """Show what changed between two acknowledged versions."""
     client = OperatorClient(core, operator_key)
 
-    async def work():
+    async def fetch_versions():
         return [await client.ask("GET", f"/v1/history/{version}") for version in (old, new)]
 
-    texts = asyncio.run(work())
-    for got in texts:
-        if is_fault(got) or got[0] != 200:
-            _show(got)
-    lines = [got[1]["text"].splitlines() for got in texts]
+    responses = asyncio.run(fetch_versions())
+    for response in responses:
+        if is_fault(response) or response[0] != 200:
+            _show_response(response)
+    lines = [response[1]["text"].splitlines() for response in responses]
     typer.echo(
         "\n".join(difflib.unified_diff(*lines, f"version {old}", f"version {new}", lineterm=""))
     )
@@ -324,20 +330,20 @@
     model: Annotated[str, typer.Argument(help="Model.")],
     version: Annotated[str, typer.Argument(help="Weights.")],
     author: Author = "",
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
 ):
-    """Name new weights for a model; once this returns, no router sends a call to old ones.
+    """Set new weights for a model; once this returns, no router sends a call to old ones.
 
-    A worker that stands still meanwhile may still begin a call that was sent to it before.
+    A worker that is paused meanwhile may still begin a call that was sent to it before.
     """
     client, patch = OperatorClient(core, operator_key), {"models": {model: {"weights": version}}}
-    _show(asyncio.run(client.change_newest("PATCH", lambda _: patch, author=author)))
+    _show_response(asyncio.run(client.change_newest("PATCH", lambda _: patch, author=author)))
 
 
 @keys.command()
 def digest(key: Annotated[str, typer.Argument(help="A tenant's key.")]):
-    """Show how a key stands in a configuration."""
+    """Show the digest under which a configuration stores a key."""
     typer.echo(key_digest(key))
 
 
@@ -345,47 +351,50 @@
 def revoke(
     tenant: Annotated[str, typer.Argument(help="Tenant.")],
     key: Annotated[str, typer.Argument(help="The key, or its sha256: digest.")],
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
 ):
-    """Take a key from a tenant; connected clients lose it too."""
-    client, gone = (
+    """Remove a key from a tenant; it stops working for connected clients as well."""
+    client, revoked_key = (
         OperatorClient(core, operator_key),
         key if key.startswith("sha256:") else key_digest(key),
     )
 
-    def without(document):
-        kept = [
-            each
-            for each in document.get("tenants", {}).get(tenant, {}).get("keys", [])
-            if each != gone
+    def patch_without_key(document):
+        remaining_keys = [
+            stored_key
+            for stored_key in document.get("tenants", {}).get(tenant, {}).get("keys", [])
+            if stored_key != revoked_key
         ]
-        return {"tenants": {tenant: {"keys": kept}}}
+        return {"tenants": {tenant: {"keys": remaining_keys}}}
 
-    _show(asyncio.run(client.change_newest("PATCH", without)))
+    _show_response(asyncio.run(client.change_newest("PATCH", patch_without_key)))
 
 
 @app.command()
 def doctor(
-    core: Door = "127.0.0.1:8000",
-    operator_key: Operator = "",
+    core: CoreAddress = "127.0.0.1:8000",
+    operator_key: OperatorKey = "",
     settings: SettingsFile = "",
     as_json: Annotated[bool, typer.Option("--json", help="Findings as JSON.")] = False,
 ):
-    """Look for common faults; each finding has a code and what to do.
+    """Look for common faults; each finding has a code and advice.
 
-    The status is 1 when one was found.
+    The exit status is 1 when a fault was found.
     """
     seeds, folder = [], ""
     if settings:
-        checked = _settings(settings, {})
-        seeds, folder = checked.seeds, checked.dataFolder
+        checked_settings = _read_settings_or_exit(settings, {})
+        seeds, folder = checked_settings.seeds, checked_settings.dataFolder
     findings = asyncio.run(examine(OperatorClient(core, operator_key), seeds, folder))
     if as_json:
         typer.echo(msgspec.json.encode(findings).decode())
     else:
-        for each in findings:
-            typer.echo(f"{each['code']} {each['what']}: {each['where']}\n    do: {each['advice']}")
+        for finding in findings:
+            typer.echo(
+                f"{finding['code']} {finding['what']}: {finding['where']}\n"
+                f"    do: {finding['advice']}"
+            )
         typer.echo(
             f"{len(findings)} fault{'s' * (len(findings) > 1)} found"
             if findings
@@ -395,7 +404,7 @@
 
 
 def main():
-    """Entry of the program."""
+    """Run the command line."""
     app()
 
 
--- a/swiftdeck/programs/loop.py
+++ b/swiftdeck/programs/loop.py
@@ -1,4 +1,4 @@
-"""How a program runs: a loop on the boot clock, signals, logs."""
+"""Event loop on the boot clock, signal handling and logging of the programs."""
 
 import asyncio
 import logging
@@ -10,15 +10,15 @@
 
 
 class BootLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock goes on while the machine sleeps and never jumps."""
+    """An event loop whose clock continues during suspend and never jumps."""
 
     def time(self):
-        """Seconds since the machine started."""
+        """Return the seconds since boot, including time in suspend."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def make_log(name, level="info"):
-    """Lines of JSON on standard error, for changes of state only."""
+    """Return a logger that writes JSON lines to standard error; log only changes of state."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -32,19 +32,24 @@
 
 
 def run_until_signal(start, stop, on_hangup=None) -> int:
-    """Run a process until SIGTERM or SIGINT; gives its exit status."""
+    """Run a process until SIGTERM or SIGINT and return its exit status.
+
+    `start` and `stop` are coroutine functions; `start` returns a fault if the process can't run,
+    or None. `on_hangup` is called on SIGHUP. The status is 1 after a fault or an OSError, which is
+    printed.
+    """
 
     async def main():
-        loop, done = asyncio.get_running_loop(), asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, done.set)
+        loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop_requested.set)
         if on_hangup:
             loop.add_signal_handler(signal.SIGHUP, on_hangup)
         fault = await start()
         if fault is not None and not fault:
             print(f"fault {fault.code} {fault.name}: {fault.reason}", file=sys.stderr)
             return 1
-        await done.wait()
+        await stop_requested.wait()
         await stop()
         return 0
 
--- a/swiftdeck/programs/tests.py
+++ b/swiftdeck/programs/tests.py
@@ -1,4 +1,4 @@
-"""Hands over to the runner of the tests, which stand beside the package in a checkout."""
+"""Runs the test runner, which is next to the package in a checkout."""
 
 import os
 import sys
@@ -6,7 +6,10 @@
 
 
 def main() -> int:
-    """Become the runner, with one order of hashes for all runs; returns only without tests."""
+    """Replace this process with the test runner; return only if the tests are not installed.
+
+    PYTHONHASHSEED is fixed so that sets have the same order in all runs.
+    """
     root = Path(__file__).resolve().parent.parent.parent
     if not (root / "tests" / "runner.py").exists():
         print("the tests are not installed with the package: run them from the root of a checkout")
--- a/tests/programs/test_loop.py
+++ b/tests/programs/test_loop.py
@@ -12,25 +12,25 @@
     def setUp(self):
         self.events = []
 
-    def send(self, *numbers):
-        """Send signals to this very process."""
-        for number in numbers:
-            os.kill(os.getpid(), number)
+    def send(self, *signal_numbers):
+        """Send signals to this process."""
+        for signal_number in signal_numbers:
+            os.kill(os.getpid(), signal_number)
 
-    async def starts(self):
+    async def start(self):
         self.send(signal.SIGTERM)
         for _ in range(5):
             await asyncio.sleep(0)
         self.events.append("started")
 
-    async def stops(self):
+    async def stop(self):
         self.send(signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
         for _ in range(5):
             await asyncio.sleep(0)
         self.events.append("stopped")
 
-    def test_sigterm_during_the_start_and_again_during_the_stop_stops_once_and_in_order(self):
+    def test_sigterm_during_start_and_during_stop_stops_once_and_in_order(self):
         status = run_until_signal(
-            self.starts, self.stops, lambda: self.events.append("settings read")
+            self.start, self.stop, lambda: self.events.append("settings read")
         )
         self.assertEqual((status, self.events), (0, ["started", "settings read", "stopped"]))
--- a/tests/programs/test_runner.py
+++ b/tests/programs/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of `programs/tests.py` and of the runner that it hands over to."""
+"""Tests of `programs/tests.py` and of the runner that it starts."""
 
 import io
 import subprocess
@@ -31,8 +31,8 @@
 
 
 class RunnerTest(unittest.TestCase):
-    def run_(self, text="", every=None, **tests):
-        """What becomes of tiny tests under such a list, and what is printed."""
+    def run_tests(self, text="", every=None, **tests):
+        """Judge small tests under a list of known failures; return the counts and the output."""
         stream = io.StringIO()
         case = type("Tiny", (unittest.TestCase,), tests | {"__module__": "tiny"})
         suite = unittest.defaultTestLoader.loadTestsFromTestCase(case)
@@ -40,73 +40,74 @@
 
     def test_an_unlisted_failure_fails(self):
         self.assertEqual(
-            self.run_(test_a=good, test_b=bad, test_c=broken, test_d=skipped)[0], (1, 2)
+            self.run_tests(test_a=good, test_b=bad, test_c=broken, test_d=skipped)[0], (1, 2)
         )
         self.assertEqual(
-            self.run_("tiny.Tiny.test_b, slow, #7", test_a=good, test_b=bad, test_c=broken)[0],
+            self.run_tests("tiny.Tiny.test_b, slow, #7", test_a=good, test_b=bad, test_c=broken)[0],
             (1, 1),
         )
 
-    def test_a_listed_failure_is_printed_and_passed_over(self):
-        counts, told = self.run_(
+    def test_a_listed_failure_is_printed_and_ignored(self):
+        counts, output = self.run_tests(
             "# why\n\n tiny.Tiny.test_b, slow, or so, #7\ntiny.Tiny.test_c, lost, #8\n",
             test_a=good,
             test_b=bad,
             test_c=broken,
         )
         self.assertEqual(counts, (1, 0))
-        self.assertIn("known red, passed over: tiny.Tiny.test_b: slow, or so, #7", told)
-        self.assertIn("as planned", told)
+        self.assertIn("known red, passed over: tiny.Tiny.test_b: slow, or so, #7", output)
+        self.assertIn("as planned", output)
 
-    def test_a_listed_test_that_passes_fails_until_its_line_is_gone(self):
-        counts, told = self.run_("tiny.Tiny.test_a, slow, #7", test_a=good, test_b=good)
+    def test_a_listed_test_that_passes_fails_until_its_line_is_removed(self):
+        counts, output = self.run_tests("tiny.Tiny.test_a, slow, #7", test_a=good, test_b=good)
         self.assertEqual(counts, (1, 1))
-        self.assertIn("passes, so its line must go: tiny.Tiny.test_a", told)
+        self.assertIn("passes, so its line must go: tiny.Tiny.test_a", output)
 
-    def test_a_listed_name_that_is_no_test_fails(self):
-        counts, told = self.run_("tiny.Tiny.test_z, slow, #7", test_a=good)
+    def test_a_listed_name_without_a_test_fails(self):
+        counts, output = self.run_tests("tiny.Tiny.test_z, slow, #7", test_a=good)
         self.assertEqual(counts, (1, 1))
-        self.assertIn("no such test: tiny.Tiny.test_z", told)
+        self.assertIn("no such test: tiny.Tiny.test_z", output)
 
-    def test_a_listed_test_outside_the_part_that_runs_is_left_alone(self):
+    def test_a_listed_test_that_was_not_selected_is_ignored(self):
         self.assertEqual(
-            self.run_(
+            self.run_tests(
                 "tiny.Tiny.test_z, slow, #7", {"tiny.Tiny.test_a", "tiny.Tiny.test_z"}, test_a=good
             )[0],
             (1, 0),
         )
 
-    def test_a_listed_test_that_is_skipped_is_left_alone(self):
+    def test_a_listed_test_that_is_skipped_is_ignored(self):
         self.assertEqual(
-            self.run_("tiny.Tiny.test_d, slow, #7", test_a=good, test_d=skipped)[0], (1, 0)
+            self.run_tests("tiny.Tiny.test_d, slow, #7", test_a=good, test_d=skipped)[0], (1, 0)
         )
 
-    def test_failed_parts_of_a_test_are_one_failure_of_it(self):
-        self.assertEqual(self.run_(test_a=good, test_b=bad_parts)[0], (1, 1))
+    def test_failed_subtests_count_as_one_failure(self):
+        self.assertEqual(self.run_tests(test_a=good, test_b=bad_parts)[0], (1, 1))
         self.assertEqual(
-            self.run_("tiny.Tiny.test_b, slow, #7", test_a=good, test_b=bad_parts)[0], (1, 0)
+            self.run_tests("tiny.Tiny.test_b, slow, #7", test_a=good, test_b=bad_parts)[0], (1, 0)
         )
 
-    def test_a_test_that_should_fail_and_passes_fails(self):
+    def test_an_unexpected_success_fails(self):
         self.assertEqual(
-            self.run_(test_a=good, test_b=unittest.expectedFailure(lambda self: None))[0], (1, 1)
+            self.run_tests(test_a=good, test_b=unittest.expectedFailure(lambda self: None))[0],
+            (1, 1),
         )
 
-    def test_a_class_that_cannot_begin_fails(self):
+    def test_an_error_in_class_setup_fails(self):
         def setUpClass(cls):
             raise KeyError("as planned")
 
-        self.assertEqual(self.run_(test_a=good, setUpClass=classmethod(setUpClass))[0], (0, 1))
+        self.assertEqual(self.run_tests(test_a=good, setUpClass=classmethod(setUpClass))[0], (0, 1))
 
-    def test_a_line_that_does_not_read_fails(self):
-        known, wrong = read_known(
+    def test_a_malformed_line_fails(self):
+        known, malformed = read_known(
             "a.B.c, slow, #7\na.B.d\na.B.e, slow\n, slow, #7\na.B.f, , #7\na.B.c, again, #8\n"
         )
-        self.assertEqual((known, len(wrong)), ({"a.B.c": "slow, #7"}, 5))
-        self.assertEqual(self.run_("tiny.Tiny.test_b", test_a=good, test_b=bad)[0], (1, 2))
+        self.assertEqual((known, len(malformed)), ({"a.B.c": "slow, #7"}, 5))
+        self.assertEqual(self.run_tests("tiny.Tiny.test_b", test_a=good, test_b=bad)[0], (1, 2))
 
-    def test_the_program_runs_the_tests_of_a_checkout_and_ends_with_the_verdict(self):
-        got = subprocess.run(
+    def test_the_program_runs_the_tests_of_a_checkout_and_prints_the_verdict_last(self):
+        result = subprocess.run(
             [sys.executable, "-m", "swiftdeck.programs.tests", "test_prefix.py"],
             cwd=TOP.parent,
             capture_output=True,
@@ -114,5 +115,5 @@
             timeout=60,
         )
         self.assertTrue(
-            got.stdout.splitlines()[-1].startswith("1 passed, "), got.stdout + got.stderr
+            result.stdout.splitlines()[-1].startswith("1 passed, "), result.stdout + result.stderr
         )
