--- a/swiftdeck/platform/header_codec.py
+++ b/swiftdeck/platform/header_codec.py
@@ -78,7 +78,8 @@
 def _connection_headers(headers):
     """Return the lower-case names that a Connection header lists.
 
-    The request id, the seal and the content length are always forwarded, also when it lists them.
+    The request id, the seal and the content length are left out, so that listing them doesn't drop
+    them from a forwarded message.
     """
     connection_values = [value for name, value in headers if name.lower() == b"connection"]
     return {token.strip().lower() for value in connection_values for token in value.split(b",")} - {
