--- a/swiftdeck/member/__init__.py
+++ b/swiftdeck/member/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, by probes, and how news is passed on."""
+"""Fleet membership by probing, and the spreading of news between processes."""
--- a/swiftdeck/member/news.py
+++ b/swiftdeck/member/news.py
@@ -1,4 +1,4 @@
-"""News: pushed to a few others, gaps mended by comparing digests."""
+"""Spreads news by gossip: pushed to a few random processes, gaps filled by comparing digests."""
 
 import asyncio
 
@@ -6,43 +6,45 @@
 
 
 class NewsTable:
-    """Items by key; of two items with one key the higher stamp stands."""
+    """News items by key; of two items with the same key the one with the higher stamp is kept."""
 
-    def __init__(self, mesh, membership, fan_out=3, digest_ms=1000):
-        self.mesh, self.membership, self.fan_out, self.digest_ms = (
+    def __init__(self, mesh, membership, fan_out=3, digest_interval_ms=1000):
+        self.mesh, self.membership, self.fan_out, self.digest_interval_ms = (
             mesh,
             membership,
             fan_out,
-            digest_ms,
+            digest_interval_ms,
         )
         self.items, self.watchers = {}, {}
         mesh.register(News, self.on_news)
         mesh.register(NewsDigest, self.on_digest)
 
     def start(self):
-        """Go on mending gaps."""
-        self.task = asyncio.ensure_future(self._mending())
+        """Start sending digests periodically, so that others send what this process missed."""
+        self.task = asyncio.ensure_future(self._send_digests())
 
     def watch(self, prefix, watcher):
-        """Call `watcher(key, stamp, body)` for each new item whose key starts so."""
+        """Call `watcher(key, stamp, body)` for each new item whose key begins with `prefix`."""
         self.watchers[prefix] = watcher
 
     def post(self, key, stamp, body=b""):
-        """Bring news into the fleet."""
-        self._take([NewsItem(key=key, stamp=stamp, body=body)])
+        """Publish an item to the fleet."""
+        self._merge([NewsItem(key=key, stamp=stamp, body=body)])
 
     def on_news(self, news, sender):
-        """Take in news and pass on what is fresh."""
-        self._take(news.items, sender)
+        """Merge received items and forward those that were new here."""
+        self._merge(news.items, sender)
 
     def on_digest(self, digest, sender):
-        """Send what the sender does not have yet."""
-        theirs = dict(zip(digest.keys, digest.stamps, strict=False))
-        fresh = [item for key, item in self.items.items() if item.stamp > theirs.get(key, -1)]
+        """Send the items that the sender lacks or has with a lower stamp."""
+        sender_stamps = dict(zip(digest.keys, digest.stamps, strict=False))
+        fresh = [
+            item for key, item in self.items.items() if item.stamp > sender_stamps.get(key, -1)
+        ]
         if fresh:
             self.mesh.send(sender, News(items=fresh))
 
-    def _take(self, items, sender=None):
+    def _merge(self, items, sender=None):
         fresh = [
             item
             for item in items
@@ -54,13 +56,15 @@
                 if item.key.startswith(prefix):
                     watcher(item.key, item.stamp, item.body)
         if fresh:
-            for each in self.membership.some(self.fan_out):
-                if each.addr != sender:
-                    self.mesh.send(each.addr, News(items=fresh))
+            for member in self.membership.some(self.fan_out):
+                if member.addr != sender:
+                    self.mesh.send(member.addr, News(items=fresh))
 
-    async def _mending(self):
+    async def _send_digests(self):
         while True:
-            await asyncio.sleep(self.digest_ms / 1000)
+            await asyncio.sleep(self.digest_interval_ms / 1000)
             stamps = [item.stamp for item in self.items.values()]
-            for each in self.membership.some(1):
-                self.mesh.send_datagram(each.addr, NewsDigest(keys=list(self.items), stamps=stamps))
+            for member in self.membership.some(1):
+                self.mesh.send_datagram(
+                    member.addr, NewsDigest(keys=list(self.items), stamps=stamps)
+                )
--- a/tests/member/test_news.py
+++ b/tests/member/test_news.py
@@ -6,23 +6,23 @@
 
 
 class NewsTest(unittest.TestCase):
-    def test_higher_stamp_stands_and_a_missed_one_is_mended(self):
+    def test_the_higher_stamp_wins_and_a_missed_item_is_resent(self):
         from tests.member.test_membership import MembershipTest
 
-        world, found, _ = MembershipTest.build(self, 5)
+        world, memberships, _ = MembershipTest.build(self, 5)
         tables = {}
 
-        def begin(number):
+        def start_table(number):
             async def main():
-                tables[number] = NewsTable(found[number].mesh, found[number])
+                tables[number] = NewsTable(memberships[number].mesh, memberships[number])
                 tables[number].start()
 
             return main
 
         world.run(3)
         for number in range(5):
-            world.run_task(f"n{number}", begin(number))
-        world.net.cut(["10.0.0.5"], [f"10.0.0.{n}" for n in range(1, 5)])
+            world.run_task(f"n{number}", start_table(number))
+        world.net.cut(["10.0.0.5"], [f"10.0.0.{host}" for host in range(1, 5)])
 
         async def post():
             tables[0].post("view", 2, b"two")
