--- a/swiftdeck/http/client.py
+++ b/swiftdeck/http/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards workers, store and platform, as an asyncio protocol over h11."""
+"""HTTP/1.1 client for workers, the prefix store and the platform, as an asyncio protocol over h11."""
 
 import asyncio
 import contextlib
@@ -15,17 +15,21 @@
 )
 from swiftdeck.http.reset import give_up
 
-READ_AHEAD = 262144
-LINE_LIMIT = 262144
+READ_AHEAD_BYTES = 262144
+LINE_LIMIT_BYTES = 262144
 
 
 class HttpLink(asyncio.Protocol):
-    """One connection to a back end; exchanges go over it one after another."""
+    """A connection to a back end that carries one exchange at a time.
+
+    `gone` is set once the peer closed the connection or it failed. `unread_bytes` counts the bytes
+    received since the reader last waited; reading pauses above READ_AHEAD_BYTES.
+    """
 
     def __init__(self):
         self.conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
-        self.transport = self.fresh = self.paused = None
-        self.ahead = 0
+        self.transport = self.data_arrived = self.write_resumed = None
+        self.unread_bytes = 0
         self.gone = False
 
     def connection_made(self, transport):
@@ -36,40 +40,40 @@
             self.conn.receive_data(data)
         except h11.RemoteProtocolError:
             self.gone = True
-        self.ahead += len(data)
-        if self.ahead > READ_AHEAD:
+        self.unread_bytes += len(data)
+        if self.unread_bytes > READ_AHEAD_BYTES:
             self.transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self):
-        self._end()
+        self._handle_end()
         return False
 
     def connection_lost(self, error):
-        self._end()
+        self._handle_end()
         self.resume_writing()
 
-    def _end(self):
+    def _handle_end(self):
         if not self.gone:
             self.gone = True
             with contextlib.suppress(h11.RemoteProtocolError):
                 self.conn.receive_data(b"")
-            self._wake()
+            self._wake_reader()
 
-    def _wake(self):
-        if self.fresh and not self.fresh.done():
-            self.fresh.set_result(None)
+    def _wake_reader(self):
+        if self.data_arrived and not self.data_arrived.done():
+            self.data_arrived.set_result(None)
 
     def pause_writing(self):
-        self.paused = asyncio.get_running_loop().create_future()
+        self.write_resumed = asyncio.get_running_loop().create_future()
 
     def resume_writing(self):
-        if self.paused and not self.paused.done():
-            self.paused.set_result(None)
-        self.paused = None
+        if self.write_resumed and not self.write_resumed.done():
+            self.write_resumed.set_result(None)
+        self.write_resumed = None
 
     async def event(self):
-        """The next event of h11, or a fault."""
+        """Return the next event of h11, or a fault."""
         while True:
             try:
                 event = self.conn.next_event()
@@ -78,10 +82,10 @@
             if event is h11.NEED_DATA:
                 if self.gone:
                     return WORKER_LOST.with_reason("connection lost")
-                self.ahead = 0
+                self.unread_bytes = 0
                 self.transport.resume_reading()
-                self.fresh = asyncio.get_running_loop().create_future()
-                await self.fresh
+                self.data_arrived = asyncio.get_running_loop().create_future()
+                await self.data_arrived
             elif isinstance(event, h11.InformationalResponse):
                 continue
             elif isinstance(event, h11.ConnectionClosed):
@@ -90,12 +94,12 @@
                 return event
 
     async def exchange(self, method, path, headers=(), body=b"", host="swiftdeck"):
-        """Send a request and give the head of the return, or a fault."""
+        """Send a request and return the response once its head arrived, or a fault."""
         try:
             if self.conn.our_state is h11.DONE:
                 self.conn.start_next_cycle()
-            lead = [("host", host), ("content-length", str(len(body))), *headers]
-            data = self.conn.send(h11.Request(method=method, target=path, headers=lead))
+            request_headers = [("host", host), ("content-length", str(len(body))), *headers]
+            data = self.conn.send(h11.Request(method=method, target=path, headers=request_headers))
             data += self.conn.send(h11.Data(data=body)) if body else b""
             data += self.conn.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
@@ -104,24 +108,24 @@
             return WORKER_LOST.with_reason("connection lost")
         self.transport.write(data)
         head = await self.event()
-        return head if is_fault(head) else HttpReturn(self, head)
+        return head if is_fault(head) else HttpResponse(self, head)
 
-    def is_awaiting(self) -> bool:
-        """Whether an answer is due, or part of one."""
+    def is_response_due(self) -> bool:
+        """Return whether a response, or the rest of one, is still due."""
         return self.conn.their_state in (h11.SEND_RESPONSE, h11.SEND_BODY)
 
     def close(self):
-        """Drop the connection; an exchange that is under way is taken back as far as it can be."""
+        """Close the connection; drop unacknowledged bytes of a request still without its response."""
         if not self.transport:
             return
-        if self.is_awaiting():
+        if self.is_response_due():
             give_up(self.transport)
         else:
             self.transport.abort()
 
 
-class HttpReturn:
-    """The return of a back end, read piece by piece."""
+class HttpResponse:
+    """The response of a back end, whose body is read as it arrives."""
 
     def __init__(self, link, head):
         self.link, self.status = link, head.status_code
@@ -131,7 +135,7 @@
         self.fault = None
 
     async def pieces(self):
-        """The body as it comes; `fault` is set when it broke off."""
+        """Yield the pieces of the body as they arrive; set `fault` when it breaks off."""
         while True:
             event = await self.link.event()
             if is_fault(event):
@@ -143,20 +147,20 @@
                 yield bytes(event.data)
 
     async def lines(self):
-        """The body line by line; a line that is too long is a fault."""
+        """Yield the lines of the body; a line over LINE_LIMIT_BYTES sets `fault` and ends it."""
         rest = b""
         async for piece in self.pieces():
-            *whole, rest = (rest + piece).split(b"\n")
-            for line in whole:
+            *lines, rest = (rest + piece).split(b"\n")
+            for line in lines:
                 yield line
-            if len(rest) > LINE_LIMIT:
+            if len(rest) > LINE_LIMIT_BYTES:
                 self.fault = BAD_BACKEND_RESPONSE.with_reason("line is too long")
                 return
         if rest:
             yield rest
 
     async def whole(self, limit=64 << 20):
-        """The body in one piece, or a fault."""
+        """Return the whole body, or a fault; `limit` is its largest size in bytes."""
         data = bytearray()
         async for piece in self.pieces():
             data += piece
@@ -166,7 +170,7 @@
 
 
 async def connect(ip, port, timeoutMs=1000):
-    """Open a connection, or give a fault; with a fault no byte was sent."""
+    """Open a connection and return it, or a fault, in which case no byte was sent."""
     try:
         async with asyncio.timeout(timeoutMs / 1000):
             _, link = await asyncio.get_running_loop().create_connection(HttpLink, ip, port)
@@ -176,7 +180,7 @@
 
 
 async def fetch_json(addr, method, path, body=None, headers=(), timeoutMs=2000):
-    """One exchange of JSON over a connection of its own: (status, value) or a fault."""
+    """Exchange JSON over a new connection; return (status, value) or a fault."""
     link = None
     try:
         async with asyncio.timeout(timeoutMs / 1000):
@@ -185,14 +189,19 @@
             if is_fault(link):
                 return link
             data = b"" if body is None else msgspec.json.encode(body)
-            got = await link.exchange(method, path, [("connection", "close"), *headers], data, addr)
-            if is_fault(got):
-                return got
-            whole = await got.whole()
+            response = await link.exchange(
+                method, path, [("connection", "close"), *headers], data, addr
+            )
+            if is_fault(response):
+                return response
+            response_body = await response.whole()
             return (
-                whole
-                if is_fault(whole)
-                else (got.status, msgspec.json.decode(whole) if whole else None)
+                response_body
+                if is_fault(response_body)
+                else (
+                    response.status,
+                    msgspec.json.decode(response_body) if response_body else None,
+                )
             )
     except TimeoutError:
         return PEER_TIMEOUT.with_reason(f"{method} {path} at {addr}")
--- a/swiftdeck/http/cuts.py
+++ b/swiftdeck/http/cuts.py
@@ -1,10 +1,10 @@
-"""Why the connection of a request that was read whole ended without a complete answer."""
+"""Reasons why a connection ended without a complete response to a fully read request."""
 
 import enum
 
 
 class CutReason(enum.Enum):
-    """A reason by its name in counters and logs."""
+    """A reason; its value is the name in counters and logs."""
 
     CLIENT_LEFT = "clientLeft"
     CLIENT_STALLED = "clientStalled"
@@ -16,5 +16,9 @@
     UNANSWERED = "unanswered"
 
     def is_excused(self) -> bool:
-        """Whether the end was due to others, or to the end of the time for a request that was taken early enough."""
+        """Return whether this server is not at fault.
+
+        Excused are ends that others caused, and ends of the time allowed for a request that was
+        admitted early enough.
+        """
         return self not in (CutReason.HANDLER_FAILED, CutReason.UNANSWERED)
--- a/swiftdeck/http/drain.py
+++ b/swiftdeck/http/drain.py
@@ -1,4 +1,4 @@
-"""How a server that is told to stop takes itself out of service: phases that the clock alone ends."""
+"""Graceful shutdown of a server, in phases that end by the clock alone."""
 
 import asyncio
 import enum
@@ -6,65 +6,69 @@
 
 import attrs
 
-ADMISSION_SHARE, ADMISSION_MOST_S = 1 / 3, 2.6
+ADMISSION_SHARE, ADMISSION_LIMIT_S = 1 / 3, 2.6
+"""Requests are admitted for this share of the grace period, and no longer than the limit."""
 WORK_SHARE = 31 / 36
-"""Requests are worked on into the last sixth of the time that a process is given, and a sixth of that sixth longer."""
+"""The share of the grace period for work on requests: up to its last sixth plus a sixth of that."""
 
 
 class Phase(enum.Enum):
-    """What a server does with a request that it reads now."""
+    """What a server does with a request that it receives now."""
 
     SERVING = "serving"
-    """It is taken, and its connection is kept."""
+    """It is admitted, and its connection is kept open."""
     DRAINING = "draining"
-    """It is taken, and its answer closes the connection."""
+    """It is admitted, and its response closes the connection."""
     REFUSING = "refusing"
-    """It is refused at once with a promise that it has not run; what was taken before goes on."""
+    """It is refused at once, with the guarantee that it has not run; admitted requests go on."""
     CLOSED = "closed"
-    """There is no time left to work on anything: what is open gets its final answer."""
+    """No time is left to work on any request: those still open get their final response."""
 
 
 @attrs.frozen
 class DrainTimes:
-    """How long requests are taken, and how long they are worked on, in seconds after the order to stop."""
+    """How long requests are admitted and worked on, in seconds from the start of the drain."""
 
     admission_s: float
     work_s: float
 
     @classmethod
     def within(cls, grace_s: float):
-        """The times of a process that is killed so long after it is told to stop."""
-        return cls(min(ADMISSION_MOST_S, grace_s * ADMISSION_SHARE), grace_s * WORK_SHARE)
+        """Return the times of a process that is killed `grace_s` after it is told to stop."""
+        return cls(min(ADMISSION_LIMIT_S, grace_s * ADMISSION_SHARE), grace_s * WORK_SHARE)
 
     @property
     def after_work_s(self) -> float:
-        """What is left, after the work, of the time that these were made from."""
+        """The rest of the grace period after the end of the work, in seconds."""
         return self.work_s * (1 / WORK_SHARE - 1)
 
 
 class Drain:
-    """The phase of a server; one that wakes late from a freeze or a long task finds itself in the phase that is due."""
+    """The phase of a server, computed from the current time.
+
+    A process that resumes late, after a freeze or a long task, is therefore in the correct phase.
+    """
 
     def __init__(self, times: DrainTimes):
         self.times = times
         self.admission_end_s = self.work_end_s = math.inf
 
     def begin(self, now_s: float):
-        """Take the order to stop; a further one changes nothing."""
+        """Start the drain; further calls change nothing."""
         if not self.has_begun():
             self.admission_end_s = now_s + self.times.admission_s
             self.work_end_s = now_s + self.times.work_s
 
     def has_begun(self) -> bool:
-        """Whether the order to stop was taken."""
+        """Return whether the drain has begun."""
         return self.work_end_s < math.inf
 
     def admits(self, now_s: float) -> bool:
-        """Whether a request that is read now is taken."""
+        """Return whether a request received at `now_s` is admitted."""
         return now_s < self.admission_end_s
 
     def phase(self, now_s: float) -> Phase:
-        """The phase at a time."""
+        """Return the phase at a time."""
         if not self.has_begun():
             return Phase.SERVING
         if self.admits(now_s):
@@ -73,45 +77,50 @@
 
 
 class OpenRequests:
-    """The requests that a server works on, each of which may be interrupted to get its final answer.
+    """The requests that a server works on, each of which can be interrupted for a final response.
 
-    All are at the end of the work. `limits` has the timeout of each by its owner, any object that stands for the request.
+    All are interrupted at the end of the work. `timeouts` has the timeout of each by its owner, any
+    object that identifies the request.
     """
 
     def __init__(self, drain: Drain):
         self.drain = drain
-        self.limits: dict[object, asyncio.Timeout] = {}
+        self.timeouts: dict[object, asyncio.Timeout] = {}
 
     def __len__(self):
-        return len(self.limits)
+        return len(self.timeouts)
 
     def begin_drain(self, now_s: float):
-        """Take the order to stop, for what is open and for what still comes."""
+        """Start the drain, for requests that are open and for those still to come."""
         self.drain.begin(now_s)
-        for owner in self.limits:
+        for owner in self.timeouts:
             self._end_at(owner, self.drain.work_end_s)
 
     def interrupt(self, owner):
-        """End the work on one request now, so that it gets its final answer."""
-        if owner in self.limits:
+        """End the work on one request now, so that it gets its final response."""
+        if owner in self.timeouts:
             self._end_at(owner, asyncio.get_running_loop().time())
 
     def _end_at(self, owner, end_s: float):
-        limit = self.limits[owner]
-        if not limit.expired():
-            limit.reschedule(end_s)
+        timeout = self.timeouts[owner]
+        if not timeout.expired():
+            timeout.reschedule(end_s)
+
+    async def run(self, work, respond_finally, owner=None):
+        """Await `work()` and return its result.
 
-    async def run(self, work, give_final_answer, owner=None):
-        """Await `work()`; where the work ends before it, or is interrupted, `give_final_answer()` instead."""
+        Where it is interrupted, or runs up to the end of the work, it is cancelled, and the result
+        of `respond_finally()` is returned instead.
+        """
         owner = object() if owner is None else owner
-        limit = asyncio.timeout_at(self.drain.work_end_s if self.drain.has_begun() else None)
-        self.limits[owner] = limit
+        timeout = asyncio.timeout_at(self.drain.work_end_s if self.drain.has_begun() else None)
+        self.timeouts[owner] = timeout
         try:
-            async with limit:
+            async with timeout:
                 return await work()
         except TimeoutError:
-            if not limit.expired():
+            if not timeout.expired():
                 raise
-            return await give_final_answer()
+            return await respond_finally()
         finally:
-            del self.limits[owner]
+            del self.timeouts[owner]
--- a/swiftdeck/http/kept.py
+++ b/swiftdeck/http/kept.py
@@ -1,4 +1,4 @@
-"""JSON over one connection that is kept from one exchange to the next."""
+"""JSON requests over one connection that is kept open between exchanges."""
 
 import asyncio
 
@@ -10,27 +10,30 @@
 
 
 class KeptJson:
-    """Exchanges with one back end, one after another; a connection in doubt is closed and the next one opened."""
+    """Exchanges JSON with one back end, one request at a time.
+
+    A connection whose state is in doubt is closed, and the next exchange opens a new one.
+    """
 
     def __init__(self, addr: str):
         self.addr, self.link = addr, None
 
     async def fetch(self, method: str, path: str, body=None, headers=(), timeout_ms: int = 2000):
-        """(status, value), or a fault."""
+        """Return (status, value) of a JSON exchange, or a fault."""
         try:
             async with asyncio.timeout(timeout_ms / 1000):
-                got = await self._fetch(method, path, body, headers)
+                result = await self._fetch(method, path, body, headers)
         except TimeoutError:
-            got = PEER_TIMEOUT.with_reason(f"{method} {path} at {self.addr}")
+            result = PEER_TIMEOUT.with_reason(f"{method} {path} at {self.addr}")
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-            got = BAD_BACKEND_RESPONSE.with_reason(str(error))
+            result = BAD_BACKEND_RESPONSE.with_reason(str(error))
         if (
-            is_fault(got)
+            is_fault(result)
             or self.link.conn.our_state is not h11.DONE
             or self.link.conn.their_state is not h11.DONE
         ):
             self.close()
-        return got
+        return result
 
     async def _fetch(self, method, path, body, headers):
         if self.link is not None and self.link.conn.trailing_data[0]:
@@ -42,18 +45,18 @@
                 return link
             self.link = link
         data = b"" if body is None else msgspec.json.encode(body)
-        got = await self.link.exchange(method, path, headers, data, self.addr)
-        if is_fault(got):
-            return got
-        whole = await got.whole()
+        response = await self.link.exchange(method, path, headers, data, self.addr)
+        if is_fault(response):
+            return response
+        response_body = await response.whole()
         return (
-            whole
-            if is_fault(whole)
-            else (got.status, msgspec.json.decode(whole) if whole else None)
+            response_body
+            if is_fault(response_body)
+            else (response.status, msgspec.json.decode(response_body) if response_body else None)
         )
 
     def close(self):
-        """Drop the connection."""
+        """Close the connection, if one is open."""
         if self.link is not None:
             self.link.close()
             self.link = None
--- a/tests/cases/mutations.py
+++ b/tests/cases/mutations.py
@@ -14,7 +14,7 @@
 from swiftdeck.chain.view_manager import ViewManager
 from swiftdeck.disk.journal import Journal
 from swiftdeck.fault import HANDLER_FAILED, NO_LEASE
-from swiftdeck.http.server import HttpConversation
+from swiftdeck.http.server import HttpConnection
 from swiftdeck.sim.sim_cluster import SimCluster
 from swiftdeck.traffic.budget import Budget
 from swiftdeck.traffic.call import Call
@@ -313,13 +313,13 @@
         "half-closed callers",
         calls.CallsCase,
         "test_a_caller_that_half_closes_its_connection_gets_its_return",
-        [(HttpConversation, "eof_received", lambda self: False)],
+        [(HttpConnection, "eof_received", lambda self: False)],
     ),
     (
         "slow callers",
         calls.CallsCase,
         "test_a_slow_caller_is_bounded_and_cut_off",
-        [(HttpConversation, "writable", replacements.syncs_nothing)],
+        [(HttpConnection, "writable", replacements.syncs_nothing)],
     ),
 ]
 
--- a/tests/gateway/cases/answers.py
+++ b/tests/gateway/cases/answers.py
@@ -7,7 +7,7 @@
 from swiftdeck.bench.platform_api.worker import PlatformWorker, digest
 from swiftdeck.gateway import proxied_request
 from swiftdeck.gateway.pool import WorkerConnection
-from swiftdeck.http.server import HttpConversation
+from swiftdeck.http.server import HttpConnection
 from swiftdeck.platform.header_codec import WorkerHeaderCodec
 from tests.gateway.case import SiteCase
 from tests.gateway.platform_cluster import ROUTES, PlatformCluster
@@ -131,14 +131,14 @@
         self.assertEqual(set(ends) - {502, 504, 0}, set(), ends)
 
     def test_a_client_that_takes_nothing_holds_its_request_no_longer_than_the_route_says(self):
-        cluster, never = PlatformCluster(33).start(), HttpConversation.writable
+        cluster, never = PlatformCluster(33).start(), HttpConnection.writable
 
         async def writable(self):
             if self.server is cluster.up["router1"].http:
                 await asyncio.get_running_loop().create_future()
             return await never(self)
 
-        with mock.patch.object(HttpConversation, "writable", writable):
+        with mock.patch.object(HttpConnection, "writable", writable):
             cluster.beside(
                 lambda: cluster._asking("r-safe", door="router1", within_ms=9000), "clients"
             )
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -10,7 +10,7 @@
 
 
 class HttpClientTest(unittest.TestCase):
-    def test_json_both_ways_and_a_fault_where_nobody_listens(self):
+    def test_fetch_json_returns_the_json_or_a_fault_where_nobody_listens(self):
         world = World()
 
         async def handler(exchange):
@@ -34,46 +34,49 @@
 
 
 class Peer(asyncio.Protocol):
-    """A back end on a real socket with one answer, which notes how its connection ends."""
+    """A back end on a real socket with one response, which records how its connection ends."""
 
-    def __init__(self, answer):
-        self.answer = answer
+    def __init__(self, response):
+        self.response = response
         self.ended = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport):
         self.transport = transport
-        if not self.answer:
+        if not self.response:
             transport.pause_reading()
 
     def data_received(self, data):
-        if self.answer:
-            self.transport.write(self.answer)
+        if self.response:
+            self.transport.write(self.response)
 
     def connection_lost(self, error):
         self.ended.set_result(error)
 
 
-class GivenUpTest(unittest.TestCase):
+class CloseTest(unittest.TestCase):
     HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
     LARGE = bytes(32 << 20)
 
-    async def end_seen(self, answer, body=b""):
-        """How a back end sees a connection end that is closed once so much has come."""
+    async def close_and_get_error(self, response, body=b""):
+        """Close a connection after a response, whole, partial or none (b"").
+
+        Returns the error with which the back end sees its connection end.
+        """
         loop, peers = asyncio.get_running_loop(), []
 
         def peer():
-            peers.append(Peer(answer))
+            peers.append(Peer(response))
             return peers[0]
 
         server = await loop.create_server(peer, "127.0.0.1", 0)
         link = await connect(*server.sockets[0].getsockname()[:2])
-        asking = asyncio.ensure_future(link.exchange("POST", "/", body=body))
-        if answer:
-            got = await asking
-            if answer.endswith(b"ok"):
-                await got.whole()
+        request = asyncio.ensure_future(link.exchange("POST", "/", body=body))
+        if response:
+            reply = await request
+            if response.endswith(b"ok"):
+                await reply.whole()
         else:
-            await asyncio.wait([asking], timeout=0.1)
+            await asyncio.wait([request], timeout=0.1)
         link.close()
         peers[0].transport.resume_reading()
         async with asyncio.timeout(10):
@@ -81,10 +84,10 @@
         server.close()
         return error
 
-    def test_bytes_that_have_not_arrived_when_an_exchange_is_given_up_are_dropped(self):
-        error = asyncio.run(self.end_seen(b"", self.LARGE))
+    def test_closing_during_an_exchange_drops_bytes_that_have_not_arrived(self):
+        error = asyncio.run(self.close_and_get_error(b"", self.LARGE))
         self.assertIsInstance(error, ConnectionResetError)
 
-    def test_a_connection_on_which_all_has_arrived_is_closed(self):
-        for answer in (self.HEAD + b"o", self.HEAD + b"ok"):
-            self.assertIsNone(asyncio.run(self.end_seen(answer)))
+    def test_a_connection_on_which_all_bytes_arrived_is_closed_normally(self):
+        for response in (self.HEAD + b"o", self.HEAD + b"ok"):
+            self.assertIsNone(asyncio.run(self.close_and_get_error(response)))
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -11,7 +11,7 @@
 
 
 class DrainTest(unittest.TestCase):
-    def test_the_phases_follow_each_other_by_the_clock_alone(self):
+    def test_the_phases_depend_only_on_the_clock(self):
         drain = Drain(DrainTimes(2.0, 6.0))
         self.assertEqual(drain.phase(1e9), Phase.SERVING)
         drain.begin(100.0)
@@ -22,7 +22,7 @@
             [*[Phase.DRAINING] * 2, *[Phase.REFUSING] * 2, *[Phase.CLOSED] * 2],
         )
 
-    def test_whatever_the_grace_admission_ends_early_and_work_in_its_last_sixth(self):
+    def test_admission_ends_early_and_work_in_the_last_sixth_of_any_grace_period(self):
         for grace_s in (0.5, 1, 2, 3, 5, 8, 10, 30, 120):
             times = DrainTimes.within(grace_s)
             self.assertLessEqual(times.admission_s + SIGNAL_LAG_S, LATEST_ADMISSION_S)
@@ -37,32 +37,32 @@
         self.world = World()
         self.world.start("p", "10.0.0.1", lambda: asyncio.sleep(0))
 
-    async def ends_early(self):
+    async def respond_early(self):
         return "early", asyncio.get_running_loop().time()
 
-    def test_what_is_open_and_what_comes_later_is_ended_with_the_work(self):
-        async def go():
+    def test_open_and_later_requests_are_interrupted_at_the_end_of_the_work(self):
+        async def run():
             requests = OpenRequests(Drain(DrainTimes(1.0, 2.0)))
-            first = asyncio.ensure_future(requests.run(asyncio.Event().wait, self.ends_early))
+            first = asyncio.ensure_future(requests.run(asyncio.Event().wait, self.respond_early))
             await asyncio.sleep(0.5)
-            begun_s = asyncio.get_running_loop().time()
-            requests.begin_drain(begun_s)
-            second = asyncio.ensure_future(requests.run(asyncio.Event().wait, self.ends_early))
-            ends = [await each for each in (first, second)]
-            return [(what, round(at_s - begun_s, 2)) for what, at_s in ends], len(requests)
+            start_s = asyncio.get_running_loop().time()
+            requests.begin_drain(start_s)
+            second = asyncio.ensure_future(requests.run(asyncio.Event().wait, self.respond_early))
+            results = [await request for request in (first, second)]
+            return [(text, round(end_s - start_s, 2)) for text, end_s in results], len(requests)
 
-        self.assertEqual(self.world.run_task("p", go), ([("early", 2.0)] * 2, 0))
+        self.assertEqual(self.world.run_task("p", run), ([("early", 2.0)] * 2, 0))
 
-    def test_work_that_ends_in_time_and_timeouts_of_its_own_are_left_alone(self):
+    def test_work_that_ends_in_time_and_its_own_timeouts_are_not_affected(self):
         async def times_out():
             raise TimeoutError("own")
 
-        async def go():
+        async def run():
             requests = OpenRequests(Drain(DrainTimes(math.inf, math.inf)))
-            done = await requests.run(self.ends_early, asyncio.Event().wait)
+            result = await requests.run(self.respond_early, asyncio.Event().wait)
             try:
-                await requests.run(times_out, self.ends_early)
+                await requests.run(times_out, self.respond_early)
             except TimeoutError as error:
-                return done[0], str(error)
+                return result[0], str(error)
 
-        self.assertEqual(self.world.run_task("p", go), ("early", "own"))
+        self.assertEqual(self.world.run_task("p", run), ("early", "own"))
