--- a/swiftdeck/soak/addresses.py
+++ b/swiftdeck/soak/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of one site on loopback, which no other run on this machine uses at the same time."""
+"""Loopback addresses of one site, not shared with any other run on this host at the same time."""
 
 import random
 import socket
@@ -7,7 +7,7 @@
 
 LOCK_HOST, LOCK_PORT = 250, 7999
 INNER_PORT, FILTER_PORT, HTTP_PORT, READY_PORT = 7000, 7020, 8080, 8081
-ATTEMPTS = 200
+CLAIM_ATTEMPTS = 200
 LIST_HOST, STORE_HOST = 240, 241
 CORE_HOSTS, ROUTER_HOSTS, WORKER_HOSTS = 10, 50, 100
 
@@ -16,34 +16,34 @@
     """A /24 of 127.0.0.0/8, claimed by a listening socket that ends with this process."""
 
     def __init__(self):
-        self.prefix, self.lock = self._claim()
+        self.prefix, self.claim_socket = self._claim()
 
     @staticmethod
     def _claim():
-        for _ in range(ATTEMPTS):
+        for _ in range(CLAIM_ATTEMPTS):
             prefix = f"127.{random.randrange(16, 240)}.{random.randrange(256)}"
-            lock = socket.socket()
+            claim_socket = socket.socket()
             try:
-                lock.bind((f"{prefix}.{LOCK_HOST}", LOCK_PORT))
-                lock.listen(1)
+                claim_socket.bind((f"{prefix}.{LOCK_HOST}", LOCK_PORT))
+                claim_socket.listen(1)
             except OSError:
-                lock.close()
+                claim_socket.close()
                 continue
-            return prefix, lock
+            return prefix, claim_socket
         raise OSError("no free block of loopback addresses")
 
     def ip(self, host: int) -> str:
-        """The address with such a last number."""
+        """Return the address whose last octet is `host`."""
         return f"{self.prefix}.{host}"
 
     def release(self):
-        """Let another run have the block."""
-        self.lock.close()
+        """Release the claim, so that another run can use the block."""
+        self.claim_socket.close()
 
 
 @attrs.frozen
 class Machine:
-    """One machine of the site and the addresses that its process listens on."""
+    """A machine of the site and the addresses on which its process listens."""
 
     name: str
     role: str
@@ -52,20 +52,20 @@
 
     @property
     def inner(self) -> str:
-        """Where the other processes of the site reach it."""
+        """Address for the other processes of the site."""
         return f"{self.ip}:{INNER_PORT}"
 
     @property
     def http(self) -> str:
-        """Where clients reach a router, and operators a core."""
+        """Address for clients of a router, and for operators of a core."""
         return f"{self.ip}:{HTTP_PORT}"
 
     @property
     def operations(self) -> str:
-        """Where its counters and its status are read."""
+        """Address at which counters and status are read."""
         return self.http if self.role == "core" else f"{self.ip}:{READY_PORT}"
 
     @property
     def link_filter(self) -> tuple[str, int]:
-        """Where its link filter takes datagrams."""
+        """Address at which the link filter receives its control datagrams."""
         return self.ip, FILTER_PORT
--- a/swiftdeck/soak/final_look.py
+++ b/swiftdeck/soak/final_look.py
@@ -1,4 +1,4 @@
-"""What must hold at the end of a run, once the site was calm for some seconds."""
+"""Check what must hold at the end of a run, some seconds after the last trouble."""
 
 import asyncio
 
@@ -6,35 +6,35 @@
 from swiftdeck.http.client import fetch_json
 from swiftdeck.soak.site import MODEL
 
-ASK_MS, LOOK_S = 1500, 0.5
+READ_TIMEOUT_MS, CHECK_INTERVAL_S = 1500, 0.5
 
 
-class FinalLook:
-    """Looks at cores, routers and workers until all is as it must be, or for a limited time."""
+class FinalCheck:
+    """Checks cores, routers and workers until all are in their required state, or a timeout."""
 
     def __init__(self, site, stand_ins, operators, items):
         self.site, self.stand_ins, self.operators, self.items = site, stand_ins, operators, items
 
-    async def wrong_after(self, within_s):
-        """What is still wrong after such a time; ends as soon as nothing is."""
+    async def problems_after(self, within_s):
+        """Return the problems left after `within_s` seconds; return early once there are none."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + within_s
         while True:
-            wrong = await self.wrong()
-            if not wrong or loop.time() >= end_s:
-                return wrong
-            await asyncio.sleep(LOOK_S)
+            problems = await self.problems()
+            if not problems or loop.time() >= end_s:
+                return problems
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    async def wrong(self):
-        """What is wrong now."""
-        found = self._workers()
+    async def problems(self):
+        """Return the present problems."""
+        problems = self._worker_problems()
         for machine in self.site.cores:
-            found += await self._core(machine)
+            problems += await self._core_problems(machine)
         for machine in self.site.routers:
-            found += await self._router(machine)
-        return found
+            problems += await self._router_problems(machine)
+        return problems
 
-    def _workers(self):
+    def _worker_problems(self):
         newest = self.operators.acknowledged_weights()
         return [
             f"{name} has weights {worker.versions[MODEL]}, acknowledged {newest}"
@@ -42,11 +42,11 @@
             if worker.versions and worker.versions[MODEL] < newest
         ]
 
-    async def _core(self, machine):
-        got = await fetch_json(machine.http, "GET", CONFIG, timeoutMs=ASK_MS)
-        if not got or got[0] != 200:
-            return [f"{machine.name} shows no configuration: {got and got[0]}"]
-        shown, newest = got[1], self.operators.newest_acknowledged()
+    async def _core_problems(self, machine):
+        response = await fetch_json(machine.http, "GET", CONFIG, timeoutMs=READ_TIMEOUT_MS)
+        if not response or response[0] != 200:
+            return [f"{machine.name} shows no configuration: {response and response[0]}"]
+        shown, newest = response[1], self.operators.newest_acknowledged()
         sent = {item["version"]: item["document"] for item in self.items if item["kind"] == "sent"}
         version = shown.get("version", 0)
         if version < newest:
@@ -55,11 +55,13 @@
             return [f"{machine.name} shows configuration {version} otherwise than it was sent"]
         return []
 
-    async def _router(self, machine):
-        got = await fetch_json(machine.operations, "GET", "/v1/status", timeoutMs=ASK_MS)
-        if not got or got[0] != 200:
-            return [f"{machine.name} tells no status: {got and got[0]}"]
-        status = got[1]
+    async def _router_problems(self, machine):
+        response = await fetch_json(
+            machine.operations, "GET", "/v1/status", timeoutMs=READ_TIMEOUT_MS
+        )
+        if not response or response[0] != 200:
+            return [f"{machine.name} tells no status: {response and response[0]}"]
+        status = response[1]
         states = {
             "is not ready": not status["ready"],
             "has no lease": not status["lease"],
@@ -70,4 +72,4 @@
             ),
             "has an old list": not status["list"]["fresh"],
         }
-        return [f"{machine.name} {what} ({state})" for what, state in states.items() if state]
+        return [f"{machine.name} {problem} ({state})" for problem, state in states.items() if state]
--- a/swiftdeck/soak/link_filter.py
+++ b/swiftdeck/soak/link_filter.py
@@ -1,4 +1,4 @@
-"""Cuts between processes without the help of the kernel: a filter over what a mesh receives."""
+"""Cut links between processes in user space, with a filter over the frames that a mesh receives."""
 
 import asyncio
 import random
@@ -7,17 +7,17 @@
 
 from swiftdeck.wire.mesh import HEAD, split_addr
 
-EXPIRES_S = 2.0
-"""A cut that is not renewed for so long ends: no process stays cut off without a driver."""
-LATE_LEAST_S, LATE_MOST_S = 0.1, 12.0
-AGAIN_SHARE = 0.7
-"""How many late messages had also come in time; the others come late only."""
+CUT_EXPIRY_S = 2.0
+"""A cut that is not renewed for this long ends, so no process stays cut off without a driver."""
+MIN_LATE_S, MAX_LATE_S = 0.1, 12.0
+DUPLICATE_SHARE = 0.7
+"""Share of late messages that are also delivered in time; the others are only delivered late."""
 
 
 class Cut(msgspec.Struct):
-    """The senders whose messages a process may not hear; they are lost, or come late.
+    """The senders whose messages to a process are held back, and then lost or delivered late.
 
-    Of all other messages `late_share` come late, one by one and out of their order.
+    Of all other messages, a share of `late_share` is delivered late, individually and out of order.
     """
 
     senders: list[str] = []
@@ -26,79 +26,83 @@
 
 
 class LinkFilter:
-    """Holds back what comes from the senders of a cut.
+    """Holds back the frames from the senders of a cut.
 
-    A stream over which something was held back either brings all of it in order at the end of the
-    cut, as after retransmission, or is reset: TCP never loses the middle of a stream.
+    At the end of the cut, a stream with held frames either delivers all of them in order, as after
+    a retransmission, or is reset, as TCP never loses the middle of a stream.
     """
 
-    def __init__(self, mesh, control):
-        self.mesh, self.control, self.cut = mesh, control, Cut()
-        self.held, self.expiry, self.endpoint = {}, None, None
-        self.chance = random.Random()
-        self.take, self.start_mesh, self.close_mesh = mesh.receive, mesh.start, mesh.close
+    def __init__(self, mesh, control_address):
+        self.mesh, self.control_address, self.cut = mesh, control_address, Cut()
+        self.held_frames, self.expiry, self.endpoint = {}, None, None
+        self.rng = random.Random()
+        self.receive_frame, self.start_mesh, self.close_mesh = mesh.receive, mesh.start, mesh.close
 
     def install(self):
-        """Put the filter before the handlers of the mesh."""
-        self.mesh.receive, self.mesh.start, self.mesh.close = self.filter, self.start, self.close
+        """Replace receive, start and close of the mesh with the filter's; return the filter."""
+        self.mesh.receive, self.mesh.start, self.mesh.close = (
+            self.filter_frame,
+            self.start,
+            self.close,
+        )
         return self
 
     async def start(self):
-        """Listen for cuts, and start the mesh."""
+        """Listen for control datagrams, and start the mesh."""
         self.endpoint, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: ControlProtocol(self), local_addr=self.control
+            lambda: ControlProtocol(self), local_addr=self.control_address
         )
         await self.start_mesh()
 
     def close(self):
-        """Close the mesh, and listen no more."""
+        """Stop listening for control datagrams, and close the mesh."""
         self.endpoint.close()
         self.close_mesh()
 
     def apply(self, cut):
-        """Replace the cut that holds."""
+        """Replace the current cut, and release the frames of senders that are no longer cut off."""
         if self.expiry:
             self.expiry.cancel()
         self.expiry = None
-        ended = set(self.cut.senders) - set(cut.senders)
+        released_senders = set(self.cut.senders) - set(cut.senders)
         was_late, self.cut = self.cut.is_late, cut
         if cut.senders or cut.late_share:
             loop = asyncio.get_running_loop()
-            self.expiry = loop.call_later(EXPIRES_S, self.apply, Cut())
-        if ended:
-            self._release(ended, was_late)
-
-    def filter(self, frame, link):
-        """Handle one arrived frame, or hold it back; false when it does not parse."""
-        if link in self.held:
-            self.held[link][1].append(frame)
+            self.expiry = loop.call_later(CUT_EXPIRY_S, self.apply, Cut())
+        if released_senders:
+            self._release(released_senders, was_late)
+
+    def filter_frame(self, frame, link):
+        """Deliver a received frame or hold it back; return False if it does not parse."""
+        if link in self.held_frames:
+            self.held_frames[link][1].append(frame)
             return True
-        sender = sender_of(frame)
+        sender = parse_sender(frame)
         if sender not in self.cut.senders:
-            return self._take_or_delay(frame, link)
+            return self._receive_or_delay(frame, link)
         self.mesh.count["framesHeld"] += 1
         if link is not None:
-            self.held[link] = (sender, [frame])
+            self.held_frames[link] = (sender, [frame])
             link.transport.pause_reading()
         return True
 
-    def _take_or_delay(self, frame, link):
-        """Handle a frame now, later, or both."""
-        if self.chance.random() >= self.cut.late_share:
-            return self.take(frame, link)
+    def _receive_or_delay(self, frame, link):
+        """Deliver a frame now, later, or both."""
+        if self.rng.random() >= self.cut.late_share:
+            return self.receive_frame(frame, link)
         self.mesh.count["framesLate"] += 1
-        late_s = self.chance.uniform(LATE_LEAST_S, LATE_MOST_S)
-        asyncio.get_running_loop().call_later(late_s, self._take_late, frame, link)
-        return self.take(frame, link) if self.chance.random() < AGAIN_SHARE else True
+        late_s = self.rng.uniform(MIN_LATE_S, MAX_LATE_S)
+        asyncio.get_running_loop().call_later(late_s, self._receive_late, frame, link)
+        return self.receive_frame(frame, link) if self.rng.random() < DUPLICATE_SHARE else True
 
-    def _take_late(self, frame, link):
-        self.take(frame, None if link is not None and link.gone else link)
+    def _receive_late(self, frame, link):
+        self.receive_frame(frame, None if link is not None and link.gone else link)
 
     def _release(self, senders, is_late):
-        for link, (sender, frames) in list(self.held.items()):
+        for link, (sender, frames) in list(self.held_frames.items()):
             if sender not in senders:
                 continue
-            del self.held[link]
+            del self.held_frames[link]
             if link.gone or link.transport.is_closing():
                 continue
             if not is_late:
@@ -106,31 +110,31 @@
                 continue
             link.transport.resume_reading()
             for frame in frames:
-                self.take(frame, link)
+                self.receive_frame(frame, link)
 
 
-def sender_of(frame) -> str:
-    """The address that a frame gives as its sender's; empty when it does not parse."""
+def parse_sender(frame) -> str:
+    """Return the sender's address of a frame, or an empty string if the frame does not parse."""
     try:
         *_, length = HEAD.unpack_from(frame)
         return frame[HEAD.size : HEAD.size + length].decode("ascii")
-    except Exception:  # noqa: BLE001 - malformed frames are for the mesh to refuse
+    except Exception:  # noqa: BLE001 - the mesh rejects malformed frames
         return ""
 
 
 class ControlProtocol(asyncio.DatagramProtocol):
-    """Takes the cut that shall hold, whole, as often as it is sent."""
+    """Receives complete cuts, each of which replaces or renews the current one."""
 
     def __init__(self, link_filter):
         self.link_filter = link_filter
 
     def datagram_received(self, data, address):
-        """One cut."""
+        """Apply the cut in the datagram."""
         self.link_filter.apply(msgspec.json.decode(data, type=Cut))
 
 
 def filter_links(node, port):
-    """Put a filter into a node; it listens on such a port of the node's own address."""
+    """Install a filter that listens on a port of the node's own address; return the node."""
     ip, _ = split_addr(node.mesh.addr)
     LinkFilter(node.mesh, (ip, port)).install()
     return node
--- a/swiftdeck/soak/schedule.py
+++ b/swiftdeck/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The troubles of a run, drawn from its seed before it begins."""
+"""Generate the schedule of troubles of a run from its seed, before the run begins."""
 
 import enum
 import random
@@ -7,24 +7,27 @@
 
 from swiftdeck.bench.platform_api.worker import QUIRKS
 
-REPLACED_S = {"router": 10.0, "core": 8.0}
-"""How long a machine is away as a rule when it is stopped as planned and started again."""
-PLANNED_GAP_S, OUTER_GAP_S, MACHINE_GAP_S = (0.5, 3.0), (0.2, 1.5), (0.3, 1.5)
+REPLACEMENT_S = {"router": 10.0, "core": 8.0}
+"""Usual time in seconds from a planned stop of a machine until it serves again, by role."""
+PLANNED_GAP_S, PLATFORM_GAP_S, MACHINE_GAP_S = (0.5, 3.0), (0.2, 1.5), (0.3, 1.5)
 OVERLAP_STEP_S = 0.25
 HANG_UP_GAP_S = (3.0, 9.0)
-OVERHANG_S = 6.0
-"""How far the last replacement may go beyond the time of the troubles."""
-BACK_S, RECOVERY_S = 5.0, 12.0
-"""How long until one core, or all of them, serve again after they came back."""
+MAX_OVERRUN_S = 6.0
+"""By how much the last replacement may exceed the scheduled time of the troubles."""
+CORE_RECOVERY_S, ALL_CORES_RECOVERY_S = 5.0, 12.0
+"""Time until one core, or all of them, serve again after their processes were started."""
 
 
 class Phase(enum.StrEnum):
-    """What goes on in a stretch of a run, besides planned work on routers and troubles outside."""
+    """What happens in an interval of a run.
+
+    Planned work on routers and troubles of the surrounding platform go on in every phase.
+    """
 
     CORE_SETTLED = "core settled"
-    """No core is touched, so that rules that excuse an unsettled core apply; routers may fail."""
+    """No core is disturbed, so that rules that excuse an unsettled core apply; routers may fail."""
     CORES_REPLACED = "cores replaced"
-    """Cores are stopped and started again as planned."""
+    """Cores are restarted one after another as planned work."""
     ROUGH = "rough"
     """Cores and routers fail."""
 
@@ -35,11 +38,11 @@
     Phase.ROUGH: (8.0, 13.0),
 }
 PHASES = (Phase.CORE_SETTLED, Phase.CORES_REPLACED, Phase.CORE_SETTLED, Phase.ROUGH)
-WHOLE_TURN_S = 60.0
+FULL_CYCLE_S = 60.0
 
 
 class Kind(enum.StrEnum):
-    """What can be done to a site."""
+    """The kinds of trouble."""
 
     TERMINATE = "terminate"
     HANG_UP = "hang-up"
@@ -57,7 +60,7 @@
     SECOND_OPERATOR = "second-operator"
 
 
-MACHINE = (
+MACHINE_KINDS = (
     Kind.KILL,
     Kind.PAUSE,
     Kind.CUT,
@@ -68,8 +71,8 @@
     Kind.KILL_CORES,
 )
 LATE_SHARES = (0.05, 0.3)
-ROUTER_ALONE, ROUTER_ALONE_GAP_S = (Kind.KILL, Kind.PAUSE), (6.0, 14.0)
-OUTER = (
+ROUTER_KINDS, ROUTER_GAP_S = (Kind.KILL, Kind.PAUSE), (6.0, 14.0)
+PLATFORM_KINDS = (
     Kind.CRASH_WORKER,
     Kind.DRAIN_WORKER,
     Kind.WORKER_QUIRK,
@@ -79,12 +82,17 @@
     Kind.LOSE_ANSWERS,
     Kind.SECOND_OPERATOR,
 )
-OF_WORKERS = (Kind.CRASH_WORKER, Kind.DRAIN_WORKER, Kind.WORKER_QUIRK)
+WORKER_KINDS = (Kind.CRASH_WORKER, Kind.DRAIN_WORKER, Kind.WORKER_QUIRK)
 
 
 @attrs.frozen
 class Trouble:
-    """One thing that is done to the site: when, for how long, to what, and how."""
+    """One trouble of a site: start and length in seconds, kind, target and details.
+
+    `others` are the machines at the far end of a cut, `how` is the variant of a cut or quirk,
+    `share` is the share of messages or calls that it affects, and `rest_s` is the pause between a
+    planned stop and the next start.
+    """
 
     at_s: float
     for_s: float
@@ -97,11 +105,11 @@
 
     @property
     def end_s(self) -> float:
-        """When it is over."""
+        """Time in seconds at which the trouble ends."""
         return self.at_s + self.for_s
 
     def line(self) -> str:
-        """It as a line of text."""
+        """Return the trouble as a line of text."""
         detail = f" {self.how}" if self.how else ""
         against = f" from {','.join(self.others)}" if self.others else ""
         return f"{self.at_s:7.2f} {self.for_s:5.2f} {self.kind} {self.target}{against}{detail}"
@@ -109,91 +117,95 @@
 
 @attrs.frozen
 class Schedule:
-    """The troubles of a run, in the order of their times."""
+    """The troubles of a run, ordered by start."""
 
     seconds: float
     troubles: list[Trouble]
 
     def overlap(self) -> float:
-        """The share of the time in which two troubles or more are under way."""
+        """Return the share of the run in which at least two troubles are active."""
         return overlap(self.troubles, self.seconds)
 
     def lines(self) -> list[str]:
-        """The schedule as lines of text."""
-        return [each.line() for each in self.troubles]
+        """Return the schedule as lines of text."""
+        return [trouble.line() for trouble in self.troubles]
 
 
 def overlap(troubles, seconds) -> float:
-    """The share of some time in which two troubles or more are under way."""
-    times = [OVERLAP_STEP_S * at for at in range(int(seconds / OVERLAP_STEP_S))]
-    busy = [sum(each.at_s <= at < each.end_s for each in troubles) >= 2 for at in times]
-    return sum(busy) / max(1, len(busy))
+    """Return the share of the first `seconds` in which at least two troubles are active."""
+    times_s = [OVERLAP_STEP_S * step for step in range(int(seconds / OVERLAP_STEP_S))]
+    overlaps = [
+        sum(trouble.at_s <= time_s < trouble.end_s for trouble in troubles) >= 2
+        for time_s in times_s
+    ]
+    return sum(overlaps) / max(1, len(overlaps))
 
 
-def draw(seed, seconds, site) -> Schedule:
-    """The schedule of a seed."""
-    return Schedule(seconds, Draw(seed, seconds, site).troubles)
+def draw_schedule(seed, seconds, site) -> Schedule:
+    """Return the schedule that a seed generates for a site."""
+    return Schedule(seconds, ScheduleGenerator(seed, seconds, site).troubles)
 
 
 @attrs.frozen
-class Stretch:
-    """A part of a run and what goes on in it."""
+class PhaseInterval:
+    """An interval of a run and its phase."""
 
     begin_s: float
     end_s: float
     phase: Phase
 
 
-class Draw:
-    """Sequences of troubles side by side: planned work, the site's surroundings, failing machines.
+class ScheduleGenerator:
+    """Generates parallel sequences of planned work, platform troubles and machine failures.
 
-    One core is away at a time, as many as the site tolerates, but when all are killed together.
+    At most one core is down at a time, which is what the site tolerates, except when all are killed
+    together.
     """
 
     def __init__(self, seed, seconds, site):
         self.random, self.site = random.Random(seed), site
         self.seconds = seconds
-        self.core_away, self.killed_until_s = [], 0.0
-        self.stretches = list(self._stretches())
-        found = [*self._replacements(site.routers, 0.0, seconds), *self._hang_ups()]
-        for stretch in self.stretches:
-            found += self._in_stretch(stretch)
-        found += self._outer()
-        self.troubles = sorted(found, key=lambda each: each.at_s)
-
-    def _stretches(self):
-        """The phases in turn; a short run has all of them, each shorter."""
-        scale = min(1.0, self.seconds / WHOLE_TURN_S)
-        turn, at_s = self.random.randrange(len(PHASES)), 0.0
+        self.core_outages, self.killed_until_s = [], 0.0
+        self.intervals = list(self._phase_intervals())
+        troubles = [*self._planned_restarts(site.routers, 0.0, seconds), *self._hang_ups()]
+        for interval in self.intervals:
+            troubles += self._machine_troubles(interval)
+        troubles += self._platform_troubles()
+        self.troubles = sorted(troubles, key=lambda trouble: trouble.at_s)
+
+    def _phase_intervals(self):
+        """Yield intervals that cycle through the phases; a short run has all of them, shortened."""
+        scale = min(1.0, self.seconds / FULL_CYCLE_S)
+        index, at_s = self.random.randrange(len(PHASES)), 0.0
         while at_s < self.seconds:
-            phase = PHASES[turn % len(PHASES)]
+            phase = PHASES[index % len(PHASES)]
             end_s = min(self.seconds, at_s + scale * self.random.uniform(*PHASE_S[phase]))
-            yield Stretch(at_s, end_s, phase)
-            turn, at_s = turn + 1, end_s
-
-    def _in_stretch(self, stretch):
-        if stretch.phase is Phase.CORES_REPLACED:
-            return list(self._replacements(self.site.cores, stretch.begin_s, stretch.end_s))
-        if stretch.phase is Phase.ROUGH:
-            return list(self._machines(stretch))
-        return list(self._routers_alone(stretch))
-
-    def _routers_alone(self, stretch):
-        at_s = stretch.begin_s + self.random.uniform(*ROUTER_ALONE_GAP_S)
-        while at_s < stretch.end_s:
-            kind, router = self.random.choice(ROUTER_ALONE), self.random.choice(self.site.routers)
+            yield PhaseInterval(at_s, end_s, phase)
+            index, at_s = index + 1, end_s
+
+    def _machine_troubles(self, interval):
+        if interval.phase is Phase.CORES_REPLACED:
+            return list(self._planned_restarts(self.site.cores, interval.begin_s, interval.end_s))
+        if interval.phase is Phase.ROUGH:
+            return list(self._rough_troubles(interval))
+        return list(self._router_troubles(interval))
+
+    def _router_troubles(self, interval):
+        at_s = interval.begin_s + self.random.uniform(*ROUTER_GAP_S)
+        while at_s < interval.end_s:
+            kind, router = self.random.choice(ROUTER_KINDS), self.random.choice(self.site.routers)
             yield Trouble(at_s, self.random.uniform(0.3, 4.0), kind, router.name)
-            at_s += self.random.uniform(*ROUTER_ALONE_GAP_S)
+            at_s += self.random.uniform(*ROUTER_GAP_S)
 
-    def _replacements(self, machines, begin_s, end_s):
-        """Machines of one role stopped and started again, one after the other."""
-        turn, for_s = self.random.randrange(len(machines)), REPLACED_S[machines[0].role]
+    def _planned_restarts(self, machines, begin_s, end_s):
+        """Yield planned restarts of the machines of one role, one after another."""
+        index, for_s = self.random.randrange(len(machines)), REPLACEMENT_S[machines[0].role]
         at_s = begin_s + self.random.uniform(*PLANNED_GAP_S)
-        while at_s < end_s and at_s + for_s <= self.seconds + OVERHANG_S:
-            machine = machines[turn % len(machines)]
-            turn += 1
+        while at_s < end_s and at_s + for_s <= self.seconds + MAX_OVERRUN_S:
+            machine = machines[index % len(machines)]
+            index += 1
             if machine.role == "core":
-                self.core_away.append((at_s, at_s + for_s, machine.name))
+                self.core_outages.append((at_s, at_s + for_s, machine.name))
             rest_s = self.random.uniform(0.1, 2.0)
             yield Trouble(at_s, for_s, Kind.TERMINATE, machine.name, rest_s=rest_s)
             at_s += for_s + self.random.uniform(*PLANNED_GAP_S)
@@ -204,17 +216,17 @@
             yield Trouble(at_s, 0.0, Kind.HANG_UP, self.random.choice(self.site.routers).name)
             at_s += self.random.uniform(*HANG_UP_GAP_S)
 
-    def _outer(self):
-        at_s = self.random.uniform(*OUTER_GAP_S)
+    def _platform_troubles(self):
+        at_s = self.random.uniform(*PLATFORM_GAP_S)
         while at_s < self.seconds:
-            trouble = self._outer_trouble(at_s)
+            trouble = self._platform_trouble(at_s)
             yield trouble
             at_s += trouble.for_s * self.random.uniform(0.4, 1.0)
-            at_s += self.random.uniform(*OUTER_GAP_S)
+            at_s += self.random.uniform(*PLATFORM_GAP_S)
 
-    def _outer_trouble(self, at_s):
-        kind, for_s = self.random.choice(OUTER), self.random.uniform(2.0, 5.0)
-        if kind not in OF_WORKERS:
+    def _platform_trouble(self, at_s):
+        kind, for_s = self.random.choice(PLATFORM_KINDS), self.random.uniform(2.0, 5.0)
+        if kind not in WORKER_KINDS:
             share = self.random.choice((0.3, 0.7))
             return Trouble(at_s, for_s, kind, share=share)
         worker = self.random.choice(list(self.site.workers))
@@ -223,22 +235,22 @@
         share = self.random.choice((0.2, 0.6))
         return Trouble(at_s, for_s, kind, worker, how=self.random.choice(QUIRKS[1:]), share=share)
 
-    def _machines(self, stretch):
-        at_s = stretch.begin_s
-        while at_s < stretch.end_s:
+    def _rough_troubles(self, interval):
+        at_s = interval.begin_s
+        while at_s < interval.end_s:
             trouble = self._machine_trouble(at_s)
             if trouble:
                 yield trouble
             at_s += self.random.uniform(*MACHINE_GAP_S)
 
     def _machine_trouble(self, at_s):
-        kind, for_s = self.random.choice(MACHINE), self.random.uniform(0.3, 6.0)
+        kind, for_s = self.random.choice(MACHINE_KINDS), self.random.uniform(0.3, 6.0)
         if kind is Kind.KILL_CORES:
             return self._kill_cores(at_s)
         role = self.random.choice(("core", "router"))
         machines = self.site.cores if role == "core" else self.site.routers
         machine = self.random.choice(machines)
-        if role == "core" and not self._may_lose(machine.name, at_s, at_s + for_s):
+        if role == "core" and not self._reserve_core_outage(machine.name, at_s, at_s + for_s):
             return None
         if kind is Kind.CUT:
             return self._cut(at_s, for_s, machine)
@@ -248,31 +260,31 @@
     def _cut(self, at_s, for_s, machine):
         scope = self.random.choice(("all", "core", "router"))
         others = tuple(
-            each.name
-            for each in self.site.machines.values()
-            if each is not machine and scope in ("all", each.role)
+            other.name
+            for other in self.site.machines.values()
+            if other is not machine and scope in ("all", other.role)
         )
-        way = self.random.choice(("both", "both", "in", "out"))
-        end = self.random.choice(("late", "lost"))
-        return Trouble(at_s, for_s, Kind.CUT, machine.name, others, how=f"{way} {end}")
+        direction = self.random.choice(("both", "both", "in", "out"))
+        outcome = self.random.choice(("late", "lost"))
+        return Trouble(at_s, for_s, Kind.CUT, machine.name, others, how=f"{direction} {outcome}")
 
     def _kill_cores(self, at_s):
-        """All cores at once, as by a loss of power; no second time before they are back."""
+        """Return a kill of all cores (a power loss), or None while they recover from the last."""
         if self.killed_until_s > at_s:
             return None
         for_s = self.random.uniform(0.3, 1.0)
-        self.killed_until_s = at_s + for_s + RECOVERY_S
+        self.killed_until_s = at_s + for_s + ALL_CORES_RECOVERY_S
         return Trouble(at_s, for_s, Kind.KILL_CORES)
 
-    def _may_lose(self, name, begin_s, end_s):
-        """Whether a core may go for a while: no other is away; notes it as away."""
-        end_s += BACK_S
+    def _reserve_core_outage(self, name, begin_s, end_s):
+        """Return whether no other core is down in this time, and if so reserve it for this core."""
+        end_s += CORE_RECOVERY_S
         others = [
-            each
-            for each in self.core_away
-            if each[0] < end_s and begin_s < each[1] and each[2] != name
+            outage
+            for outage in self.core_outages
+            if outage[0] < end_s and begin_s < outage[1] and outage[2] != name
         ]
         if others:
             return False
-        self.core_away.append((begin_s, end_s, name))
+        self.core_outages.append((begin_s, end_s, name))
         return True
--- a/swiftdeck/soak/site.py
+++ b/swiftdeck/soak/site.py
@@ -1,4 +1,4 @@
-"""What a site consists of: machines, workers, first configuration and settings files."""
+"""Define a site: its machines, workers, first configuration and settings files."""
 
 from pathlib import Path
 
@@ -31,8 +31,8 @@
 ]
 BOUNDS = SiteBounds()
 GRACE_S = BOUNDS.grace_s
-CHANGING = "change-"
-"""How the names of routes begin that the stream of changes adds and takes away."""
+GENERATED_ROUTE_PREFIX = "change-"
+"""Name prefix of the routes that the simulated operators add and remove."""
 STREAM = Route(
     "stream",
     HOST,
@@ -57,30 +57,33 @@
 ]
 
 
-def changing_route(version) -> Route:
-    """A route that the stream of changes adds and takes away."""
-    return attrs.evolve(SAFE, name=f"{CHANGING}{version}", path=f"/change/{version}/")
+def generated_route(version) -> Route:
+    """Return the route that the simulated operators add in configuration `version`."""
+    return attrs.evolve(SAFE, name=f"{GENERATED_ROUTE_PREFIX}{version}", path=f"/change/{version}/")
 
 
-def is_changing(name: str) -> bool:
-    """Whether a route belongs to the stream of changes."""
-    return name.startswith(CHANGING)
+def is_generated_route(name: str) -> bool:
+    """Return whether the simulated operators added the route of this name."""
+    return name.startswith(GENERATED_ROUTE_PREFIX)
 
 
 class Site:
-    """The machines and workers of a site on a block of loopback addresses."""
+    """The machines and workers of a site in a block of loopback addresses."""
 
     def __init__(self, block, cores=3, routers=3, models=4, plain=3):
         self.block = block
         self.list_address = f"{block.ip(LIST_HOST)}:{HTTP_PORT}"
         self.store_address = f"{block.ip(STORE_HOST)}:{HTTP_PORT}"
-        self.cores = [self._machine("core", at, CORE_HOSTS) for at in range(1, cores + 1)]
-        self.routers = [self._machine("router", at, ROUTER_HOSTS) for at in range(1, routers + 1)]
-        self.machines = {each.name: each for each in [*self.cores, *self.routers]}
-        names = [f"{MODEL_SERVICE}{at}" for at in range(1, models + 1)]
-        names += [f"{PLAIN_SERVICE}{at}" for at in range(1, plain + 1)]
+        self.cores = [self._machine("core", number, CORE_HOSTS) for number in range(1, cores + 1)]
+        self.routers = [
+            self._machine("router", number, ROUTER_HOSTS) for number in range(1, routers + 1)
+        ]
+        self.machines = {machine.name: machine for machine in [*self.cores, *self.routers]}
+        names = [f"{MODEL_SERVICE}{number}" for number in range(1, models + 1)]
+        names += [f"{PLAIN_SERVICE}{number}" for number in range(1, plain + 1)]
         self.workers = {
-            name: f"{block.ip(WORKER_HOSTS + at)}:{HTTP_PORT}" for at, name in enumerate(names)
+            name: f"{block.ip(WORKER_HOSTS + index)}:{HTTP_PORT}"
+            for index, name in enumerate(names)
         }
 
     def _machine(self, role, number, hosts):
@@ -88,15 +91,15 @@
         return Machine(f"{role}{number}", role, zone, self.block.ip(hosts + number))
 
     def document(self):
-        """The operator's first configuration."""
+        """Return the operator's first configuration."""
         services = SiteServices(
             MODEL, MODEL_SERVICE, PLAIN_SERVICE, self.store_address, store_zone=ZONES[0]
         )
         return configuration(ROUTES, services, TENANTS)
 
     def settings_text(self, machine, data_folder, is_founding, seed_order=0) -> str:
-        """The platform's settings file of a machine; the seeds may come in another order."""
-        seeds = [f"{each.ip}:{HTTP_PORT}" for each in self.cores]
+        """Return the text of a machine's settings file, with the seeds rotated by `seed_order`."""
+        seeds = [f"{core.ip}:{HTTP_PORT}" for core in self.cores]
         listen = (
             {"control": machine.http}
             if machine.role == "core"
@@ -117,10 +120,10 @@
         return settings.text()
 
     def write_settings(self, folder, machine, is_founding=False, seed_order=0) -> Path:
-        """Write a machine's settings file whole, and give its path."""
+        """Write a machine's settings file atomically; return its path."""
         path = Path(folder) / f"{machine.name}.toml"
         text = self.settings_text(machine, Path(folder) / machine.name, is_founding, seed_order)
-        fresh = path.with_suffix(".new")
-        fresh.write_text(text)
-        fresh.replace(path)
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_text(text)
+        temporary_path.replace(path)
         return path
--- a/swiftdeck/soak/traffic.py
+++ b/swiftdeck/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Clients of the site: some choose a router each time, others rest or stay busy on one."""
+"""Simulated clients: some choose a router per request, others keep a connection, idle or busy."""
 
 import asyncio
 import random
@@ -8,19 +8,19 @@
 from swiftdeck.bench.platform_api.client import Client
 from swiftdeck.soak.site import HOST, MODEL, MODEL_SERVICE, ROUTES, TENANTS
 
-SHORT, LONG, WHOLE_ROUTE_S = 6, (120, 220), 7.0
-BOOKS, BOOK_TOKENS, OWN_TOKENS, SHORT_TOKENS = 4, 13000, 1500, 300
-PLAIN_NAMES, STREAM_NAMES = ("safe", "once", "public", "slow-once"), ("stream", "resume")
-CHANGE_SHARE, SHORT_SHARE, PLAIN_SHARE, KEEP_SHARE = 0.2, 0.25, 0.45, 0.7
-REST_S = (0.5, 6.0)
-LEAVES_S = (0.02, 1.5)
-"""After how long a client closes its connection that doesn't wait for its answer."""
-BY_NAME = {each.name: each for each in ROUTES}
+SHORT_ANSWER_TOKENS, LONG_ANSWER_TOKENS, LONGEST_ROUTE_TIMEOUT_S = 6, (120, 220), 7.0
+SHARED_PREFIXES, SHARED_PREFIX_TOKENS, OWN_PROMPT_TOKENS, SHORT_PROMPT_TOKENS = 4, 13000, 1500, 300
+PLAIN_ROUTES, STREAM_ROUTES = ("safe", "once", "public", "slow-once"), ("stream", "resume")
+CHANGED_ROUTE_SHARE, SHORT_SHARE, PLAIN_SHARE, KEEP_CONNECTION_SHARE = 0.2, 0.25, 0.45, 0.7
+IDLE_PAUSE_S = (0.5, 6.0)
+LEAVE_AFTER_S = (0.02, 1.5)
+"""Range of times after which a client that does not wait for its answer closes the connection."""
+ROUTES_BY_NAME = {route.name: route for route in ROUTES}
 
 
 @attrs.frozen
 class TrafficSize:
-    """How much there is of each kind of client."""
+    """Request rates and numbers of clients of each kind."""
 
     roving_per_s: float = 7.0
     resting: int = 6
@@ -29,94 +29,105 @@
 
 
 class StickyClient(Client):
-    """A client that stays with its door as long as its connection there is kept."""
+    """A client that stays with one router as long as its connection to it is kept open."""
 
     def __init__(self, name, record, random, doors):
         super().__init__(name, record, random, doors)
-        self.held = None
+        self.sticky_door = None
 
     def _door(self):
-        link = self.kept.get(self.held[1]) if self.held else None
-        if link is None or link.gone:
-            self.held = super()._door()
-        return self.held
+        connection = self.kept.get(self.sticky_door[1]) if self.sticky_door else None
+        if connection is None or connection.gone:
+            self.sticky_door = super()._door()
+        return self.sticky_door
 
 
 class Traffic:
-    """Starts the clients, and waits for what they have open."""
+    """Starts the clients, and waits for their open requests at the end."""
 
     def __init__(self, record, seed, doors, recent_paths, size=None):
         self.record, self.random, self.doors = record, random.Random(seed), doors
         self.recent_paths, self.size = recent_paths, size or TrafficSize()
-        self.tasks, self.open, self.count = [], set(), 0
+        self.tasks, self.open_requests, self.count = [], set(), 0
         self.is_ending = False
 
-    def _random(self):
+    def _child_random(self):
         return random.Random(self.random.random())
 
     def start(self):
-        """Begin all clients."""
-        roving = Client("roving", self.record("clients"), self._random(), self.doors)
-        leaving = Client("leaving", self.record("clients"), self._random(), self.doors)
-        clients = [self._rove(roving), self._leave(leaving)]
+        """Start all clients."""
+        roving = Client("roving", self.record("clients"), self._child_random(), self.doors)
+        leaving = Client("leaving", self.record("clients"), self._child_random(), self.doors)
+        clients = [self._run_roving_client(roving), self._run_leaving_client(leaving)]
         for number in range(self.size.resting):
-            clients.append(self._rest(self._sticky(f"resting{number}")))
+            clients.append(self._run_idle_client(self._sticky_client(f"resting{number}")))
         for number in range(self.size.busy):
-            clients.append(self._stay_busy(self._sticky(f"busy{number}")))
-        self.tasks = [asyncio.ensure_future(each) for each in clients]
+            clients.append(self._run_busy_client(self._sticky_client(f"busy{number}")))
+        self.tasks = [asyncio.ensure_future(client) for client in clients]
 
-    def _sticky(self, name):
-        return StickyClient(name, self.record("clients"), self._random(), self.doors)
+    def _sticky_client(self, name):
+        return StickyClient(name, self.record("clients"), self._child_random(), self.doors)
 
-    async def _rove(self, client):
+    async def _run_roving_client(self, client):
         while not self.is_ending:
             await asyncio.sleep(self.random.expovariate(self.size.roving_per_s))
-            task = asyncio.ensure_future(self._one_of_any(client))
-            self.open.add(task)
-            task.add_done_callback(self.open.discard)
+            task = asyncio.ensure_future(self._send_random_request(client))
+            self.open_requests.add(task)
+            task.add_done_callback(self.open_requests.discard)
 
-    async def _leave(self, client):
+    async def _run_leaving_client(self, client):
         while not self.is_ending:
             await asyncio.sleep(self.random.expovariate(self.size.leaving_per_s))
-            leaves_s = self.random.uniform(*LEAVES_S)
-            task = asyncio.ensure_future(self._one_of_any(client, leaves_s=leaves_s))
-            self.open.add(task)
-            task.add_done_callback(self.open.discard)
+            leaves_s = self.random.uniform(*LEAVE_AFTER_S)
+            task = asyncio.ensure_future(self._send_random_request(client, leaves_s=leaves_s))
+            self.open_requests.add(task)
+            task.add_done_callback(self.open_requests.discard)
 
-    async def _rest(self, client):
+    async def _run_idle_client(self, client):
         while not self.is_ending:
-            await self._one_of_any(client, keeps=True)
-            await asyncio.sleep(self.random.uniform(*REST_S))
+            await self._send_random_request(client, keeps=True)
+            await asyncio.sleep(self.random.uniform(*IDLE_PAUSE_S))
 
-    async def _stay_busy(self, client):
+    async def _run_busy_client(self, client):
         while not self.is_ending:
-            out = self.random.randint(*LONG)
-            name = self.random.choice(STREAM_NAMES)
-            await self._ask(client, name, self._prompt(), out, keeps=True)
-
-    async def _one_of_any(self, client, keeps=None, leaves_s=None):
-        keeps = self.random.random() < KEEP_SHARE if keeps is None else keeps
-        drawn = self.random.random()
-        if drawn < CHANGE_SHARE:
+            out = self.random.randint(*LONG_ANSWER_TOKENS)
+            name = self.random.choice(STREAM_ROUTES)
+            await self._send_request(client, name, self._prompt(), out, keeps=True)
+
+    async def _send_random_request(self, client, keeps=None, leaves_s=None):
+        keeps = self.random.random() < KEEP_CONNECTION_SHARE if keeps is None else keeps
+        draw = self.random.random()
+        if draw < CHANGED_ROUTE_SHARE:
             path = self.random.choice(self.recent_paths())
-            return await self._ask(client, "safe", path=path, keeps=keeps, leaves_s=leaves_s)
-        if drawn < CHANGE_SHARE + SHORT_SHARE:
-            parts = [("greeting", 90), (f"short{self.count}", SHORT_TOKENS)]
-            return await self._ask(client, "resume", parts, SHORT, keeps=keeps, leaves_s=leaves_s)
-        if drawn < CHANGE_SHARE + SHORT_SHARE + PLAIN_SHARE:
-            name = self.random.choice(PLAIN_NAMES)
-            return await self._ask(client, name, keeps=keeps, leaves_s=leaves_s)
-        out = self.random.randint(SHORT, LONG[0])
-        name = self.random.choice(STREAM_NAMES)
-        return await self._ask(client, name, self._prompt(), out, keeps=keeps, leaves_s=leaves_s)
+            return await self._send_request(
+                client, "safe", path=path, keeps=keeps, leaves_s=leaves_s
+            )
+        if draw < CHANGED_ROUTE_SHARE + SHORT_SHARE:
+            parts = [("greeting", 90), (f"short{self.count}", SHORT_PROMPT_TOKENS)]
+            return await self._send_request(
+                client, "resume", parts, SHORT_ANSWER_TOKENS, keeps=keeps, leaves_s=leaves_s
+            )
+        if draw < CHANGED_ROUTE_SHARE + SHORT_SHARE + PLAIN_SHARE:
+            name = self.random.choice(PLAIN_ROUTES)
+            return await self._send_request(client, name, keeps=keeps, leaves_s=leaves_s)
+        out = self.random.randint(SHORT_ANSWER_TOKENS, LONG_ANSWER_TOKENS[0])
+        name = self.random.choice(STREAM_ROUTES)
+        return await self._send_request(
+            client, name, self._prompt(), out, keeps=keeps, leaves_s=leaves_s
+        )
 
     def _prompt(self):
-        book = self.random.randrange(BOOKS)
-        return [(f"book{book}", BOOK_TOKENS), (f"own{self.count}", OWN_TOKENS)]
-
-    async def _ask(self, client, name, parts=(), out=SHORT, path=None, keeps=True, leaves_s=None):
+        shared_prefix = self.random.randrange(SHARED_PREFIXES)
+        return [
+            (f"book{shared_prefix}", SHARED_PREFIX_TOKENS),
+            (f"own{self.count}", OWN_PROMPT_TOKENS),
+        ]
+
+    async def _send_request(
+        self, client, name, parts=(), out=SHORT_ANSWER_TOKENS, path=None, keeps=True, leaves_s=None
+    ):
         self.count += 1
-        route, tenant = BY_NAME[name], self.random.choice(TENANTS)
+        route, tenant = ROUTES_BY_NAME[name], self.random.choice(TENANTS)
         is_model = route.service == MODEL_SERVICE
         await client.ask(
             HOST,
@@ -134,9 +145,11 @@
         )
 
     async def finish(self) -> bool:
-        """Send nothing more; whether all that was open came to an end in time."""
+        """Send no new requests; return whether all open ones ended in time."""
         self.is_ending = True
-        _, late = await asyncio.wait([*self.tasks, *self.open], timeout=2 * WHOLE_ROUTE_S)
-        for task in late:
+        _, unfinished = await asyncio.wait(
+            [*self.tasks, *self.open_requests], timeout=2 * LONGEST_ROUTE_TIMEOUT_S
+        )
+        for task in unfinished:
             task.cancel()
-        return not late
+        return not unfinished
--- a/swiftdeck/soak/verdict.py
+++ b/swiftdeck/soak/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict: broken rules and invariants, what was wrong at the end, and too little done."""
+"""Judge a run: broken rules and invariants, problems at the end, and too little activity."""
 
 import json
 from collections import Counter
@@ -12,14 +12,14 @@
 from swiftdeck.bench.platform_api.rules.records import Records
 from swiftdeck.soak.site import BOUNDS
 
-SERVED_SHARE, REQUESTS_EACH_S, CHANGES_EACH_S = 0.5, 1.0, 0.3
+MIN_SERVED_SHARE, MIN_REQUESTS_PER_S, MIN_CHANGES_PER_S = 0.5, 1.0, 0.3
 LOST, CONFIG, BROKEN_OFF = "LOST", "CONFIG", "broken off"
-RECORDS, VERDICT, SCHEDULE = "records.jsonl", "verdict.json", "schedule.txt"
+RECORDS_FILE, VERDICT_FILE, SCHEDULE_FILE = "records.jsonl", "verdict.json", "schedule.txt"
 
 
 @attrs.frozen
-class Sums:
-    """What happened in a run."""
+class RunTotals:
+    """Totals of what happened in a run."""
 
     requests: int
     served: int
@@ -40,29 +40,29 @@
 
 @attrs.frozen
 class Verdict:
-    """What was found in a run, by kind, and its sums."""
+    """Findings of a run by kind, and the totals of the run."""
 
     seed: int
     rules: dict
     invariants: list
     wrong: list
-    sums: Sums
+    sums: RunTotals
 
     def is_clean(self) -> bool:
-        """Whether nothing was found."""
+        """Return whether nothing was found."""
         return not (self.rules or self.invariants or self.wrong)
 
     def line(self) -> str:
-        """It in one line."""
-        kinds = {rule: len(found) for rule, found in self.rules.items()}
-        kinds |= {"invariants": len(self.invariants)} if self.invariants else {}
-        kinds |= {"wrong": len(self.wrong)} if self.wrong else {}
-        state = "clean" if self.is_clean() else f"red {json.dumps(kinds)}"
+        """Return a summary in one line."""
+        counts = {rule: len(violations) for rule, violations in self.rules.items()}
+        counts |= {"invariants": len(self.invariants)} if self.invariants else {}
+        counts |= {"wrong": len(self.wrong)} if self.wrong else {}
+        state = "clean" if self.is_clean() else f"red {json.dumps(counts)}"
         return f"seed {self.seed}: {state}, {json.dumps(attrs.asdict(self.sums))}"
 
 
-def with_broken_off(items) -> list:
-    """The records, with runs marked that their worker broke off by a crash or at the deadline."""
+def mark_broken_off_runs(items) -> list:
+    """Return the records; mark the runs that their worker ended by a crash or at the deadline."""
     ended = {run for item in items if item["kind"] == "crashed" for run in item["runs"]}
     ended |= {item["run"] for item in items if item["kind"] == "brokeOff"}
     return [
@@ -72,24 +72,29 @@
 
 
 def broken_rules(items, troubles, slack) -> dict:
-    """Breaches by rule.
+    """Return the violations of each broken rule.
 
-    A planned stop or start takes a machine, or with a core the whole site, out of contact like any
-    other trouble; LOST alone is about planned work, and is excused by unplanned trouble only.
+    A planned stop or start of a machine counts as lost contact like any other trouble; that of
+    a core counts as lost contact of the whole site. Only LOST is about planned work and is
+    therefore excused by unplanned trouble alone.
     """
-    items = with_broken_off(items)
-    every = [*troubles.noted, *troubles.planned]
-    found = check(items, BOUNDS.judged(every, slack))
-    found.pop(LOST, None)
-    cut_off = list(lost(Records(items), BOUNDS.judged(troubles.noted, slack)))
-    old = list(old_reads(items, int(BOUNDS.apply_within_ms * slack)))
-    found |= {LOST: cut_off} if cut_off else {}
-    return found | ({CONFIG: [*found.get(CONFIG, ()), *old]} if old else {})
-
-
-def old_reads(items, apply_within_ms):
-    """Reads that a core, in contact or not, answered with a configuration that is too old."""
-    told = sorted(
+    items = mark_broken_off_runs(items)
+    all_troubles = [*troubles.noted, *troubles.planned]
+    violations = check(items, BOUNDS.judged(all_troubles, slack))
+    violations.pop(LOST, None)
+    lost_requests = list(lost(Records(items), BOUNDS.judged(troubles.noted, slack)))
+    stale = list(stale_reads(items, int(BOUNDS.apply_within_ms * slack)))
+    violations |= {LOST: lost_requests} if lost_requests else {}
+    return violations | ({CONFIG: [*violations.get(CONFIG, ()), *stale]} if stale else {})
+
+
+def stale_reads(items, apply_within_ms):
+    """Yield reads that a core answered with a stale configuration, whether in contact or not.
+
+    A read is stale if it was sent more than `apply_within_ms` after a newer version was
+    acknowledged.
+    """
+    acknowledged = sorted(
         (item["atMs"], item["version"])
         for item in items
         if item["kind"] == "told" and item["status"] == 200
@@ -97,7 +102,9 @@
     for read in items:
         if read["kind"] != "configRead":
             continue
-        due = [version for at_ms, version in told if at_ms + apply_within_ms < read["sentMs"]]
+        due = [
+            version for at_ms, version in acknowledged if at_ms + apply_within_ms < read["sentMs"]
+        ]
         if due and read["version"] < max(due):
             yield (
                 f"{read['core']} showed configuration {read['version']} to a read sent "
@@ -106,38 +113,45 @@
 
 
 def judge(soak) -> Verdict:
-    """Judge a run that is over, and leave records and verdict in its folder."""
+    """Judge a finished run, and write its records, verdict and schedule to its folder."""
     rules = broken_rules(soak.items, soak.troubles, soak.size.slack)
-    sums = _sums(soak)
-    wrong = [*soak.wrong, *soak.troubles.stuck(), *_unexpected_ends(soak), *_too_little(soak, sums)]
-    verdict = Verdict(soak.seed, rules, sorted(soak.invariants.found), wrong, sums)
-    _leave(soak, verdict)
+    sums = _totals(soak)
+    problems = [
+        *soak.problems,
+        *soak.troubles.unexplained_late_stops(),
+        *_unexpected_ends(soak),
+        *_activity_shortfalls(soak, sums),
+    ]
+    verdict = Verdict(soak.seed, rules, sorted(soak.invariants.found), problems, sums)
+    _write_results(soak, verdict)
     return verdict
 
 
-def _sums(soak):
-    kinds = Counter(item["kind"] for item in soak.items)
-    last = {
+def _totals(soak):
+    counts = Counter(item["kind"] for item in soak.items)
+    last_results = {
         item["id"].rpartition(".")[0]: item
         for item in soak.items
         if item["kind"] == "result" and item["end"] != LEFT
     }
-    return Sums(
-        requests=len(last),
-        served=sum(item["complete"] and 200 <= item["status"] < 300 for item in last.values()),
-        runs=kinds["run"],
+    return RunTotals(
+        requests=len(last_results),
+        served=sum(
+            item["complete"] and 200 <= item["status"] < 300 for item in last_results.values()
+        ),
+        runs=counts["run"],
         changes=soak.operators.statuses.count(200),
-        weights=kinds["named"],
+        weights=counts["named"],
         orders=sum(item["kind"] == "order" and item["status"] == 202 for item in soak.items),
-        planned=kinds["planned"],
-        troubles=len(soak.troubles.done),
+        planned=counts["planned"],
+        troubles=len(soak.troubles.started),
         overlap=round(soak.schedule.overlap(), 2),
-        lost_answers=sum(each.lost for each in soak.operators.all),
-        left=kinds["left"],
+        lost_answers=sum(operator.lost_answers for operator in soak.operators.all),
+        left=counts["left"],
         late_orders=sum(
             item["kind"] == "order" and item.get("heldMs", 0) > 0 for item in soak.items
         ),
-        counters_read=soak.invariants.answers,
+        counters_read=soak.invariants.answered_reads,
         stalls=soak.stalls.count,
         longest_stall_s=round(soak.stalls.longest_s, 2),
     )
@@ -147,35 +161,39 @@
     return [
         f"{name}, life {life}, ended by itself with {status}"
         for name, process in soak.processes.by_name.items()
-        for life, status in process.unexpected
+        for life, status in process.unexpected_ends
     ]
 
 
-def _too_little(soak, sums):
-    """A run in which little happened shows nothing."""
+def _activity_shortfalls(soak, sums):
+    """Describe what fell short of its minimum, as a run with little activity shows nothing."""
     seconds = soak.size.seconds
-    least = {
-        "requests": (sums.requests, REQUESTS_EACH_S * seconds),
-        "requests served": (sums.served, SERVED_SHARE * sums.requests),
-        "changes": (sums.changes, CHANGES_EACH_S * seconds),
+    minimums = {
+        "requests": (sums.requests, MIN_REQUESTS_PER_S * seconds),
+        "requests served": (sums.served, MIN_SERVED_SHARE * sums.requests),
+        "changes": (sums.changes, MIN_CHANGES_PER_S * seconds),
         "weights named": (sums.weights, 1),
         "orders": (sums.orders, 1),
         "counters read": (sums.counters_read, 1),
         "planned stops": (sums.planned, 1),
         "clients that left": (sums.left, 1),
     }
-    return [f"only {count} {what}" for what, (count, wanted) in least.items() if count < wanted]
+    return [
+        f"only {count} {activity}"
+        for activity, (count, minimum) in minimums.items()
+        if count < minimum
+    ]
 
 
-def _leave(soak, verdict):
-    with open(soak.folder / RECORDS, "wb") as file:
+def _write_results(soak, verdict):
+    with open(soak.folder / RECORDS_FILE, "wb") as file:
         for item in soak.items:
             file.write(msgspec.json.encode(item) + b"\n")
-    told = attrs.asdict(verdict) | {
+    report = attrs.asdict(verdict) | {
         "noted": soak.troubles.noted,
         "planned": soak.troubles.planned,
     }
-    (soak.folder / VERDICT).write_text(json.dumps(told, indent=1))
+    (soak.folder / VERDICT_FILE).write_text(json.dumps(report, indent=1))
     lines = [*soak.schedule.lines(), "done at:"]
-    lines += [f"{at_s:7.2f} {trouble.line()}" for at_s, trouble in soak.troubles.done]
-    (soak.folder / SCHEDULE).write_text("\n".join(lines) + "\n")
+    lines += [f"{at_s:7.2f} {trouble.line()}" for at_s, trouble in soak.troubles.started]
+    (soak.folder / SCHEDULE_FILE).write_text("\n".join(lines) + "\n")
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -1,4 +1,4 @@
-"""The soak's programs with faults planted: which ones is said by a variable of the environment."""
+"""The soak's programs with the planted faults that an environment variable lists."""
 
 import os
 import sys
@@ -15,7 +15,7 @@
 
 
 def ends_at_once(node):
-    """A router that doesn't finish what is open when it is told to stop."""
+    """Make a router exit on a planned stop without finishing its open requests."""
 
     async def stop():
         os._exit(0)
@@ -24,25 +24,25 @@
 
 
 def keeps_first_configuration(node):
-    """A router that never takes another configuration than the first that has routes."""
-    take, taken = node.on_config, []
+    """Make a router ignore every configuration after the first that has routes."""
+    on_config, applied = node.on_config, []
 
-    def once(held):
-        if not taken:
-            take(held)
+    def apply_first(held):
+        if not applied:
+            on_config(held)
         if held.document.paths:
-            taken.append(held)
+            applied.append(held)
 
-    node.on_config = once
+    node.on_config = apply_first
 
 
 def counts_broken_invariant(node):
-    """A process in which an invariant was seen broken."""
+    """Make a process count a broken invariant."""
     node.telemetry.count["invariant.planted"] += 1
 
 
 def blind_to_clients(node):
-    """A router that takes a client that has closed its connection for one that listens."""
+    """Make a router blind to clients that have closed their connection."""
     HttpExchange.watch_client = lambda self, on_client_end: None
     HttpExchange.has_client_ended = lambda self, for_s=0.0: False
 
@@ -55,23 +55,25 @@
 }
 
 
-def planted(role, make):
-    """A maker whose nodes have those of the faults asked for that are faults of this role."""
-    asked = [FAULTS[name] for name in os.environ[VARIABLE].split(SEPARATOR)]
+def with_planted_faults(role, make_node):
+    """Wrap a node factory so that its nodes get the requested faults of their role."""
+    requested = [FAULTS[name] for name in os.environ[VARIABLE].split(SEPARATOR)]
 
-    def made(place, log):
-        node = make(place, log)
-        for faulty_role, plant in asked:
+    def make_faulty(place, log):
+        node = make_node(place, log)
+        for faulty_role, plant in requested:
             if role == faulty_role:
                 plant(node)
         return node
 
-    return made
+    return make_faulty
 
 
 def planted_makers():
-    """The soak's makers, with the faults asked for."""
-    return {role: planted(role, make) for role, make in filtered_makers().items()}
+    """Return the soak's node factories with the requested faults planted."""
+    return {
+        role: with_planted_faults(role, make_node) for role, make_node in filtered_makers().items()
+    }
 
 
 if __name__ == "__main__":
--- a/tests/soak/test_link_filter.py
+++ b/tests/soak/test_link_filter.py
@@ -1,10 +1,10 @@
-"""Tests of cuts between processes."""
+"""Tests of the filter that cuts links between processes."""
 
 import msgspec
 
 from swiftdeck.fault import is_fault
 from swiftdeck.soak.addresses import FILTER_PORT
-from swiftdeck.soak.link_filter import EXPIRES_S, LATE_MOST_S, Cut, LinkFilter
+from swiftdeck.soak.link_filter import CUT_EXPIRY_S, MAX_LATE_S, Cut, LinkFilter
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import ConfigAsk, Done
 from tests.gateway.parts import SimCase
@@ -15,7 +15,7 @@
 class LinkFilterTest(SimCase):
     def setUp(self):
         super().setUp()
-        self.heard = 0
+        self.received = 0
         self.here = self.within(lambda: Mesh(HERE), "here")
         self.there = self.within(lambda: Mesh(THERE), "there")
         self.there.register(ConfigAsk, self.on_ask)
@@ -25,7 +25,7 @@
         self.assertTrue(self.is_answered())
 
     def on_ask(self, message, sender):
-        self.heard += 1
+        self.received += 1
         return Done()
 
     def is_answered(self):
@@ -39,81 +39,81 @@
         self.within(action)
         self.world.run(0.1)
 
-    def test_nothing_is_heard_from_the_other_side_of_a_cut(self):
+    def test_messages_across_a_cut_are_not_received(self):
         self.cut(HERE)
         self.assertFalse(self.is_answered())
         self.assertFalse(self.is_answered())
-        self.assertEqual(self.heard, 1)
+        self.assertEqual(self.received, 1)
         self.cut()
         self.assertTrue(self.is_answered())
 
-    def test_others_are_heard(self):
+    def test_messages_of_other_senders_are_received(self):
         self.cut("10.0.0.3:7000")
         self.assertTrue(self.is_answered())
 
-    def test_what_was_held_back_comes_late_and_in_order(self):
+    def test_held_messages_arrive_late_and_in_order(self):
         self.cut(HERE, is_late=True)
         self.send(lambda: self.here.send(THERE, ConfigAsk()))
         self.send(lambda: self.here.send(THERE, ConfigAsk()))
-        self.assertEqual(self.heard, 1)
+        self.assertEqual(self.received, 1)
         self.cut()
-        self.assertEqual(self.heard, 3)
+        self.assertEqual(self.received, 3)
         self.assertTrue(self.is_answered())
 
-    def test_single_messages_come_late_and_their_links_go_on(self):
+    def test_single_messages_arrive_late_and_their_links_stay_open(self):
         self.within(lambda: self.filter.apply(Cut(late_share=1.0)), "there")
-        self.filter.chance.random = lambda: 0.99 if self.here.serial % 2 else 0.0
-        self.filter.chance.uniform = lambda least, most: most
-        heard = self.heard
+        self.filter.rng.random = lambda: 0.99 if self.here.serial % 2 else 0.0
+        self.filter.rng.uniform = lambda least, most: most
+        received = self.received
         self.send(lambda: self.here.send(THERE, ConfigAsk()))
         self.here.serial += 1
         self.send(lambda: self.here.send(THERE, ConfigAsk()))
-        in_time = self.heard - heard
+        in_time = self.received - received
         self.within(lambda: self.filter.apply(Cut()), "there")
-        self.world.run(LATE_MOST_S)
-        self.assertEqual((in_time, self.heard - heard), (1, 3))
+        self.world.run(MAX_LATE_S)
+        self.assertEqual((in_time, self.received - received), (1, 3))
         self.assertTrue(self.is_answered())
 
-    def test_a_message_of_a_link_that_is_gone_comes_without_it(self):
+    def test_a_late_message_of_a_closed_link_arrives_without_it(self):
         self.within(lambda: self.filter.apply(Cut(late_share=1.0)), "there")
-        self.filter.chance.random = lambda: 0.9
-        heard = self.heard
+        self.filter.rng.random = lambda: 0.9
+        received = self.received
         self.send(lambda: self.here.send(THERE, ConfigAsk()))
         self.within(self.here.dialled[THERE].transport.abort, "here")
         self.within(lambda: self.filter.apply(Cut()), "there")
-        self.world.run(LATE_MOST_S)
-        self.assertEqual(self.heard - heard, 1)
+        self.world.run(MAX_LATE_S)
+        self.assertEqual(self.received - received, 1)
         self.assertTrue(self.is_answered())
 
-    def test_where_it_is_lost_the_stream_ends(self):
+    def test_a_stream_with_lost_messages_is_reset(self):
         self.cut(HERE)
         self.send(lambda: self.here.send(THERE, ConfigAsk()))
         link = self.here.dialled[THERE]
         self.cut()
         self.assertTrue(link.gone)
-        self.assertEqual(self.heard, 1)
+        self.assertEqual(self.received, 1)
         self.assertTrue(self.is_answered())
 
     def test_datagrams_are_lost(self):
         self.cut(HERE, is_late=True)
         self.send(lambda: self.here.send_datagram(THERE, ConfigAsk()))
         self.cut()
-        self.assertEqual(self.heard, 1)
+        self.assertEqual(self.received, 1)
         self.send(lambda: self.here.send_datagram(THERE, ConfigAsk()))
-        self.assertEqual(self.heard, 2)
+        self.assertEqual(self.received, 2)
 
-    def test_a_cut_that_is_not_renewed_ends(self):
+    def test_a_cut_that_is_not_renewed_expires(self):
         self.cut(HERE)
         self.assertFalse(self.is_answered())
-        self.world.run(EXPIRES_S)
+        self.world.run(CUT_EXPIRY_S)
         self.assertTrue(self.is_answered())
 
-    def test_a_cut_comes_as_a_datagram(self):
+    def test_a_cut_is_received_as_a_datagram(self):
         sent = msgspec.json.encode(Cut([HERE]))
         self.send(lambda: self.here.datagrams.sendto(sent, ("10.0.0.2", FILTER_PORT)))
         self.assertEqual(self.filter.cut.senders, [HERE])
         self.assertFalse(self.is_answered())
 
-    def test_a_frame_without_a_sender_is_left_to_the_mesh(self):
+    def test_a_frame_without_a_sender_is_passed_to_the_mesh(self):
         self.cut(HERE)
         self.assertFalse(self.within(lambda: self.there.receive(b"\x00", None), "there"))
--- a/tests/soak/test_processes.py
+++ b/tests/soak/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of the processes of a site: none outlives its driver."""
+"""Tests that no process of a site outlives its driver, and that runs get separate addresses."""
 
 import os
 import signal
@@ -11,7 +11,7 @@
 
 from swiftdeck.soak.addresses import LoopbackBlock
 
-WITHIN_S = 15.0
+EXIT_TIMEOUT_S = 15.0
 DRIVER = """
 import sys, time
 from swiftdeck.soak.addresses import LoopbackBlock
@@ -25,13 +25,13 @@
     while sign not in processes.by_name[name].log_path.read_text():
         time.sleep(0.05)
 processes.by_name["router1"].pause()
-print(*(each.child.pid for each in processes.by_name.values()), flush=True)
+print(*(process.child.pid for process in processes.by_name.values()), flush=True)
 time.sleep(60)
 """
 
 
-def is_there(pid):
-    """Whether a process exists and hasn't ended."""
+def is_alive(pid):
+    """Return whether a process exists and has not ended."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] not in "ZX"
     except OSError:
@@ -39,34 +39,34 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    def test_processes_end_with_their_driver_paused_ones_too(self):
+    def test_processes_including_paused_ones_end_with_their_driver(self):
         with tempfile.TemporaryDirectory() as folder:
             driver = subprocess.Popen(
                 [sys.executable, "-c", DRIVER, folder], stdout=subprocess.PIPE, text=True
             )
             self.addCleanup(driver.stdout.close)
-            pids = [int(each) for each in driver.stdout.readline().split()]
-            self.addCleanup(self.end, pids)
+            pids = [int(pid) for pid in driver.stdout.readline().split()]
+            self.addCleanup(self.kill_remaining, pids)
             self.assertEqual(len(pids), 2)
-            self.assertTrue(all(is_there(pid) for pid in pids))
+            self.assertTrue(all(is_alive(pid) for pid in pids))
             driver.send_signal(signal.SIGKILL)
             driver.wait()
-            end_s = time.monotonic() + WITHIN_S
-            while any(is_there(pid) for pid in pids) and time.monotonic() < end_s:
+            end_s = time.monotonic() + EXIT_TIMEOUT_S
+            while any(is_alive(pid) for pid in pids) and time.monotonic() < end_s:
                 time.sleep(0.05)
-            self.assertEqual([pid for pid in pids if is_there(pid)], [])
+            self.assertEqual([pid for pid in pids if is_alive(pid)], [])
 
     @staticmethod
-    def end(pids):
+    def kill_remaining(pids):
         for pid in pids:
-            if is_there(pid):
+            if is_alive(pid):
                 os.kill(pid, signal.SIGKILL)
 
-    def test_runs_side_by_side_have_blocks_of_their_own(self):
+    def test_parallel_runs_get_separate_address_blocks(self):
         blocks = [LoopbackBlock() for _ in range(20)]
-        self.assertEqual(len({each.prefix for each in blocks}), 20)
-        for each in blocks:
-            each.release()
+        self.assertEqual(len({block.prefix for block in blocks}), 20)
+        for block in blocks:
+            block.release()
 
 
 if __name__ == "__main__":
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -1,9 +1,16 @@
-"""Tests of the schedule of troubles."""
+"""Tests of the generated schedule of troubles."""
 
 import unittest
 
 from swiftdeck.soak.run import SHORT
-from swiftdeck.soak.schedule import MACHINE, REPLACED_S, Draw, Kind, Phase, draw
+from swiftdeck.soak.schedule import (
+    MACHINE_KINDS,
+    REPLACEMENT_S,
+    Kind,
+    Phase,
+    ScheduleGenerator,
+    draw_schedule,
+)
 from swiftdeck.soak.site import Site
 
 SEEDS = range(1, 41)
@@ -15,11 +22,11 @@
 
 
 def schedule(seed, seconds=60.0):
-    return draw(seed, seconds, Site(FixedBlock()))
+    return draw_schedule(seed, seconds, Site(FixedBlock()))
 
 
 class ScheduleTest(unittest.TestCase):
-    def test_one_seed_gives_one_schedule(self):
+    def test_a_seed_determines_the_schedule(self):
         for seed in SEEDS:
             self.assertEqual(schedule(seed).lines(), schedule(seed).lines())
         self.assertNotEqual(schedule(1).lines(), schedule(2).lines())
@@ -28,51 +35,58 @@
         for seed in SEEDS:
             self.assertGreater(schedule(seed).overlap(), 0.6, seed)
 
-    def test_all_kinds_come_up_over_some_seeds(self):
-        kinds = {each.kind for seed in SEEDS for each in schedule(seed).troubles}
+    def test_all_kinds_occur_over_the_seeds(self):
+        kinds = {trouble.kind for seed in SEEDS for trouble in schedule(seed).troubles}
         self.assertEqual(kinds, set(Kind))
 
-    def test_one_core_is_away_at_a_time(self):
+    def test_at_most_one_core_is_down_at_a_time(self):
         for seed in SEEDS:
-            away = [
-                each
-                for each in schedule(seed).troubles
-                if each.target.startswith("core") and each.kind in (*MACHINE, Kind.TERMINATE)
+            outages = [
+                trouble
+                for trouble in schedule(seed).troubles
+                if trouble.target.startswith("core")
+                and trouble.kind in (*MACHINE_KINDS, Kind.TERMINATE)
             ]
-            for one in away:
-                for other in away:
+            for one in outages:
+                for other in outages:
                     if one.target != other.target:
                         self.assertFalse(
                             one.at_s < other.end_s and other.at_s < one.end_s, (seed, one, other)
                         )
 
-    def test_no_core_is_touched_while_the_core_is_to_be_settled(self):
+    def test_no_core_is_disturbed_in_the_settled_phase(self):
         for seed in SEEDS:
-            made = Draw(seed, 90.0, Site(FixedBlock()))
-            settled = [each for each in made.stretches if each.phase is Phase.CORE_SETTLED]
+            generator = ScheduleGenerator(seed, 90.0, Site(FixedBlock()))
+            settled = [
+                interval for interval in generator.intervals if interval.phase is Phase.CORE_SETTLED
+            ]
             self.assertTrue(settled)
-            for each in made.troubles:
-                is_of_core = each.target.startswith("core") or each.kind is Kind.KILL_CORES
-                if is_of_core or each.kind is Kind.CUT:
+            for trouble in generator.troubles:
+                is_of_core = trouble.target.startswith("core") or trouble.kind is Kind.KILL_CORES
+                if is_of_core or trouble.kind is Kind.CUT:
                     self.assertFalse(
-                        any(a.begin_s <= each.at_s < a.end_s for a in settled), (seed, each)
+                        any(
+                            interval.begin_s <= trouble.at_s < interval.end_s
+                            for interval in settled
+                        ),
+                        (seed, trouble),
                     )
 
     def test_a_short_run_has_all_phases(self):
         for seed in SEEDS:
-            made = Draw(seed, SHORT.seconds, Site(FixedBlock()))
-            self.assertEqual({each.phase for each in made.stretches}, set(Phase))
+            generator = ScheduleGenerator(seed, SHORT.seconds, Site(FixedBlock()))
+            self.assertEqual({interval.phase for interval in generator.intervals}, set(Phase))
 
-    def test_machines_of_a_role_are_replaced_one_after_the_other(self):
+    def test_machines_of_a_role_are_restarted_one_after_another(self):
         for seed in SEEDS:
-            for role in REPLACED_S:
-                times = [
-                    each
-                    for each in schedule(seed).troubles
-                    if each.kind is Kind.TERMINATE and each.target.startswith(role)
+            for role in REPLACEMENT_S:
+                restarts = [
+                    trouble
+                    for trouble in schedule(seed).troubles
+                    if trouble.kind is Kind.TERMINATE and trouble.target.startswith(role)
                 ]
-                self.assertGreaterEqual(len(times), 1 if role == "core" else 3)
-                for one, other in zip(times, times[1:], strict=False):
+                self.assertGreaterEqual(len(restarts), 1 if role == "core" else 3)
+                for one, other in zip(restarts, restarts[1:], strict=False):
                     self.assertLessEqual(one.end_s, other.at_s)
 
 
--- a/tests/soak/test_soak_short.py
+++ b/tests/soak/test_soak_short.py
@@ -1,4 +1,4 @@
-"""The soak in its short form, on the code as it is and with planted faults."""
+"""Short soaks of the unchanged code and of code with planted faults."""
 
 import asyncio
 import contextlib
@@ -17,22 +17,25 @@
 
 SEED = 295
 PLANTED_PROGRAM = "tests.soak.planted"
-STOPS = Schedule(
+PLANNED_STOPS = Schedule(
     7.0,
     [
         Trouble(2.0, 10.0, Kind.TERMINATE, "router1", rest_s=0.5),
         Trouble(4.5, 10.0, Kind.TERMINATE, "router2", rest_s=0.5),
     ],
 )
-SILENT = Schedule(
+SILENT_WORKERS = Schedule(
     6.0,
     [
-        *STOPS.troubles[:1],
-        *(Trouble(0.5, 5.0, Kind.WORKER_QUIRK, f"models{at}", how="silence") for at in range(1, 5)),
+        *PLANNED_STOPS.troubles[:1],
+        *(
+            Trouble(0.5, 5.0, Kind.WORKER_QUIRK, f"models{number}", how="silence")
+            for number in range(1, 5)
+        ),
     ],
 )
-LEAVERS = SoakSize(seconds=SILENT.seconds, traffic=TrafficSize(6.0, 4, 3, 8.0))
-BUSY = SoakSize(seconds=STOPS.seconds, traffic=TrafficSize(16.0, 6, 9))
+LEAVING_CLIENTS_SIZE = SoakSize(seconds=SILENT_WORKERS.seconds, traffic=TrafficSize(6.0, 4, 3, 8.0))
+BUSY_SIZE = SoakSize(seconds=PLANNED_STOPS.seconds, traffic=TrafficSize(16.0, 6, 9))
 
 
 class SoakShortTest(unittest.TestCase):
@@ -40,8 +43,8 @@
         self.lines = []
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
-    def soak(self, size, program=PROGRAM, schedule=None):
-        """Run a soak to its verdict; its processes must have ended, its addresses must be free."""
+    def run_soak(self, size, program=PROGRAM, schedule=None):
+        """Run a soak; check that its processes have ended, and return its verdict."""
         soak = Soak(SEED, self.folder, size, program, self.lines.append, schedule)
         with asyncio.Runner(loop_factory=BootLoop) as runner:
             verdict = runner.run(soak.run())
@@ -51,32 +54,32 @@
                 os.kill(process.child.pid, 0)
         return verdict
 
-    def told(self, verdict):
-        """What there is to know about a run that was judged otherwise than expected."""
+    def details_of(self, verdict):
+        """Return details of a run, as the message of a failed assertion."""
         logs = [f"{path.name}: {len(path.read_text())}" for path in Path(self.folder).glob("*.log")]
         return "\n".join([verdict.line(), str(verdict), *self.lines, *logs])
 
-    def test_a_site_under_overlapping_troubles_keeps_the_rules(self):
-        verdict = self.soak(SHORT)
-        self.assertTrue(verdict.is_clean(), self.told(verdict))
+    def test_a_site_under_overlapping_troubles_breaks_no_rule(self):
+        verdict = self.run_soak(SHORT)
+        self.assertTrue(verdict.is_clean(), self.details_of(verdict))
 
     def test_planted_faults_are_found(self):
         faults = (planted.ENDS_AT_ONCE, planted.OLD_CONFIGURATION, planted.BROKEN_INVARIANT)
-        asked = {planted.VARIABLE: planted.SEPARATOR.join(faults)}
-        with mock.patch.dict(os.environ, asked):
-            verdict = self.soak(BUSY, PLANTED_PROGRAM, STOPS)
-        told = self.told(verdict)
-        self.assertFalse(verdict.is_clean(), told)
-        self.assertIn("LOST", verdict.rules, told)
-        self.assertIn("CONFIG", verdict.rules, told)
-        self.assertTrue(any("invariant.planted" in each for each in verdict.invariants), told)
+        environment = {planted.VARIABLE: planted.SEPARATOR.join(faults)}
+        with mock.patch.dict(os.environ, environment):
+            verdict = self.run_soak(BUSY_SIZE, PLANTED_PROGRAM, PLANNED_STOPS)
+        details = self.details_of(verdict)
+        self.assertFalse(verdict.is_clean(), details)
+        self.assertIn("LOST", verdict.rules, details)
+        self.assertIn("CONFIG", verdict.rules, details)
+        self.assertTrue(any("invariant.planted" in name for name in verdict.invariants), details)
 
-    def test_work_for_clients_that_have_left_is_found(self):
+    def test_work_for_departed_clients_is_found(self):
         with mock.patch.dict(os.environ, {planted.VARIABLE: planted.BLIND_TO_CLIENTS}):
-            verdict = self.soak(LEAVERS, PLANTED_PROGRAM, SILENT)
-        self.assertIn("GONE", verdict.rules, self.told(verdict))
+            verdict = self.run_soak(LEAVING_CLIENTS_SIZE, PLANTED_PROGRAM, SILENT_WORKERS)
+        self.assertIn("GONE", verdict.rules, self.details_of(verdict))
 
-    def test_processes_end_when_a_run_breaks_off(self):
+    def test_processes_end_when_a_run_fails(self):
         soak = Soak(SEED, self.folder, SHORT, say=self.lines.append)
         broken = mock.patch.object(soak.stand_ins, "start", side_effect=OSError("planted"))
         with broken, contextlib.suppress(OSError), asyncio.Runner(loop_factory=BootLoop) as runner:
--- a/tests/soak/test_troubles.py
+++ b/tests/soak/test_troubles.py
@@ -1,4 +1,4 @@
-"""Tests of what excuses a planned stop that took longer than its grace."""
+"""Tests of which troubles excuse a planned stop that exceeded its grace."""
 
 import unittest
 from types import SimpleNamespace
@@ -9,23 +9,27 @@
 
 
 class LateStopTest(unittest.TestCase):
-    def stuck(self, *noted):
-        parts = SimpleNamespace(cores=[], routers=[])
-        made = Troubles(parts, parts, parts, parts, lambda who: None, lambda: 0)
-        made.late_stops.append((ROUTER, BEGIN_MS, END_MS))
-        made.noted += [[*each, "process"] for each in noted]
-        return made.stuck()
-
-    def test_a_late_stop_is_found(self):
-        self.assertEqual(self.stuck(), [f"{ROUTER} did not end within its grace"])
-        self.assertTrue(self.stuck((OTHER, BEGIN_MS, END_MS)))
-        self.assertTrue(self.stuck((ROUTER, BEGIN_MS - 2000, BEGIN_MS - 1000)))
-        self.assertTrue(self.stuck((EVERY_MACHINE, END_MS + 1, END_MS + 2000)))
-
-    def test_trouble_there_or_of_all_machines_meanwhile_explains_it(self):
-        self.assertEqual(self.stuck((ROUTER, BEGIN_MS + 100, BEGIN_MS + 200)), [])
-        self.assertEqual(self.stuck((ROUTER, BEGIN_MS - 2000, BEGIN_MS + 1)), [])
-        self.assertEqual(self.stuck((EVERY_MACHINE, END_MS - 500, END_MS + 500)), [])
+    def unexplained_late_stops(self, *noted):
+        empty_part = SimpleNamespace(cores=[], routers=[])
+        troubles = Troubles(
+            empty_part, empty_part, empty_part, empty_part, lambda who: None, lambda: 0
+        )
+        troubles.late_stops.append((ROUTER, BEGIN_MS, END_MS))
+        troubles.noted += [[*period, "process"] for period in noted]
+        return troubles.unexplained_late_stops()
+
+    def test_an_unexplained_late_stop_is_reported(self):
+        self.assertEqual(self.unexplained_late_stops(), [f"{ROUTER} did not end within its grace"])
+        self.assertTrue(self.unexplained_late_stops((OTHER, BEGIN_MS, END_MS)))
+        self.assertTrue(self.unexplained_late_stops((ROUTER, BEGIN_MS - 2000, BEGIN_MS - 1000)))
+        self.assertTrue(self.unexplained_late_stops((EVERY_MACHINE, END_MS + 1, END_MS + 2000)))
+
+    def test_trouble_of_the_machine_or_of_all_machines_excuses_a_late_stop(self):
+        self.assertEqual(self.unexplained_late_stops((ROUTER, BEGIN_MS + 100, BEGIN_MS + 200)), [])
+        self.assertEqual(self.unexplained_late_stops((ROUTER, BEGIN_MS - 2000, BEGIN_MS + 1)), [])
+        self.assertEqual(
+            self.unexplained_late_stops((EVERY_MACHINE, END_MS - 500, END_MS + 500)), []
+        )
 
 
 if __name__ == "__main__":
--- a/tests/soak/test_verdict.py
+++ b/tests/soak/test_verdict.py
@@ -1,11 +1,11 @@
-"""Tests of the verdict: what excuses a request that was cut, and which invariants count."""
+"""Tests of the verdict: which causes excuse a cut request, and which invariants are reported."""
 
 import tempfile
 import unittest
 from pathlib import Path
 from types import SimpleNamespace
 
-from swiftdeck.soak.invariants import InvariantWatch, broken
+from swiftdeck.soak.invariants import InvariantWatch, broken_invariants
 from swiftdeck.soak.verdict import broken_rules
 
 ROUTER, OTHER, CORE = "router1", "router2", "core1"
@@ -17,8 +17,8 @@
 
 
 def cut_request(crashed=False, broken_off=False):
-    """Records of a request that a stopping router took late and cut."""
-    asked = {
+    """Return the records of a request that a stopping router accepted late and then cut."""
+    attempt = {
         "id": "a.0",
         "root": "a",
         "host": "h",
@@ -40,7 +40,7 @@
     result |= {"retryAfter": 0.0, "mode": "safe"}
     items = [
         {"atMs": STOPPED_MS, "kind": "planned", "machine": ROUTER, "what": "term"},
-        {"atMs": SENT_MS, "kind": "try"} | asked,
+        {"atMs": SENT_MS, "kind": "try"} | attempt,
         {"atMs": SENT_MS, "kind": "arrive", "id": "a.0", "worker": "w1", "service": "s"},
         {"atMs": SENT_MS, "kind": "run"} | run,
         {"atMs": CUT_MS, "kind": "ran", "id": "a.0", "run": "w1#1", "worker": "w1", "whole": False},
@@ -58,35 +58,42 @@
         items = cut_request(crashed, broken_off)
         return "LOST" in broken_rules(items, troubles(noted, planned), 1.0)
 
-    def test_a_request_taken_late_and_cut_is_lost(self):
+    def test_a_request_accepted_late_and_cut_is_lost(self):
         self.assertTrue(self.is_lost())
 
     def test_planned_stops_do_not_excuse_it(self):
         stops = [[ROUTER, STOPPED_MS, CUT_MS + 500], [CORE, SENT_MS, CUT_MS]]
         self.assertTrue(self.is_lost(planned=stops))
 
-    def test_unplanned_trouble_there_or_at_a_core_excuses_it(self):
+    def test_unplanned_trouble_of_the_router_or_a_core_excuses_it(self):
         self.assertFalse(self.is_lost(noted=[[ROUTER, SENT_MS, SENT_MS + 100]]))
         self.assertFalse(self.is_lost(noted=[[CORE, SENT_MS, SENT_MS + 100]]))
         self.assertTrue(self.is_lost(noted=[[OTHER, SENT_MS, SENT_MS + 100]]))
 
-    def test_an_end_by_its_worker_excuses_it(self):
+    def test_a_run_ended_by_its_worker_excuses_it(self):
         self.assertFalse(self.is_lost(crashed=True))
         self.assertFalse(self.is_lost(broken_off=True))
 
-    def test_an_old_read_at_any_core_breaks_config(self):
-        told = {"atMs": 1000, "kind": "told", "status": 200, "version": 7, "base": 6, "bad": False}
+    def test_a_stale_read_at_any_core_breaks_config(self):
+        acknowledged = {
+            "atMs": 1000,
+            "kind": "told",
+            "status": 200,
+            "version": 7,
+            "base": 6,
+            "bad": False,
+        }
         read = {"atMs": 3500, "kind": "configRead", "core": CORE, "version": 6}
         for sent_ms, is_broken in ((2900, False), (3001, True)):
-            found = broken_rules([told, read | {"sentMs": sent_ms}], troubles(), 1.0)
+            found = broken_rules([acknowledged, read | {"sentMs": sent_ms}], troubles(), 1.0)
             self.assertEqual("CONFIG" in found, is_broken)
-        newer = [told, read | {"sentMs": 3001, "version": 7}]
+        newer = [acknowledged, read | {"sentMs": 3001, "version": 7}]
         self.assertEqual(broken_rules(newer, troubles(), 1.0), {})
 
-    def test_invariants_above_zero_count(self):
+    def test_invariant_counters_above_zero_are_reported(self):
         counters = {"invariant.a": 2, "invariant.b": 0, "calls": 9}
-        self.assertEqual(broken(counters), {"invariant.a": 2})
-        self.assertEqual(broken(None), {})
+        self.assertEqual(broken_invariants(counters), {"invariant.a": 2})
+        self.assertEqual(broken_invariants(None), {})
 
     def test_logs_of_all_lives_are_read(self):
         with tempfile.TemporaryDirectory() as folder:
