--- a/swiftdeck/bench/platform_api/balancer.py
+++ b/swiftdeck/bench/platform_api/balancer.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's address: which nodes get new connections."""
+"""A stand-in for the platform's load balancer, which decides which nodes get new connections."""
 
 import asyncio
 
@@ -6,32 +6,39 @@
 
 
 class Balancer:
-    """Asks each node every second whether it is ready; two misses take it out, one answer takes it in."""
+    """Probes the readiness of each node every second; two failures in a row take it out, one success takes it in.
+
+    `nodes` has the front address and the probed address of each node by its name. A node is out until its first success.
+    """
 
     def __init__(self, nodes):
         self.nodes, self.misses = nodes, {}
 
     async def run(self):
-        """Go on asking."""
+        """Probe all nodes once a second, until cancelled."""
         while True:
-            await asyncio.gather(*(self._ask(name, addr) for name, (_, addr) in self.nodes.items()))
+            await asyncio.gather(
+                *(self._probe(name, address) for name, (_, address) in self.nodes.items())
+            )
             await asyncio.sleep(1)
 
-    async def _ask(self, name, addr):
-        got = await fetch_json(addr, "GET", "/swiftdeck/ready", timeoutMs=800)
-        self.misses[name] = 0 if got and got[0] == 200 else self.misses.get(name, 2) + 1
+    async def _probe(self, name, address):
+        response = await fetch_json(address, "GET", "/swiftdeck/ready", timeoutMs=800)
+        self.misses[name] = 0 if response and response[0] == 200 else self.misses.get(name, 2) + 1
 
     def ready(self):
-        """(Name, front address) of the nodes that are in."""
+        """Return (name, front address) of the nodes that are in."""
         return [
-            (name, front) for name, (front, _) in self.nodes.items() if self.misses.get(name, 2) < 2
+            (name, front_address)
+            for name, (front_address, _) in self.nodes.items()
+            if self.misses.get(name, 2) < 2
         ]
 
     def doors(self):
-        """(Name, front address) of the nodes that are in; of all, where fewer than half are."""
-        ready = self.ready()
+        """Return (name, front address) of the nodes that are in, or of all nodes when fewer than half are in."""
+        ready_nodes = self.ready()
         return (
-            ready
-            if 2 * len(ready) >= len(self.nodes)
-            else [(name, front) for name, (front, _) in self.nodes.items()]
+            ready_nodes
+            if 2 * len(ready_nodes) >= len(self.nodes)
+            else [(name, front_address) for name, (front_address, _) in self.nodes.items()]
         )
--- a/swiftdeck/bench/platform_api/client.py
+++ b/swiftdeck/bench/platform_api/client.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's clients, which keep to its page and record what they sent and got."""
+"""A stand-in for the platform's clients: follows the client rules and records each request sent and its result."""
 
 import asyncio
 import itertools
@@ -10,22 +10,25 @@
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import connect
 
-EVENT = re.compile(rb"id: (\d+)\ndata: (\S+) (\d+) (\S+)\n\n")
+EVENT_PATTERN = re.compile(rb"id: (\d+)\ndata: (\S+) (\d+) (\S+)\n\n")
 LEFT, SILENT, WHOLE, NOT_REACHED = "left", "silence or deadline", "whole", "not reached"
-"""How a try ends that its client gives up, that has its answer, or that no router took."""
-PROMISES, FINAL = (408, 421, 429, 503), (400, 401, 404, 413, 431)
+"""How an attempt ends: the client closed it, its time ran out, the response is complete, or no router accepted it."""
+NOT_RUN_STATUSES, FINAL_STATUSES = (408, 421, 429, 503), (400, 401, 404, 413, 431)
 STREAMING, SAFE = "streaming", "safe"
-LEAST_SILENCE_S, SILENCE_AIMS, SILENCE_GAPS = 2.0, 4, 8
-"""A stream is given up after a silence: the longest of a time, of some aims, and of some longest pauses."""
-CONNECT_MS, NO_DOOR_PAUSE_S, AGAIN_S = 1000, 0.2, 0.05
+MIN_SILENCE_S, SILENCE_RESPONSE_TARGETS, SILENCE_GAP_TARGETS = 2.0, 4, 8
+"""A stream is given up after a silence of the longest of a minimum, a multiple of the response time target, and a
+multiple of the target gap between events."""
+CONNECT_MS, NO_ROUTER_PAUSE_S, RETRY_PAUSE_S = 1000, 0.2, 0.05
 
 
 @attrs.frozen
-class Wanted:
-    """What a client asks for, and how long and how often it tries.
+class RequestSpec:
+    """A request of a client, with its deadline and its number of attempts.
 
-    `door` is the name and the address of a router, where the client does not choose one. With `leaves_s` it closes its
-    connection so long after it sent its request, and doesn't come back.
+    `door` is the name and the address of the router to use; without it the client picks one at random. With `leaves_s` the
+    client closes its connection that many seconds after it sent the request, and does not retry. `out` is the number of
+    output tokens, `aim_ms` and `gap_ms` are the response time and event gap that the client expects, and `keeps` tells whether
+    the connection is reused.
     """
 
     host: str
@@ -48,57 +51,65 @@
     leaves_s: float | None = None
 
     def is_stream(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Return whether the response is a stream of events."""
         return self.kind == STREAMING
 
     def silence_s(self) -> float:
-        """After how long without anything a try is given up."""
+        """Return after how many seconds without data an attempt is given up."""
         if not self.is_stream():
             return self.within_ms / 1000
-        aims_s, gaps_s = SILENCE_AIMS * self.aim_ms / 1000, SILENCE_GAPS * self.gap_ms / 1000
-        return max(LEAST_SILENCE_S, aims_s, gaps_s)
+        response_limit_s, gap_limit_s = (
+            SILENCE_RESPONSE_TARGETS * self.aim_ms / 1000,
+            SILENCE_GAP_TARGETS * self.gap_ms / 1000,
+        )
+        return max(MIN_SILENCE_S, response_limit_s, gap_limit_s)
 
-    def lines(self, name, left_ms, last_event) -> list:
-        """The headers of one try."""
-        lines = [
-            ("Swiftdeck-Request-Id", name),
+    def build_headers(self, request_id, left_ms, last_event_id) -> list:
+        """Return the headers of one attempt, of which `left_ms` remain until the deadline."""
+        headers = [
+            ("Swiftdeck-Request-Id", request_id),
             ("Swiftdeck-Time-Left-Ms", str(left_ms)),
             *self.headers,
         ]
         if self.key:
-            lines.append(("Authorization", f"Bearer {self.key}"))
+            headers.append(("Authorization", f"Bearer {self.key}"))
         if self.is_stream():
-            lines.append(("Accept", "text/event-stream"))
+            headers.append(("Accept", "text/event-stream"))
         if self.model:
-            lines += self._prompt_lines()
-        if last_event and self.resumable:
-            lines.append(("Last-Event-Id", str(last_event)))
-        return lines
+            headers += self._prompt_headers()
+        if last_event_id and self.resumable:
+            headers.append(("Last-Event-Id", str(last_event_id)))
+        return headers
 
-    def _prompt_lines(self):
-        tokens = sum(each for _, each in self.parts)
+    def _prompt_headers(self):
+        prompt_tokens = sum(part_tokens for _, part_tokens in self.parts)
         prefix = ",".join(f"{part}:{count}" for part, count in self.parts)
         return [
             ("Swiftdeck-Model", self.model),
-            ("Swiftdeck-Token-Count", f"{tokens},{self.out}"),
+            ("Swiftdeck-Token-Count", f"{prompt_tokens},{self.out}"),
             ("Swiftdeck-Prompt-Prefix", prefix),
         ]
 
-    def is_tried_again(self, got) -> bool:
-        """Whether a further try may follow one that ended so."""
-        if got["end"] == LEFT or got["complete"] and 200 <= got["status"] < 300:
+    def allows_retry(self, result) -> bool:
+        """Return whether an attempt with this result may be retried."""
+        if result["end"] == LEFT or result["complete"] and 200 <= result["status"] < 300:
             return False
-        if got["status"] in FINAL:
+        if result["status"] in FINAL_STATUSES:
             return False
-        if self.kind == SAFE or not got["sent"] or got["status"] in PROMISES and got["complete"]:
+        if (
+            self.kind == SAFE
+            or not result["sent"]
+            or result["status"] in NOT_RUN_STATUSES
+            and result["complete"]
+        ):
             return True
         return self.is_stream() and self.resumable
 
 
-def empty_result(name, router, kind) -> dict:
-    """The result of a try of which nothing was sent and nothing has come."""
+def empty_result(request_id, router, mode) -> dict:
+    """Return the result of an attempt before anything was sent or received."""
     return {
-        "id": name,
+        "id": request_id,
         "router": router,
         "status": 0,
         "end": "",
@@ -109,136 +120,141 @@
         "body": "",
         "ownId": "",
         "retryAfter": 0.0,
-        "mode": kind,
+        "mode": mode,
     }
 
 
 class Client:
-    """Sends requests, each try under an id of its own."""
+    """Sends requests, each attempt under a request id of its own.
+
+    `doors` returns the (name, address) pairs of the routers that accept connections. Idle connections are kept by address.
+    """
 
     def __init__(self, name, record, random, doors):
         self.name, self.record, self.random, self.doors = name, record, random, doors
         self.serial, self.kept = itertools.count(1), {}
 
     async def ask(self, host, path, **fields):
-        """One request with its further tries, by the fields of `Wanted`; gives the last result."""
-        wanted = Wanted(host, path, **fields)
+        """Send a request given by the fields of `RequestSpec`, with its retries; return the last result."""
+        request = RequestSpec(host, path, **fields)
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + wanted.within_ms / 1000
-        root, events = f"{self.name}-{next(self.serial)}", []
-        for turn in range(wanted.tries):
-            door = wanted.door or self._door()
-            if door is None:
-                await asyncio.sleep(NO_DOOR_PAUSE_S)
+        end_s = loop.time() + request.within_ms / 1000
+        root_id, events = f"{self.name}-{next(self.serial)}", []
+        for attempt in range(request.tries):
+            router = request.door or self._door()
+            if router is None:
+                await asyncio.sleep(NO_ROUTER_PAUSE_S)
                 continue
-            got = await self._one_try(wanted, door, root, turn, events, end_s)
-            events += got["events"]
-            if not wanted.is_tried_again(got) or loop.time() >= end_s:
+            result = await self._attempt(request, router, root_id, attempt, events, end_s)
+            events += result["events"]
+            if not request.allows_retry(result) or loop.time() >= end_s:
                 break
-            pause_s = min(got["retryAfter"] or AGAIN_S, (end_s - loop.time()) / 3)
+            pause_s = min(result["retryAfter"] or RETRY_PAUSE_S, (end_s - loop.time()) / 3)
             await asyncio.sleep(max(0, pause_s))
-        return got | {"allEvents": events}
+        return result | {"allEvents": events}
 
     def _door(self):
-        doors = self.doors()
-        return self.random.choice(doors) if doors else None
+        routers = self.doors()
+        return self.random.choice(routers) if routers else None
 
-    async def _one_try(self, wanted, door, root, turn, events, end_s):
-        """Send a request once, and record it and what came of it."""
-        name, last_event = f"{root}.{turn}", events[-1][0] if events else 0
+    async def _attempt(self, request, router, root_id, attempt, events, end_s):
+        """Send a request once, and record the attempt and its result."""
+        request_id, last_event_id = f"{root_id}.{attempt}", events[-1][0] if events else 0
         left_ms = max(1, int((end_s - asyncio.get_running_loop().time()) * 1000))
         self.record(
             "try",
-            id=name,
-            root=root,
-            host=wanted.host,
-            target=wanted.path,
-            key=wanted.key,
-            method=wanted.method,
-            body=digest(wanted.body),
-            router=door[0],
-            mode=wanted.kind,
-            resumable=wanted.resumable,
+            id=request_id,
+            root=root_id,
+            host=request.host,
+            target=request.path,
+            key=request.key,
+            method=request.method,
+            body=digest(request.body),
+            router=router[0],
+            mode=request.kind,
+            resumable=request.resumable,
             end_ms=left_ms,
-            after=last_event,
+            after=last_event_id,
         )
-        got = empty_result(name, door[0], wanted.kind)
+        result = empty_result(request_id, router[0], request.kind)
         try:
-            lines = wanted.lines(name, left_ms, last_event)
-            await self._exchange(wanted, door[1], lines, got, end_s)
+            headers = request.build_headers(request_id, left_ms, last_event_id)
+            await self._exchange(request, router[1], headers, result, end_s)
         finally:
-            self.record("result", **got)
-        return got
+            self.record("result", **result)
+        return result
 
-    async def _exchange(self, wanted, addr, lines, got, end_s):
-        link = await self._link(wanted, addr, got)
-        if link is None:
-            got["end"] = NOT_REACHED
+    async def _exchange(self, request, address, headers, result, end_s):
+        connection = await self._take_connection(request, address, result)
+        if connection is None:
+            result["end"] = NOT_REACHED
             return
-        got["sent"] = True
-        leaving = asyncio.timeout(wanted.leaves_s)
+        result["sent"] = True
+        leave_timeout = asyncio.timeout(request.leaves_s)
         try:
-            async with leaving, asyncio.timeout_at(end_s):
-                async with asyncio.timeout(wanted.silence_s()) as silence:
-                    await self._read(wanted, link, lines, got, silence)
+            async with leave_timeout, asyncio.timeout_at(end_s):
+                async with asyncio.timeout(request.silence_s()) as silence_timeout:
+                    await self._read_response(request, connection, headers, result, silence_timeout)
         except TimeoutError:
-            got["end"] = LEFT if leaving.expired() else SILENT
-        if got["end"] == WHOLE and wanted.keeps and got["keep"]:
-            self.kept[addr] = link
+            result["end"] = LEFT if leave_timeout.expired() else SILENT
+        if result["end"] == WHOLE and request.keeps and result["keep"]:
+            self.kept[address] = connection
         else:
-            self._leave(link, got)
-
-    async def _link(self, wanted, addr, got):
-        """A connection to a router, kept or new, or None."""
-        link = self.kept.pop(addr, None) if wanted.keeps else None
-        if link is not None and link.conn.trailing_data[0]:
-            self.record("surplus", data=repr(link.conn.trailing_data[0][:40]))
-        elif link is not None and not link.gone:
-            got["kept"] = True
-            return link
-        ip, _, port = addr.rpartition(":")
-        link = await connect(ip, int(port), CONNECT_MS)
-        return None if is_fault(link) else link
-
-    def _leave(self, link, got):
-        """Close a connection as clients do: by the end of the stream, not by a reset."""
-        if got["end"] in (LEFT, SILENT) and not link.gone:
-            self.record("left", id=got["id"], router=got["router"])
-        link.transport.close()
-
-    async def _read(self, wanted, link, lines, got, silence):
-        """Send the request, and read its answer as it comes."""
-        answer = await link.exchange(wanted.method, wanted.path, lines, wanted.body, wanted.host)
-        got["keep"] = False
-        if is_fault(answer):
-            got["end"] = f"no answer: {answer.reason}"
+            self._close_connection(connection, result)
+
+    async def _take_connection(self, request, address, result):
+        """Return an idle or a new connection to a router, or None if it can't be reached."""
+        connection = self.kept.pop(address, None) if request.keeps else None
+        if connection is not None and connection.conn.trailing_data[0]:
+            self.record("surplus", data=repr(connection.conn.trailing_data[0][:40]))
+        elif connection is not None and not connection.gone:
+            result["kept"] = True
+            return connection
+        ip, _, port = address.rpartition(":")
+        connection = await connect(ip, int(port), CONNECT_MS)
+        return None if is_fault(connection) else connection
+
+    def _close_connection(self, connection, result):
+        """Close a connection as clients do: with a FIN, not with a reset."""
+        if result["end"] in (LEFT, SILENT) and not connection.gone:
+            self.record("left", id=result["id"], router=result["router"])
+        connection.transport.close()
+
+    async def _read_response(self, request, connection, headers, result, silence_timeout):
+        """Send the request and read its response as it arrives, extending the silence timeout with each chunk."""
+        response = await connection.exchange(
+            request.method, request.path, headers, request.body, request.host
+        )
+        result["keep"] = False
+        if is_fault(response):
+            result["end"] = f"no answer: {response.reason}"
             return
-        head, data = answer.headers, bytearray()
-        got |= {
-            "status": answer.status,
-            "seal": head.get("swiftdeck-server-seal", ""),
-            "ownId": head.get("swiftdeck-request-id", ""),
-            "retryAfter": float(head.get("retry-after", 0)),
-            "keep": head.get("connection", "") != "close",
+        response_headers, buffer = response.headers, bytearray()
+        result |= {
+            "status": response.status,
+            "seal": response_headers.get("swiftdeck-server-seal", ""),
+            "ownId": response_headers.get("swiftdeck-request-id", ""),
+            "retryAfter": float(response_headers.get("retry-after", 0)),
+            "keep": response_headers.get("connection", "") != "close",
         }
-        has_events = wanted.is_stream() and answer.status == 200
-        async for piece in answer.pieces():
-            data += piece
-            silence.reschedule(asyncio.get_running_loop().time() + wanted.silence_s())
+        has_events = request.is_stream() and response.status == 200
+        async for chunk in response.pieces():
+            buffer += chunk
+            silence_timeout.reschedule(asyncio.get_running_loop().time() + request.silence_s())
             if has_events:
-                got["events"] += self._events(data)
-        got["complete"] = answer.fault is None
-        got["end"] = WHOLE if got["complete"] else f"cut: {answer.fault.reason}"
-        got["body"] = "" if wanted.is_stream() else digest(bytes(data))
-        got["rest"] = len(data) if has_events else 0
+                result["events"] += self._take_events(buffer)
+        result["complete"] = response.fault is None
+        result["end"] = WHOLE if result["complete"] else f"cut: {response.fault.reason}"
+        result["body"] = "" if request.is_stream() else digest(bytes(buffer))
+        result["rest"] = len(buffer) if has_events else 0
 
     @staticmethod
-    def _events(data):
-        """Take the whole events out of what has come: their number, name and run."""
-        end = data.rfind(b"\n\n") + 2 if b"\n\n" in data else 0
-        found = [
-            [int(number), name.decode(), run.decode()]
-            for number, name, _, run in EVENT.findall(data[:end])
+    def _take_events(buffer):
+        """Remove the complete events from the buffer and return [event id, request id, run id] of each."""
+        end = buffer.rfind(b"\n\n") + 2 if b"\n\n" in buffer else 0
+        events = [
+            [int(event_id), request_id.decode(), run_id.decode()]
+            for event_id, request_id, _, run_id in EVENT_PATTERN.findall(buffer[:end])
         ]
-        del data[:end]
-        return found
+        del buffer[:end]
+        return events
--- a/swiftdeck/bench/platform_api/listing.py
+++ b/swiftdeck/bench/platform_api/listing.py
@@ -8,11 +8,11 @@
 
 
 class WorkerList:
-    """Shows what workers there are, some time after it is so, page by page, and not too often."""
+    """Lists the workers with a delay of `lag_ms`, in pages of `page` entries, and rejects calls beyond `rate_per_s`."""
 
-    def __init__(self, addr, record, lag_ms=400, rate_per_s=20, page=3):
-        self.addr, self.record, self.lag_ms, self.rate_per_s, self.page = (
-            addr,
+    def __init__(self, address, record, lag_ms=400, rate_per_s=20, page=3):
+        self.address, self.record, self.lag_ms, self.rate_per_s, self.page = (
+            address,
             record,
             lag_ms,
             rate_per_s,
@@ -22,28 +22,28 @@
         self.http = HttpServer(self.handle)
 
     async def start(self):
-        """Listen."""
-        ip, _, port = self.addr.rpartition(":")
+        """Listen on the address of the list."""
+        ip, _, port = self.address.rpartition(":")
         await self.http.start(ip, int(port))
 
     def show(self, entries):
-        """From now on, some time later, these are the workers; a function that gives them."""
-        asyncio.get_running_loop().call_later(self.lag_ms / 1000, self._show, entries)
+        """Replace the listed entries after the lag of the list."""
+        asyncio.get_running_loop().call_later(self.lag_ms / 1000, self._publish, entries)
 
-    def _show(self, entries):
-        now = {each["id"]: each for each in entries}
-        for name, entry in now.items():
+    def _publish(self, entries):
+        current = {listed["id"]: listed for listed in entries}
+        for name, entry in current.items():
             if (
                 entry["server-state"] == "draining"
                 and self.shown.get(name, {}).get("server-state") != "draining"
             ):
                 self.record("shown", worker=name, state="draining")
-        for name in self.shown.keys() - now.keys():
+        for name in self.shown.keys() - current.keys():
             self.record("shown", worker=name, state="gone")
-        self.shown = now
+        self.shown = current
 
     async def handle(self, exchange):
-        """One page of the list."""
+        """Answer with one page of the list, or with 429 beyond the rate limit."""
         now_s = asyncio.get_running_loop().time()
         while self.calls and self.calls[0] <= now_s - 1:
             self.calls.popleft()
@@ -53,13 +53,13 @@
             self.over += 1
             return await exchange.send_json(429, {})
         self.calls.append(now_s)
-        at = int(exchange.query.get("page-token", "p-0").removeprefix("p-"))
+        begin = int(exchange.query.get("page-token", "p-0").removeprefix("p-"))
         entries = list(self.shown.values())
-        after = at + self.page
+        end = begin + self.page
         return await exchange.send_json(
             200,
             {
-                "app-servers": entries[at:after],
-                "next-token": f"p-{after}" if after < len(entries) else None,
+                "app-servers": entries[begin:end],
+                "next-token": f"p-{end}" if end < len(entries) else None,
             },
         )
--- a/swiftdeck/bench/platform_api/worker.py
+++ b/swiftdeck/bench/platform_api/worker.py
@@ -1,33 +1,42 @@
-"""A stand-in for a worker of the platform: batches, kept parts, orders, streams, and troubles on demand."""
+"""A stand-in for a worker of the platform: batching, cached prompt parts, weight orders, streams and injected faults."""
 
 import asyncio
 import hashlib
 import itertools
 
 from swiftdeck.bench.platform_api.parts import KeptPart, PartCache
-from swiftdeck.bench.platform_api.store import PARTS, give_reports
+from swiftdeck.bench.platform_api.store import PARTS_PATH, answer_cache_call
 from swiftdeck.fault import is_fault
 from swiftdeck.http.client import fetch_json
 from swiftdeck.http.cuts import CutReason
 from swiftdeck.http.server import HttpServer
 from swiftdeck.platform.header_codec import parse_parts
 
-LOAD_S, CHUNK, READ_PER_S, STEP_S = 0.4, 2048, 61200, 0.00337
+WEIGHT_LOAD_S, PREFILL_CHUNK_TOKENS, PREFILL_TOKENS_PER_S, TOKEN_INTERVAL_S = (
+    0.4,
+    2048,
+    61200,
+    0.00337,
+)
 QUIRKS = (
     *("", "cut", "garble", "surplus", "reset", "silence", "slow", "full", "unsealed", "failing"),
     *("empty", "foreign", "swapped", "nameless", "stray refusal", "encoded", "framed twice"),
     *("bad chunk", "stall", "forgets", "back"),
 )
-OTHER = "not-the-request"
+FOREIGN_REQUEST_ID = "not-the-request"
 
 
 def digest(data: bytes) -> str:
-    """A short name of some bytes."""
+    """Return the hex BLAKE2b digest (8 bytes) of `data`, which stands for it in the records."""
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
 class PlatformWorker:
-    """One life of a worker of one service."""
+    """One incarnation of a worker of one service.
+
+    `quirk` names the fault that it injects, one of `QUIRKS`, into the share `quirk_share` of its requests. `is_named` tells
+    whether a model may be moved to a version of its weights.
+    """
 
     lives = itertools.count(1)
 
@@ -45,17 +54,17 @@
             None,
         )
         self.order_delays_s = []
-        """Delays of the next orders, each of which is taken so long after it was sent, whoever has given it up."""
+        """Delays of the next orders in seconds: each is processed that long after it arrived, even if its sender gave up."""
         self.http = HttpServer(self.handle, idleMs=plan.get("idle_ms", 20000))
 
     @property
     def name(self):
-        """The id of this life."""
+        """The worker id of this incarnation."""
         return self.plan["id"]
 
     async def start(self):
-        """Listen."""
-        self.reading = asyncio.Lock()
+        """Listen on the address of the plan, and record that the worker is up."""
+        self.prefill_lock = asyncio.Lock()
         ip, _, port = self.plan["address"].rpartition(":")
         await self.http.start(ip, int(port))
         self.record(
@@ -63,7 +72,7 @@
         )
 
     def entry(self):
-        """This worker on the platform's list."""
+        """Return the entry of this worker on the platform's list."""
         return {
             "id": self.name,
             "backend": self.plan["backend"],
@@ -84,8 +93,8 @@
         ]
 
     async def handle(self, exchange):
-        """One exchange of any kind."""
-        if await give_reports(self.cache, exchange):
+        """Handle one HTTP exchange: cache reports, status report, order, health check or request."""
+        if await answer_cache_call(self.cache, exchange):
             return None
         if exchange.path == "/swiftdeck/report":
             return await exchange.send_json(
@@ -108,103 +117,106 @@
             return await exchange.send_response(
                 503 if self.is_leaving else 200, [("Swiftdeck-Worker-Id", self.name)], b""
             )
-        return await self._request(exchange)
+        return await self._handle_request(exchange)
 
     async def _order(self, exchange):
         if self.order_delays_s:
             delay_s = self.order_delays_s.pop(0)
             exchange.watch_client(exchange.abort)
-            asyncio.get_running_loop().call_later(delay_s, self._take_order, exchange, delay_s)
+            asyncio.get_running_loop().call_later(delay_s, self._process_order, exchange, delay_s)
             return await asyncio.Event().wait()
-        return await exchange.send_json(self._take_order(exchange), {})
+        return await exchange.send_json(self._process_order(exchange), {})
 
-    def _take_order(self, exchange, held_s=0.0):
-        """The status of an order that was held up so long on its way; it is begun where that is 202."""
-        asked = exchange.json()
-        status = self._order_status(asked) if isinstance(asked, dict) else 400
+    def _process_order(self, exchange, delay_s=0.0):
+        """Return the status of an order that was delayed by `delay_s` in transit; start loading the weights if it is 202."""
+        order = exchange.json()
+        status = self._order_status(order) if isinstance(order, dict) else 400
         if exchange.headers.get("swiftdeck-expected-worker", self.name) != self.name:
             status = 421
         self.record(
             "order",
             worker=self.name,
-            owner=str(asked.get("owner")),
-            fence=asked.get("fence"),
-            model=asked.get("model"),
-            version=asked.get("version"),
+            owner=str(order.get("owner")),
+            fence=order.get("fence"),
+            model=order.get("model"),
+            version=order.get("version"),
             status=status,
-            heldMs=int(held_s * 1000),
+            heldMs=int(delay_s * 1000),
         )
         if status == 202:
             self.orders += 1
-            self.busy = asked["model"]
+            self.busy = order["model"]
             self.order_task = asyncio.ensure_future(
-                self._load(asked["model"], asked["version"], asked.get("method", "wait"))
+                self._load_weights(order["model"], order["version"], order.get("method", "wait"))
             )
         return status
 
-    def _order_status(self, asked):
+    def _order_status(self, order):
         if (
-            asked.get("operation") != "version"
-            or not asked.get("owner")
-            or not isinstance(asked.get("fence"), int)
+            order.get("operation") != "version"
+            or not order.get("owner")
+            or not isinstance(order.get("fence"), int)
         ):
             return 400
-        if not self.is_named(asked.get("model"), asked.get("version")):
+        if not self.is_named(order.get("model"), order.get("version")):
             return 400
-        if self.checks_fences and asked["fence"] < self.fence:
+        if self.checks_fences and order["fence"] < self.fence:
             return 412
-        self.fence = max(self.fence, asked["fence"])
-        if self.busy or asked.get("expected-count", self.orders) != self.orders:
+        self.fence = max(self.fence, order["fence"])
+        if self.busy or order.get("expected-count", self.orders) != self.orders:
             return 409
-        return 200 if self.versions.get(asked["model"]) == asked["version"] else 202
+        return 200 if self.versions.get(order["model"]) == order["version"] else 202
 
-    async def _load(self, model, version, method):
+    async def _load_weights(self, model, version, method):
         if method == "cut":
             for exchange in list(self.active.values()):
                 exchange.abort()
         while method == "wait" and self.active:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(LOAD_S)
+        await asyncio.sleep(WEIGHT_LOAD_S)
         self.versions[model] = version
         self.cache.clear(model)
         self.busy = None
         self.record("loaded", worker=self.name, model=model, version=version)
 
-    async def _request(self, exchange):
-        """One request, which is dropped when its connection closes."""
+    async def _handle_request(self, exchange):
+        """Handle one request, which is aborted when the connection of its client closes."""
         exchange.watch_client(lambda: exchange.abort(CutReason.CLIENT_LEFT))
-        head = exchange.headers
-        name, model = head.get("swiftdeck-request-id", ""), head.get("swiftdeck-model", "")
-        self.record("arrive", worker=self.name, service=self.plan["backend"], id=name)
-        refusal = self._refusal(head, name, model)
+        headers = exchange.headers
+        request_id, model = (
+            headers.get("swiftdeck-request-id", ""),
+            headers.get("swiftdeck-model", ""),
+        )
+        self.record("arrive", worker=self.name, service=self.plan["backend"], id=request_id)
+        refusal = self._refusal(headers, request_id, model)
         if refusal is None and len(self.active) >= self.plan["capacity"]:
-            refusal = await self._wait(exchange, head, model)
+            refusal = await self._wait_for_slot(exchange, headers, model)
         if refusal is not None:
-            self.record("refused", worker=self.name, id=name, status=refusal)
+            self.record("refused", worker=self.name, id=request_id, status=refusal)
             return await exchange.send_response(
-                refusal, [("Swiftdeck-Request-Id", name), ("Swiftdeck-Not-Run", "1")], b""
+                refusal, [("Swiftdeck-Request-Id", request_id), ("Swiftdeck-Not-Run", "1")], b""
             )
-        run = f"{self.name}#{next(self.runs)}"
-        self.active[run] = exchange
-        whole = False
+        run_id = f"{self.name}#{next(self.runs)}"
+        self.active[run_id] = exchange
+        is_complete = False
         try:
-            whole = await self._run(exchange, head, name, model, run)
+            is_complete = await self._run_request(exchange, headers, request_id, model, run_id)
         finally:
-            self.active.pop(run, None)
-            self.record("ran", worker=self.name, id=name, run=run, whole=bool(whole))
-        if whole and self.quirk == "forgets" and self.random.random() < self.quirk_share:
-            self._forget(exchange)
-        if whole and self.quirk == "surplus" and self.random.random() < self.quirk_share:
-            await self._say_more(exchange, name, run)
+            self.active.pop(run_id, None)
+            self.record("ran", worker=self.name, id=request_id, run=run_id, whole=bool(is_complete))
+        if is_complete and self.quirk == "forgets" and self.random.random() < self.quirk_share:
+            self._abort_on_next_data(exchange)
+        if is_complete and self.quirk == "surplus" and self.random.random() < self.quirk_share:
+            await self._send_surplus_response(exchange, request_id, run_id)
         return None
 
-    def _refusal(self, head, name, model):
-        if not name:
+    def _refusal(self, headers, request_id, model):
+        if not request_id:
             return 400
-        if head.get("swiftdeck-expected-worker", self.name) != self.name:
+        if headers.get("swiftdeck-expected-worker", self.name) != self.name:
             return 421
         if int(
-            head.get("swiftdeck-expected-version") or self.versions.get(model, 0)
+            headers.get("swiftdeck-expected-version") or self.versions.get(model, 0)
         ) != self.versions.get(model, 0):
             return 421
         is_full = self.quirk == "full" and self.random.random() < self.quirk_share
@@ -217,51 +229,51 @@
             else None
         )
 
-    async def _wait(self, exchange, head, model):
-        """Wait for a slot, the more urgent first; a status where none comes."""
-        entry = [int(head.get("swiftdeck-urgency") or 5), next(self.runs)]
-        self.queue.append(entry)
+    async def _wait_for_slot(self, exchange, headers, model):
+        """Wait for a free slot, the most urgent request first; return None, or 503 when its time is up."""
+        ticket = [int(headers.get("swiftdeck-urgency") or 5), next(self.runs)]
+        self.queue.append(ticket)
         end_s = (
             asyncio.get_running_loop().time()
-            + float(head.get("swiftdeck-time-left-ms") or 1000) / 1000
+            + float(headers.get("swiftdeck-time-left-ms") or 1000) / 1000
         )
         try:
             while asyncio.get_running_loop().time() < end_s and not (
                 self.busy and self.busy == model
             ):
-                if len(self.active) < self.plan["capacity"] and min(self.queue) is entry:
+                if len(self.active) < self.plan["capacity"] and min(self.queue) is ticket:
                     return None
                 await asyncio.sleep(0.005)
             return 503
         finally:
-            self.queue.remove(entry)
+            self.queue.remove(ticket)
 
-    async def _run(self, exchange, head, name, model, run):
+    async def _run_request(self, exchange, headers, request_id, model, run_id):
         tenant, salt, version = (
-            head.get("swiftdeck-tenant", ""),
-            head.get("swiftdeck-cache-salt", ""),
+            headers.get("swiftdeck-tenant", ""),
+            headers.get("swiftdeck-cache-salt", ""),
             self.versions.get(model, 0),
         )
-        parts = parse_parts(head.get("swiftdeck-prompt-prefix", "")) if model else []
+        parts = parse_parts(headers.get("swiftdeck-prompt-prefix", "")) if model else []
         quirk = self.quirk if self.random.random() < self.quirk_share else ""
         end_s = (
             asyncio.get_running_loop().time()
-            + float(head.get("swiftdeck-time-left-ms") or 60000) / 1000
+            + float(headers.get("swiftdeck-time-left-ms") or 60000) / 1000
         )
         self.record(
             "run",
             worker=self.name,
             service=self.plan["backend"],
-            id=name,
-            run=run,
+            id=request_id,
+            run=run_id,
             tenant=tenant,
             version=version,
             model=model,
             method=exchange.method,
             target=exchange.target.decode("latin-1"),
             body=digest(exchange.body),
-            keyed="authorization" in head,
-            after=head.get("last-event-id", ""),
+            keyed="authorization" in headers,
+            after=headers.get("last-event-id", ""),
             quirk=quirk,
         )
         if quirk == "silence":
@@ -278,111 +290,144 @@
             exchange.conversation.transport.close()
             return False
         if quirk == "stray refusal":
-            self._say(exchange, 503, [("Swiftdeck-Not-Run", "1"), ("Content-Length", "0")])
+            self._write_raw_response(
+                exchange, 503, [("Swiftdeck-Not-Run", "1"), ("Content-Length", "0")]
+            )
             return False
         if quirk == "foreign":
-            more = [("Swiftdeck-Request-Id", OTHER), ("Content-Length", "4")]
-            self._say(exchange, 200, [*more, ("Swiftdeck-Server-Seal", f"x.{run}")], b"oops")
+            response_headers = [
+                ("Swiftdeck-Request-Id", FOREIGN_REQUEST_ID),
+                ("Content-Length", "4"),
+            ]
+            self._write_raw_response(
+                exchange,
+                200,
+                [*response_headers, ("Swiftdeck-Server-Seal", f"x.{run_id}")],
+                b"oops",
+            )
         if quirk == "slow":
             await asyncio.sleep(1.0)
         if parts:
-            await self._read(head, salt, model, tenant, version, parts, run)
-        return await self._answer(exchange, head, name, run, version, quirk, end_s)
-
-    async def _read(self, head, salt, model, tenant, version, parts, run):
-        names = [part.name for part in parts]
-        if head.get("swiftdeck-cache-source"):
-            await self._pull(head["swiftdeck-cache-source"], salt, model, names)
-        found = self.cache.first(salt, model, names)
-        missing = sum(part.tokens for part in parts[len(found) :])
+            await self._prefill(headers, salt, model, tenant, version, parts, run_id)
+        return await self._answer(exchange, headers, request_id, run_id, version, quirk, end_s)
+
+    async def _prefill(self, headers, salt, model, tenant, version, parts, run_id):
+        part_names = [part.name for part in parts]
+        if headers.get("swiftdeck-cache-source"):
+            await self._pull_parts(headers["swiftdeck-cache-source"], salt, model, part_names)
+        cached_parts = self.cache.cached_prefix(salt, model, part_names)
+        missing_tokens = sum(part.tokens for part in parts[len(cached_parts) :])
         self.record(
             "read",
-            run=run,
-            new=missing,
-            origins=sorted({(each.tenant, each.version) for each in found}),
+            run=run_id,
+            new=missing_tokens,
+            origins=sorted(
+                {(cached_part.tenant, cached_part.version) for cached_part in cached_parts}
+            ),
         )
-        for at in range(0, missing, CHUNK):
-            async with self.reading:
-                await asyncio.sleep(min(CHUNK, missing - at) / READ_PER_S)
+        for offset in range(0, missing_tokens, PREFILL_CHUNK_TOKENS):
+            async with self.prefill_lock:
+                await asyncio.sleep(
+                    min(PREFILL_CHUNK_TOKENS, missing_tokens - offset) / PREFILL_TOKENS_PER_S
+                )
         if self.versions.get(model) == version:
-            for part in parts[len(found) :]:
+            for part in parts[len(cached_parts) :]:
                 self.cache.keep(salt, part.name, KeptPart(part.tokens, model, tenant, version))
-        if head.get("swiftdeck-cache-target"):
-            kept = [
-                (name, self.cache.held[salt, name])
-                for name in names
-                if (salt, name) in self.cache.held
+        if headers.get("swiftdeck-cache-target"):
+            kept_parts = [
+                (part_name, self.cache.held[salt, part_name])
+                for part_name in part_names
+                if (salt, part_name) in self.cache.held
             ]
-            told = {
+            document = {
                 "salt": salt,
                 "parts": [
-                    [name, [one.tokens, one.model, one.tenant, one.version]] for name, one in kept
+                    [
+                        part_name,
+                        [kept_part.tokens, kept_part.model, kept_part.tenant, kept_part.version],
+                    ]
+                    for part_name, kept_part in kept_parts
                 ],
             }
             asyncio.ensure_future(
-                fetch_json(head["swiftdeck-cache-target"], "PUT", PARTS, told, timeoutMs=500)
+                fetch_json(
+                    headers["swiftdeck-cache-target"], "PUT", PARTS_PATH, document, timeoutMs=500
+                )
             )
 
-    async def _pull(self, source, salt, model, names):
-        asked = {
+    async def _pull_parts(self, source, salt, model, part_names):
+        query = {
             "salt": salt,
             "model": model,
-            "names": names,
-            "above": len(self.cache.first(salt, model, names)),
+            "names": part_names,
+            "above": len(self.cache.cached_prefix(salt, model, part_names)),
         }
-        got = await fetch_json(source, "POST", PARTS, asked, timeoutMs=300)
-        if not is_fault(got) and got[0] == 200:
-            for name, kept in zip(names, got[1], strict=False):
-                self.cache.keep(salt, name, KeptPart(*kept))
-            self.record("pulled", source=source, parts=len(got[1]))
+        response = await fetch_json(source, "POST", PARTS_PATH, query, timeoutMs=300)
+        if not is_fault(response) and response[0] == 200:
+            for part_name, fields in zip(part_names, response[1], strict=False):
+                self.cache.keep(salt, part_name, KeptPart(*fields))
+            self.record("pulled", source=source, parts=len(response[1]))
 
     @staticmethod
-    def _say(exchange, status, headers, body=b""):
-        """Put bytes on a connection past its exchange."""
-        lines = [f"HTTP/1.1 {status} Said", *(f"{name}: {value}" for name, value in headers)]
-        exchange.conversation.transport.write("\r\n".join([*lines, "", ""]).encode() + body)
+    def _write_raw_response(exchange, status, headers, body=b""):
+        """Write a response straight to the connection, bypassing the state of its exchange."""
+        header_lines = [f"HTTP/1.1 {status} Said", *(f"{name}: {value}" for name, value in headers)]
+        exchange.conversation.transport.write("\r\n".join([*header_lines, "", ""]).encode() + body)
 
     @staticmethod
-    def _forget(exchange):
-        """Forget a connection without a word: whatever is next sent on it is reset."""
+    def _abort_on_next_data(exchange):
+        """Abort the connection when the next data arrives on it, as after a silent loss of its state."""
         conversation = exchange.conversation
         conversation.data_received = lambda data: conversation.transport.abort()
 
-    def _head(self, status, name, seal, version, more, quirk=""):
-        name = OTHER if quirk == "swapped" else name
-        lines = [
-            *([("Swiftdeck-Request-Id", name)] if quirk != "nameless" else []),
+    def _response_headers(self, status, request_id, seal, version, extra_headers, quirk=""):
+        request_id = FOREIGN_REQUEST_ID if quirk == "swapped" else request_id
+        headers = [
+            *([("Swiftdeck-Request-Id", request_id)] if quirk != "nameless" else []),
             *([("Swiftdeck-Server-Seal", seal)] if seal else []),
             *([("Content-Encoding", "gzip")] if quirk == "encoded" else []),
         ]
-        lines += [("Swiftdeck-Weight-Versions", str(version))] if version else []
-        lines += [("Connection", "close")] if self.is_leaving else []
-        return [*lines, ("Keep-Alive", f"timeout={max(1, self.http.idleMs // 1000)}"), *more]
+        headers += [("Swiftdeck-Weight-Versions", str(version))] if version else []
+        headers += [("Connection", "close")] if self.is_leaving else []
+        return [
+            *headers,
+            ("Keep-Alive", f"timeout={max(1, self.http.idleMs // 1000)}"),
+            *extra_headers,
+        ]
 
-    async def _answer(self, exchange, head, name, run, version, quirk, end_s):
-        is_stream = "text/event-stream" in head.get("accept", "")
+    async def _answer(self, exchange, headers, request_id, run_id, version, quirk, end_s):
+        is_stream = "text/event-stream" in headers.get("accept", "")
         seal, status = (
-            f"{self.name}.{run}.{self.random.getrandbits(32):x}",
+            f"{self.name}.{run_id}.{self.random.getrandbits(32):x}",
             500 if quirk == "failing" else 200,
         )
         seal = "" if quirk == "unsealed" else seal
         if is_stream and status == 200:
-            return await self._stream(exchange, head, name, run, seal, version, quirk, end_s)
-        body = f"{name} {run} ".encode() * 20
+            return await self._stream(
+                exchange, headers, request_id, run_id, seal, version, quirk, end_s
+            )
+        body = f"{request_id} {run_id} ".encode() * 20
         await asyncio.sleep(0.02)
-        self.record("answer", id=name, run=run, seal=seal, status=status, body=digest(body))
+        self.record(
+            "answer", id=request_id, run=run_id, seal=seal, status=status, body=digest(body)
+        )
         body = body[::-1] if quirk == "encoded" else body
-        length = [("Content-Length", str(len(body)))]
+        framing = [("Content-Length", str(len(body)))]
         if quirk in ("framed twice", "bad chunk"):
-            length = length if quirk == "framed twice" else []
-            head = self._head(
-                status, name, seal, version, [*length, ("Transfer-Encoding", "chunked")]
+            framing = framing if quirk == "framed twice" else []
+            headers = self._response_headers(
+                status, request_id, seal, version, [*framing, ("Transfer-Encoding", "chunked")]
             )
-            self._say(
-                exchange, status, head, b"28\r\n%s\r\n%s" % (body[:40], self._chunks_end(quirk))
+            self._write_raw_response(
+                exchange,
+                status,
+                headers,
+                b"28\r\n%s\r\n%s" % (body[:40], self._invalid_chunk_tail(quirk)),
             )
             return False
-        exchange.begin(status, self._head(status, name, seal, version, length, quirk))
+        exchange.begin(
+            status, self._response_headers(status, request_id, seal, version, framing, quirk)
+        )
         await exchange.send_chunk(body[:40])
         if quirk == "stall":
             await asyncio.sleep(max(0, end_s - asyncio.get_running_loop().time()) + 1)
@@ -394,47 +439,55 @@
         return True
 
     @staticmethod
-    def _chunks_end(quirk):
-        """How chunks go on where they don't go on as they should: they end early, or with a size that is none."""
+    def _invalid_chunk_tail(quirk):
+        """Return the tail of a malformed chunked body: an early last chunk, or a chunk size that is not a number."""
         return b"0\r\n\r\n" if quirk == "framed twice" else b"zz\r\nmore\r\n0\r\n\r\n"
 
-    async def _stream(self, exchange, head, name, run, seal, version, quirk, end_s):
-        count = int(head.get("swiftdeck-token-count", "0,12").partition(",")[2] or 12)
-        after = int(head.get("last-event-id") or 0)
-        self.record("answer", id=name, run=run, seal=seal, status=200, body="", events=count)
+    async def _stream(self, exchange, headers, request_id, run_id, seal, version, quirk, end_s):
+        event_count = int(headers.get("swiftdeck-token-count", "0,12").partition(",")[2] or 12)
+        last_event_id = int(headers.get("last-event-id") or 0)
+        self.record(
+            "answer", id=request_id, run=run_id, seal=seal, status=200, body="", events=event_count
+        )
         exchange.begin(
             200,
-            self._head(
+            self._response_headers(
                 200,
-                name,
+                request_id,
                 seal,
                 version,
                 [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")],
                 quirk,
             ),
         )
-        for number in range(max(1, after - 1) if quirk == "back" else after + 1, count + 1):
-            await asyncio.sleep(self.plan.get("step_s", STEP_S) * (1 + len(self.active) / 8))
+        for event_number in range(
+            max(1, last_event_id - 1) if quirk == "back" else last_event_id + 1, event_count + 1
+        ):
+            await asyncio.sleep(
+                self.plan.get("step_s", TOKEN_INTERVAL_S) * (1 + len(self.active) / 8)
+            )
             if asyncio.get_running_loop().time() >= end_s:
-                self.record("brokeOff", worker=self.name, id=name, run=run)
+                self.record("brokeOff", worker=self.name, id=request_id, run=run_id)
                 exchange.abort()
                 return False
-            if quirk == "stall" and number > (after + count) // 2:
+            if quirk == "stall" and event_number > (last_event_id + event_count) // 2:
                 await asyncio.sleep(max(0, end_s - asyncio.get_running_loop().time()) + 1)
-            if quirk == "bad chunk" and number > (after + count) // 2:
+            if quirk == "bad chunk" and event_number > (last_event_id + event_count) // 2:
                 exchange.conversation.transport.write(b"zz\r\nmore\r\n0\r\n\r\n")
                 return False
-            if quirk in ("cut", "back") and number > (after + count) // 2:
-                await exchange.send_chunk(f"id: {number}\nda".encode())
+            if quirk in ("cut", "back") and event_number > (last_event_id + event_count) // 2:
+                await exchange.send_chunk(f"id: {event_number}\nda".encode())
                 exchange.abort()
                 return False
-            await exchange.send_chunk(f"id: {number}\ndata: {name} {number} {run}\n\n".encode())
+            await exchange.send_chunk(
+                f"id: {event_number}\ndata: {request_id} {event_number} {run_id}\n\n".encode()
+            )
         exchange.finish()
         return True
 
-    async def _say_more(self, exchange, name, run):
-        """A late answer that nobody asked for, in the place of the next."""
+    async def _send_surplus_response(self, exchange, request_id, run_id):
+        """Send an unsolicited response after a random delay, which may be taken for the answer to the next request."""
         await asyncio.sleep(self.random.choice([0, 0.002, 0.02]))
         body = b"more" * 5
-        lines = f"HTTP/1.1 200 OK\r\nSwiftdeck-Request-Id: {name}\r\nSwiftdeck-Server-Seal: more.{run}\r\nContent-Length: {len(body)}\r\n\r\n"
-        exchange.conversation.transport.write(lines.encode() + body)
+        head = f"HTTP/1.1 200 OK\r\nSwiftdeck-Request-Id: {request_id}\r\nSwiftdeck-Server-Seal: more.{run_id}\r\nContent-Length: {len(body)}\r\n\r\n"
+        exchange.conversation.transport.write(head.encode() + body)
--- a/tests/bench/platform_api/test_listing.py
+++ b/tests/bench/platform_api/test_listing.py
@@ -35,27 +35,27 @@
         return self.world.run_task("here", PlatformList("10.0.0.9:80").read)
 
     def names(self):
-        return [each.name for each in self.read()]
+        return [worker.name for worker in self.read()]
 
-    def test_it_runs_behind(self):
+    def test_entries_appear_after_the_lag(self):
         self.show("w1")
         self.assertEqual(self.names(), [])
         self.world.run(0.4)
         self.assertEqual(self.names(), ["w1"])
 
-    def test_it_has_pages_and_accepts_so_many_calls_a_second(self):
-        self.show(*(f"w{at}" for at in range(5)))
+    def test_pages_and_rate_limit(self):
+        self.show(*(f"w{index}" for index in range(5)))
         self.world.run(0.5)
         self.assertEqual(len(self.names()), 5)
         self.assertTrue(is_fault(self.read()))
         self.world.run(1)
         self.assertEqual((len(self.names()), self.list.over), (5, 1))
 
-    def test_who_leaves_is_noted_when_it_is_shown(self):
+    def test_a_leaving_worker_is_recorded_when_it_is_shown(self):
         self.show("w1", "w2")
         self.show("w1", state="draining")
         self.world.run(0.5)
         self.assertEqual(
-            [(each["worker"], each["state"], each["atMs"]) for each in self.items],
+            [(item["worker"], item["state"], item["atMs"]) for item in self.items],
             [("w1", "draining", 500), ("w2", "gone", 500)],
         )
--- a/tests/bench/platform_api/test_parts.py
+++ b/tests/bench/platform_api/test_parts.py
@@ -1,10 +1,10 @@
-"""Tests of the stand-in for kept parts."""
+"""Tests of the cache of prompt parts of the stand-ins."""
 
 import asyncio
 import random
 import unittest
 
-from swiftdeck.bench.platform_api.parts import TOLD_MOST, KeptPart, PartCache
+from swiftdeck.bench.platform_api.parts import MAX_EVENTS, KeptPart, PartCache
 from swiftdeck.sim.world import World
 
 
@@ -21,9 +21,9 @@
         return self.world.run_task("here", lambda: self.cache.reports(since, wait_ms))
 
     def first(self, *names, salt="s", model="m"):
-        return len(self.cache.first(salt, model, names))
+        return len(self.cache.cached_prefix(salt, model, names))
 
-    def test_parts_are_found_from_the_beginning_under_their_salt_and_model(self):
+    def test_a_prefix_is_found_under_its_salt_and_model(self):
         self.keep("a", "b")
         self.assertEqual(
             [
@@ -35,23 +35,23 @@
             [2, 0, 0, 0],
         )
 
-    def test_those_unused_longest_give_way(self):
+    def test_least_recently_used_parts_are_evicted(self):
         self.keep("a", "b", "c")
         self.first("a")
         self.keep("d")
         self.assertEqual([name for _, name in self.cache.held], ["c", "a", "d"])
 
-    def test_comings_and_goings_are_told_once(self):
+    def test_additions_and_removals_are_reported_once(self):
         self.keep("a", "a")
         self.cache.clear("m")
-        got = self.reports(0)
+        report = self.reports(0)
         self.assertEqual(
-            (got["next-token"], got["lost"], got["events"]),
+            (report["next-token"], report["lost"], report["events"]),
             (2, False, [[1, "+", "s", "a", 30, "m"], [2, "-", "s", "a", 30, "m"]]),
         )
         self.assertEqual((self.reports(2)["events"], self.cache.listed()["held"]), ([], []))
 
-    def test_a_call_is_held_until_there_is_something(self):
+    def test_a_call_waits_for_the_next_event(self):
         self.world.call_after(
             0.3, lambda: self.world._within(self.world.loops["here"], lambda: self.keep("a"))
         )
@@ -60,8 +60,8 @@
         self.assertEqual(self.reports(1, 500)["events"], [])
         self.assertAlmostEqual(self.world.now, 0.8, delta=0.01)
 
-    def test_only_the_newest_reports_are_kept(self):
-        self.keep(*(f"p{at}" for at in range(TOLD_MOST)), tokens=1)
-        got = self.reports(0)
-        self.assertEqual((got["lost"], len(got["events"])), (True, TOLD_MOST))
-        self.assertFalse(self.reports(got["next-token"] - 5)["lost"])
+    def test_only_the_newest_events_are_kept(self):
+        self.keep(*(f"p{number}" for number in range(MAX_EVENTS)), tokens=1)
+        report = self.reports(0)
+        self.assertEqual((report["lost"], len(report["events"])), (True, MAX_EVENTS))
+        self.assertFalse(self.reports(report["next-token"] - 5)["lost"])
--- a/tests/gateway/cases/answers.py
+++ b/tests/gateway/cases/answers.py
@@ -95,7 +95,7 @@
         async def no_content(worker, exchange, head, name, run, *_):
             seal = f"{run}.seal"
             worker.record("answer", id=name, run=run, seal=seal, status=204, body=digest(b""))
-            worker._say(
+            worker._write_raw_response(
                 exchange,
                 204,
                 [("Swiftdeck-Request-Id", name), ("Swiftdeck-Server-Seal", seal)],
