--- a/swiftdeck/bench/platform_api/checker.py
+++ b/swiftdeck/bench/platform_api/checker.py
@@ -1,4 +1,4 @@
-"""Judges a run of the platform's stand-ins by their records alone: one check for each rule of the platform's page."""
+"""Checks a run against the platform's rules, by the records of the stand-ins alone: one check for each rule."""
 
 from swiftdeck.bench.platform_api.rules.answers import mixed, order, refused, twice, unasked
 from swiftdeck.bench.platform_api.rules.configuration import config, denied, recover
@@ -29,7 +29,7 @@
 
 
 def check(items, bounds=None) -> dict:
-    """Breaches by rule; a rule without breaches is not there."""
+    """Return up to 20 breaches of each rule by its name; a rule without breaches is left out."""
     records, bounds = Records(items), bounds or Bounds()
-    found = {name: list(rule(records, bounds)) for name, rule in RULES.items()}
-    return {name: breaches[:20] for name, breaches in found.items() if breaches}
+    breaches_by_rule = {name: list(rule(records, bounds)) for name, rule in RULES.items()}
+    return {name: breaches[:20] for name, breaches in breaches_by_rule.items() if breaches}
--- a/swiftdeck/bench/platform_api/rules/configuration.py
+++ b/swiftdeck/bench/platform_api/rules/configuration.py
@@ -1,33 +1,40 @@
-"""Rules on the configuration: what is in force, what is refused, and service after a loss."""
+"""Rules on the configuration: which one is in force, which requests are denied, and service after a loss of machines."""
 
 from collections import defaultdict
 
-from swiftdeck.bench.platform_api.rules.answers import PROMISES
+from swiftdeck.bench.platform_api.rules.answers import NOT_RUN_STATUSES
 from swiftdeck.bench.platform_api.rules.records import FOREVER
 
-TURNED_AWAY = (401, 403, 404)
-DENIED_MOST, DENIED_EACH = 5, 500
-"""How many proper requests may be denied, and one more in how many."""
+ACCESS_DENIED_STATUSES = (401, 403, 404)
+MAX_DENIED, REQUESTS_PER_DENIED = 5, 500
+"""How many valid requests may be denied: a fixed number, and one more for each so many requests."""
 
 
 def config(records, bounds):
-    """A request handled as only an older configuration allows; what must not be in force; what was acknowledged and is gone."""
+    """Find requests handled by an outdated configuration, wrong acknowledgements, and acknowledged changes that were lost.
+
+    Wrong are the acknowledgement of an invalid configuration, and that of two changes of the same base version.
+    """
     results = {item["id"]: item for item in records.of("result")}
-    for name, asked in records.tries.items():
-        told = [
-            each
-            for each in records.configs
-            if each.told_ms + bounds.apply_within_ms < asked["atMs"]
+    for request_id, attempt in records.tries.items():
+        acknowledged = [
+            candidate
+            for candidate in records.configs
+            if candidate.acknowledged_ms + bounds.apply_within_ms < attempt["atMs"]
         ]
-        if not told or not bounds.in_touch(asked["router"], asked["atMs"]):
+        if not acknowledged or not bounds.in_touch(attempt["router"], attempt["atMs"]):
             continue
-        newest = max(told, key=lambda each: each.version)
-        may = [each for each in records.configs if each.version >= newest.version]
-        allowed = [each.services(asked) for each in may]
-        if any(run["service"] not in set().union(*allowed) for run in records.runs.get(name, ())):
-            yield f"{name} ran as only a configuration before {newest.version} allows"
-        if results.get(name, {}).get("status") in TURNED_AWAY and all(allowed):
-            yield f"{name} got {results[name]['status']}, while {newest.version} and all later ones allow it"
+        newest = max(acknowledged, key=lambda candidate: candidate.version)
+        possible_configs = [
+            candidate for candidate in records.configs if candidate.version >= newest.version
+        ]
+        allowed = [candidate.services(attempt) for candidate in possible_configs]
+        if any(
+            run["service"] not in set().union(*allowed) for run in records.runs.get(request_id, ())
+        ):
+            yield f"{request_id} ran as only a configuration before {newest.version} allows"
+        if results.get(request_id, {}).get("status") in ACCESS_DENIED_STATUSES and all(allowed):
+            yield f"{request_id} got {results[request_id]['status']}, while {newest.version} and all later ones allow it"
     yield from (
         f"{item['version']} is invalid and was acknowledged"
         for item in records.of("told")
@@ -42,52 +49,78 @@
         for base, versions in bases.items()
         if len(versions) > 1
     )
-    told = [each for each in records.configs if each.told_ms < FOREVER]
+    acknowledged = [
+        candidate for candidate in records.configs if candidate.acknowledged_ms < FOREVER
+    ]
     sent = {item["version"]: item["document"] for item in records.of("sent")}
     for item in records.of("readBack")[-1:]:
-        got, newest = item["document"], max((each.version for each in told), default=0)
-        if got is None or got["version"] < newest or got != sent.get(got["version"], got):
-            yield f"read back {got and got['version']}, acknowledged {newest}"
+        document, newest = (
+            item["document"],
+            max((candidate.version for candidate in acknowledged), default=0),
+        )
+        if (
+            document is None
+            or document["version"] < newest
+            or document != sent.get(document["version"], document)
+        ):
+            yield f"read back {document and document['version']}, acknowledged {newest}"
 
 
 def denied(records, bounds):
-    """Too many proper requests that machines in touch end with a 3xx or 4xx of their own, which is no promise."""
-    made = {(item["id"], item["status"]) for item in records.of("answer")}
-    found = []
+    """Find too many valid requests that fault-free routers themselves end with a 3xx or 4xx, those of `NOT_RUN_STATUSES` aside."""
+    worker_answers = {(item["id"], item["status"]) for item in records.of("answer")}
+    denied_requests = []
     for item in records.of("result"):
-        status, asked = item["status"], records.tries[item["id"]]
-        if not 300 <= status < 500 or status in PROMISES or (item["id"], status) in made:
+        status, attempt = item["status"], records.tries[item["id"]]
+        if (
+            not 300 <= status < 500
+            or status in NOT_RUN_STATUSES
+            or (item["id"], status) in worker_answers
+        ):
             continue
-        settled_ms = asked["atMs"] - bounds.apply_within_ms
+        settled_ms = attempt["atMs"] - bounds.apply_within_ms
         newest = max(
-            (each.version for each in records.configs if each.told_ms < settled_ms), default=0
+            (
+                candidate.version
+                for candidate in records.configs
+                if candidate.acknowledged_ms < settled_ms
+            ),
+            default=0,
         )
-        may = [
-            each.services(asked)
-            for each in records.configs
-            if each.version >= newest and each.sent_ms <= item["atMs"]
+        allowed_services = [
+            candidate.services(attempt)
+            for candidate in records.configs
+            if candidate.version >= newest and candidate.sent_ms <= item["atMs"]
         ]
-        if may and all(may) and bounds.in_touch(asked["router"], item["atMs"], asked["atMs"]):
-            found.append(f"{item['id']} got {status}")
-    if len(found) > DENIED_MOST + len(records.tries) / DENIED_EACH:
-        yield from found
+        if (
+            allowed_services
+            and all(allowed_services)
+            and bounds.in_touch(attempt["router"], item["atMs"], attempt["atMs"])
+        ):
+            denied_requests.append(f"{item['id']} got {status}")
+    if len(denied_requests) > MAX_DENIED + len(records.tries) / REQUESTS_PER_DENIED:
+        yield from denied_requests
 
 
 def recover(records, bounds):
-    """Few requests are served after the closing fault, though many were before it."""
+    """Find runs where under a quarter of the requests is served after the closing fault, though a quarter or more was before."""
     for back in records.of("back"):
         served = {
             item["id"]
             for item in records.of("result")
             if item["complete"] and 200 <= item["status"] < 300
         }
-        before = [each for each in records.tries.values() if each["atMs"] < back["downMs"]]
+        attempts_before = [
+            attempt for attempt in records.tries.values() if attempt["atMs"] < back["downMs"]
+        ]
         late_ms = back["atMs"] + bounds.recovery_ms
-        after = [each for each in records.tries.values() if each["atMs"] > late_ms]
+        attempts_after = [
+            attempt for attempt in records.tries.values() if attempt["atMs"] > late_ms
+        ]
         shares = [
-            sum(each["id"] in served for each in some) / len(some)
-            for some in (before, after)
-            if some
+            sum(attempt["id"] in served for attempt in attempts) / len(attempts)
+            for attempts in (attempts_before, attempts_after)
+            if attempts
         ]
         if len(shares) == 2 and shares[0] >= 0.25 > shares[1]:
             yield f"{shares[0]:.2f} served before {back['downMs']}, {shares[1]:.2f} after {late_ms}"
--- a/swiftdeck/bench/platform_api/rules/records.py
+++ b/swiftdeck/bench/platform_api/rules/records.py
@@ -6,12 +6,15 @@
 
 FOREVER = 1 << 60
 LINK, PROCESS = "link", "process"
-"""What a trouble concerns: a machine's links, or its processes alone."""
+"""The scope of a fault: the links of a machine, or its processes alone."""
 
 
 @attrs.frozen
 class Bounds:
-    """Figures of the rules, in milliseconds and shares, and when which machine was in trouble."""
+    """Bounds of the rules, and the faults of the run.
+
+    `troubles` has [machine, begin in ms, end in ms, scope] of each fault.
+    """
 
     contact_ms: int = 3000
     drain_ms: int = 3000
@@ -29,33 +32,33 @@
     gone_ms: int = 500
 
     def in_touch(self, machine, at_ms, since_ms=None):
-        """Whether a machine and the core were calm for long enough before a time, and since another."""
+        """Return whether a machine and all cores were free of faults from `contact_ms` before `since_ms` up to `at_ms`."""
         begin_ms = (at_ms if since_ms is None else since_ms) - self.contact_ms
         return not any(
-            a <= at_ms and b >= begin_ms
-            for name, a, b, *_ in self.troubles
+            trouble_begin_ms <= at_ms and trouble_end_ms >= begin_ms
+            for name, trouble_begin_ms, trouble_end_ms, *_ in self.troubles
             if name == machine or name.startswith("core")
         )
 
     def settled_stretches(self, begin_ms, end_ms):
-        """Lengths of the stretches of a span in which the core was settled and no link was in trouble."""
+        """Return the lengths in ms of the parts of a span without a fault of a core or a link, nor one in the `contact_ms` before."""
         unsettled = sorted(
-            (a, b + self.contact_ms)
-            for name, a, b, *kind in self.troubles
-            if name.startswith("core") or LINK in kind
+            (trouble_begin_ms, trouble_end_ms + self.contact_ms)
+            for name, trouble_begin_ms, trouble_end_ms, *scope in self.troubles
+            if name.startswith("core") or LINK in scope
         )
         lengths, since_ms = [], begin_ms
-        for a, b in unsettled:
-            if a > since_ms:
-                lengths.append(min(a, end_ms) - since_ms)
-            since_ms = max(since_ms, b)
+        for unsettled_begin_ms, unsettled_end_ms in unsettled:
+            if unsettled_begin_ms > since_ms:
+                lengths.append(min(unsettled_begin_ms, end_ms) - since_ms)
+            since_ms = max(since_ms, unsettled_end_ms)
             if since_ms >= end_ms:
-                return [each for each in lengths if each > 0]
-        return [each for each in [*lengths, end_ms - since_ms] if each > 0]
+                return [length for length in lengths if length > 0]
+        return [length for length in [*lengths, end_ms - since_ms] if length > 0]
 
 
 class Records:
-    """The records by kind, and what follows from them for several rules."""
+    """The records by kind, with the attempts, runs and configurations that several rules use."""
 
     def __init__(self, items):
         self.items = sorted(items, key=lambda item: item["atMs"])
@@ -66,87 +69,93 @@
         self.runs = defaultdict(list)
         for item in self.of("run"):
             self.runs[item["id"]].append(item)
-        told = {item["version"]: item["atMs"] for item in self.of("told") if item["status"] == 200}
-        refused = {
+        acknowledged_ms = {
+            item["version"]: item["atMs"] for item in self.of("told") if item["status"] == 200
+        }
+        rejected = {
             item["version"] for item in self.of("told") if item["status"] and item["status"] != 200
         }
         self.configs = [
-            read_config(item, told.get(item["version"], FOREVER))
+            read_config(item, acknowledged_ms.get(item["version"], FOREVER))
             for item in self.of("sent")
-            if not item["bad"] and (item["version"] not in refused or item["version"] in told)
+            if not item["bad"]
+            and (item["version"] not in rejected or item["version"] in acknowledged_ms)
         ]
 
     def of(self, *kinds):
-        """Records of some kinds."""
+        """Return the records of some kinds."""
         return [item for kind in kinds for item in self.by_kind[kind]]
 
     def key_holders(self, key):
-        """Tenants that any configuration gives a key to."""
-        return {config.keys[key] for config in self.configs if key in config.keys}
+        """Return the tenants that hold a key in any configuration."""
+        return {
+            config.tenants_by_key[key] for config in self.configs if key in config.tenants_by_key
+        }
 
-    def route(self, asked):
-        """A configuration's route of a try, the newest that has one."""
+    def route(self, attempt):
+        """Return the route of an attempt in the newest configuration that has one, or None."""
         return next(
             (
-                found
+                route
                 for config in reversed(self.configs)
-                if (found := config.find(asked)) is not None
+                if (route := config.find_route(attempt)) is not None
             ),
             None,
         )
 
-    def may_repeat(self, asked):
-        """Whether a try may run more than once."""
-        route = self.route(asked)
+    def may_repeat(self, attempt):
+        """Return whether an attempt may run more than once."""
+        route = self.route(attempt)
         return route is not None and (route["route-type"] == "safe" or bool(route.get("resumable")))
 
 
 @attrs.frozen
 class Config:
-    """One configuration that may be in force."""
+    """One configuration that may be in force, with the times at which it was sent and acknowledged."""
 
     version: int
     sent_ms: int
-    told_ms: int
+    acknowledged_ms: int
     routes: list
-    keys: dict
-    apart: dict
-    keyed: bool
-
-    def find(self, asked):
-        """The route of a try, or None."""
-        fits = [
-            each
-            for each in self.routes
-            if each["hostname"] == asked["host"] and asked["target"].startswith(each["path-start"])
+    tenants_by_key: dict
+    isolation_by_tenant: dict
+    needs_key: bool
+
+    def find_route(self, attempt):
+        """Return the route of an attempt (the one with the longest matching path), or None."""
+        matching_routes = [
+            route
+            for route in self.routes
+            if route["hostname"] == attempt["host"]
+            and attempt["target"].startswith(route["path-start"])
         ]
-        return max(fits, key=lambda each: len(each["path-start"]), default=None)
+        return max(matching_routes, key=lambda route: len(route["path-start"]), default=None)
 
-    def services(self, asked):
-        """Services that may run a try."""
-        route = self.find(asked)
+    def services(self, attempt):
+        """Return the services that may run an attempt."""
+        route = self.find_route(attempt)
         if (
             route is None
             or not route.get("public")
-            and self.keyed
-            and asked["key"] not in self.keys
+            and self.needs_key
+            and attempt["key"] not in self.tenants_by_key
         ):
             return set()
         return {
-            each["backend"] for each in route.get("traffic-split") or () if each["share"] > 0
+            part["backend"] for part in route.get("traffic-split") or () if part["share"] > 0
         } or {route["backend"]}
 
 
-def read_config(item, told_ms):
-    """A configuration from its record."""
+def read_config(item, acknowledged_ms):
+    """Return the configuration of a `sent` record."""
     document = item["document"]
     customers = document.get("customers")
     return Config(
         item["version"],
         item["atMs"],
-        told_ms,
+        acknowledged_ms,
         document["routes"],
-        {key: each["name"] for each in customers or () for key in each["api-keys"]},
-        {each["name"]: bool(each.get("isolated")) for each in customers or ()},
+        {key: customer["name"] for customer in customers or () for key in customer["api-keys"]},
+        {customer["name"]: bool(customer.get("isolated")) for customer in customers or ()},
         customers is not None,
     )
--- a/swiftdeck/bench/platform_api/rules/workers.py
+++ b/swiftdeck/bench/platform_api/rules/workers.py
@@ -1,99 +1,112 @@
-"""Rules on where a request may run, and on what memory."""
+"""Rules on where a request may run, and on which cached parts."""
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 
 from swiftdeck.bench.platform_api.rules.records import FOREVER
 
-OVER_TRIES_MOST = 3
-"""How many requests may run on more workers than their route's tries."""
+MAX_OVER_TRIES = 3
+"""How many requests may run on more workers than their route allows tries."""
 
 
 def route(records, bounds):
-    """A service that runs what no configuration allows to go to it."""
+    """Find requests that ran at a service to which no configuration routes them."""
     for item in records.of("run"):
-        asked = records.tries.get(item["id"])
-        if asked and not any(
-            item["service"] in config.services(asked) for config in records.configs
+        attempt = records.tries.get(item["id"])
+        if attempt and not any(
+            item["service"] in config.services(attempt) for config in records.configs
         ):
             yield f"{item['id']} ran at service {item['service']}"
 
 
 def stale(records, bounds):
-    """A run on memory that was made under another version of its model."""
+    """Find runs that used cached parts computed with another version of the weights."""
     runs = {item["run"]: item for item in records.of("run")}
     yield from (
-        f"{runs[item['run']]['id']} ran on version {runs[item['run']]['version']} with parts of {version}"
+        f"{runs[item['run']]['id']} ran on version {runs[item['run']]['version']} with parts of {origin_version}"
         for item in records.of("read")
-        for _, version in item["origins"]
-        if version != runs[item["run"]]["version"]
+        for _, origin_version in item["origins"]
+        if origin_version != runs[item["run"]]["version"]
     )
 
 
 def wall(records, bounds):
-    """A run on memory of another tenant where one of the two is kept apart."""
+    """Find runs that used cached parts of another tenant where one of the two is isolated."""
     runs = {item["run"]: item for item in records.of("run")}
-    apart = {
-        name for config in records.configs for name, is_apart in config.apart.items() if is_apart
+    isolated_tenants = {
+        tenant_name
+        for config in records.configs
+        for tenant_name, is_isolated in config.isolation_by_tenant.items()
+        if is_isolated
     }
     yield from (
-        f"{runs[item['run']]['id']} of {runs[item['run']]['tenant']} used parts of {tenant}"
+        f"{runs[item['run']]['id']} of {runs[item['run']]['tenant']} used parts of {origin_tenant}"
         for item in records.of("read")
-        for tenant, _ in item["origins"]
-        if tenant != runs[item["run"]]["tenant"] and {tenant, runs[item["run"]]["tenant"]} & apart
+        for origin_tenant, _ in item["origins"]
+        if origin_tenant != runs[item["run"]]["tenant"]
+        and {origin_tenant, runs[item["run"]]["tenant"]} & isolated_tenants
     )
 
 
 def drain(records, bounds):
-    """A request that reaches a worker long after the list showed it as leaving."""
-    shown, turned = (
+    """Find requests that reach a worker long after the list showed it as draining or gone, unless it answered 421."""
+    leaving_since_ms, rejected = (
         {},
         {(item["id"], item["worker"]) for item in records.of("refused") if item["status"] == 421},
     )
     for item in records.of("shown"):
-        shown.setdefault(item["worker"], item["atMs"])
+        leaving_since_ms.setdefault(item["worker"], item["atMs"])
     for item in records.of("arrive"):
-        asked = records.tries.get(item["id"])
+        attempt = records.tries.get(item["id"])
         if (
-            asked
-            and item["atMs"] > shown.get(item["worker"], FOREVER) + bounds.drain_ms
-            and (item["id"], item["worker"]) not in turned
-            and bounds.in_touch(asked["router"], item["atMs"])
+            attempt
+            and item["atMs"] > leaving_since_ms.get(item["worker"], FOREVER) + bounds.drain_ms
+            and (item["id"], item["worker"]) not in rejected
+            and bounds.in_touch(attempt["router"], item["atMs"])
         ):
-            yield f"{item['id']} reached {item['worker']} {item['atMs'] - shown[item['worker']]} ms after it was shown as leaving"
+            yield f"{item['id']} reached {item['worker']} {item['atMs'] - leaving_since_ms[item['worker']]} ms after it was shown as leaving"
 
 
 def budget(records, bounds):
-    """More arrivals past the first of each request in a window than its requests and the allowance pay for.
+    """Find more retries to a service in a time window than the share of its requests and the fixed allowance permit.
 
-    Or requests that ran on more workers than their route's tries.
+    A retry is an arrival of a request after its first. Also finds requests that ran on more workers than their route allows
+    tries.
     """
-    sent, extra, seen, window = defaultdict(list), defaultdict(list), set(), bounds.retry_window_ms
+    attempts_ms, retries_ms, seen_ids, window_ms = (
+        defaultdict(list),
+        defaultdict(list),
+        set(),
+        bounds.retry_window_ms,
+    )
     for item in records.of("try"):
         for service in {service for config in records.configs for service in config.services(item)}:
-            sent[service].append(item["atMs"])
+            attempts_ms[service].append(item["atMs"])
     for item in records.of("arrive"):
-        if item["id"] in seen:
-            extra[item["service"]].append(item["atMs"])
-        seen.add(item["id"])
-    for service, times in extra.items():
-        asked = sent[service]
-
-        def between(a, b):
-            return bisect_right(asked, b) - bisect_left(asked, a)
-
-        for at, end in enumerate(times):
-            count = at + 1 - bisect_left(times, end - window + 1)
-            most = max(
-                between(end - window - back, end - back) for back in (0, window // 2, window)
+        if item["id"] in seen_ids:
+            retries_ms[item["service"]].append(item["atMs"])
+        seen_ids.add(item["id"])
+    for service, times_ms in retries_ms.items():
+        service_attempts_ms = attempts_ms[service]
+
+        def count_attempts(begin_ms, until_ms):
+            return bisect_right(service_attempts_ms, until_ms) - bisect_left(
+                service_attempts_ms, begin_ms
+            )
+
+        for index, retry_ms in enumerate(times_ms):
+            count = index + 1 - bisect_left(times_ms, retry_ms - window_ms + 1)
+            max_attempts = max(
+                count_attempts(retry_ms - window_ms - shift_ms, retry_ms - shift_ms)
+                for shift_ms in (0, window_ms // 2, window_ms)
             )
-            if count > bounds.retry_ratio * most + bounds.extra_retries:
-                yield f"{service} got {count} further tries for {most} requests up to {end}"
+            if count > bounds.retry_ratio * max_attempts + bounds.extra_retries:
+                yield f"{service} got {count} further tries for {max_attempts} requests up to {retry_ms}"
     over = []
-    for name, runs in records.runs.items():
-        found = records.route(records.tries[name]) if name in records.tries else None
+    for request_id, runs in records.runs.items():
+        route = records.route(records.tries[request_id]) if request_id in records.tries else None
         workers = {item["worker"] for item in runs}
-        if found and len(workers) > found.get("tries", FOREVER):
-            over.append(f"{name} ran on {len(workers)} workers with {found['tries']} tries")
-    if len(over) > OVER_TRIES_MOST:
+        if route and len(workers) > route.get("tries", FOREVER):
+            over.append(f"{request_id} ran on {len(workers)} workers with {route['tries']} tries")
+    if len(over) > MAX_OVER_TRIES:
         yield from over
--- a/swiftdeck/bench/platform_api/site_forms.py
+++ b/swiftdeck/bench/platform_api/site_forms.py
@@ -1,4 +1,4 @@
-"""What a site of the stand-ins is made of, in the platform's words: bounds, routes, configuration, settings files."""
+"""The bounds, routes, tenants, services and settings files of a site that runs against the stand-ins."""
 
 import attrs
 
@@ -6,12 +6,12 @@
 
 READY_PATH = "/swiftdeck/ready"
 SETTINGS_VARIABLE = "SWIFTDECK_CONFIG"
-"""The environment variable that tells a process where its settings file is."""
+"""The environment variable with the path of the settings file of a process."""
 
 
 @attrs.frozen
 class SiteBounds:
-    """Bounds of the rules, times in ms unless the name says otherwise."""
+    """Bounds of the platform's rules, as the processes get them in their settings file."""
 
     contact_ms: int = 3000
     drain_ms: int = 3000
@@ -26,10 +26,10 @@
     ack_within_ms: int = 4000
     loss_slack_ms: int = 200
     gone_ms = 500
-    """How long work may go on for a client that has left; no process is told."""
+    """How long work may go on for a client that has closed its connection. Not annotated, so not an attrs field and not in the settings file."""
 
     def judged(self, troubles: list, slack: float = 1.0) -> Bounds:
-        """What the checker goes by; a slack over 1 widens the bounds of time."""
+        """Return the bounds for the checker; a slack over 1 widens the time bounds, except those of leases, retries and the grace period."""
         return Bounds(
             contact_ms=int(self.contact_ms * slack),
             drain_ms=int(self.drain_ms * slack),
@@ -46,7 +46,7 @@
         )
 
     def lines(self) -> list[str]:
-        """The bounds as lines of a settings file."""
+        """Return the bounds as lines of a settings file."""
         values = attrs.asdict(self)
         return [f"{name.replace('_', '-')} = {value}" for name, value in values.items()]
 
@@ -69,7 +69,7 @@
     gap_target_ms: int | None = None
 
     def outward(self) -> dict:
-        """The route as the operator sends it."""
+        """Return the route in the form in which the operator sends it."""
         fields = {
             "name": self.name,
             "hostname": self.host,
@@ -91,14 +91,14 @@
 
 @attrs.frozen
 class Tenant:
-    """A tenant, its keys, and whether it shares kept parts with others."""
+    """A tenant, its API keys, and whether its cached parts are isolated from other tenants."""
 
     name: str
     keys: tuple[str, ...]
     is_isolated: bool = False
 
     def outward(self) -> dict:
-        """The tenant as the operator sends it."""
+        """Return the tenant in the form in which the operator sends it."""
         return {
             "name": self.name,
             "api-keys": list(self.keys),
@@ -109,7 +109,7 @@
 
 @attrs.frozen
 class SiteServices:
-    """The services of a site: workers of one model, plain workers, and a store of kept parts."""
+    """The services of a site: workers of one model, plain workers, and a cache store."""
 
     model: str
     model_service: str
@@ -118,7 +118,7 @@
     store_zone: str
 
     def outward(self) -> list[dict]:
-        """The services as the operator sends them."""
+        """Return the services in the form in which the operator sends them."""
         engine = {
             "capacity": 12,
             "cache-tokens": 140000,
@@ -144,9 +144,9 @@
 
 
 def configuration(routes: list[Route], services: SiteServices, tenants: list[Tenant]) -> dict:
-    """The operator's first configuration, without its version."""
+    """Return the operator's first configuration, without its version."""
     return {
-        "routes": [each.outward() for each in routes],
+        "routes": [entry.outward() for entry in routes],
         "backends": services.outward(),
         "limits": {
             "max-header-bytes": 16384,
@@ -154,18 +154,18 @@
             "header-wait-ms": 3000,
             "idle-ms": 15000,
         },
-        "customers": [each.outward() for each in tenants],
+        "customers": [entry.outward() for entry in tenants],
     }
 
 
 def with_idle_ms(document: dict, idle_ms: int) -> dict:
-    """A configuration with another bound for connections at rest."""
+    """Return a copy of a configuration with another timeout for idle connections."""
     return document | {"limits": document["limits"] | {"idle-ms": idle_ms}}
 
 
 @attrs.frozen
 class MachineSettings:
-    """What the settings file of a machine says."""
+    """The contents of the settings file of a machine."""
 
     name: str
     ip: str
@@ -180,8 +180,8 @@
     tolerated_machines: int = 1
 
     def text(self) -> str:
-        """The file."""
-        seeds = ", ".join(f'"{each}"' for each in self.seeds)
+        """Return the text of the settings file."""
+        seeds = ", ".join(f'"{seed}"' for seed in self.seeds)
         lines = [
             f'node-name = "{self.name}"',
             f'ip = "{self.ip}"',
--- a/tests/bench/platform_api/test_checker.py
+++ b/tests/bench/platform_api/test_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the checker of the platform's rules: a good day has no breach, and each planted one is caught."""
+"""Tests of the checker of the platform's rules: records of a fault-free run have no breach, and each planted one is found."""
 
 import copy
 import unittest
@@ -50,18 +50,18 @@
 }
 
 
-def line(at_ms, kind, **fields):
-    """One record."""
+def record(at_ms, kind, **fields):
+    """Return one record."""
     return {"atMs": at_ms, "who": "x", "kind": kind} | fields
 
 
-def asked(at_ms, name, target="/once/1", key="k", after=0):
-    """A try."""
-    return line(
+def attempt(at_ms, request_id, target="/once/1", key="k", after=0):
+    """Return the record of an attempt of a client."""
+    return record(
         at_ms,
         "try",
-        id=name,
-        root=name,
+        id=request_id,
+        root=request_id,
         host="h",
         target=target,
         key=key,
@@ -74,10 +74,10 @@
     )
 
 
-def ran(
+def run_records(
     at_ms,
-    name,
-    run,
+    request_id,
+    run_id,
     target="/once/1",
     service="app",
     version=0,
@@ -86,16 +86,16 @@
     worker="w",
     model="",
 ):
-    """The lines of a run."""
+    """Return the records of a run at a worker."""
     return [
-        line(at_ms, "arrive", worker=worker, service=service, id=name),
-        line(
+        record(at_ms, "arrive", worker=worker, service=service, id=request_id),
+        record(
             at_ms,
             "run",
             worker=worker,
             service=service,
-            id=name,
-            run=run,
+            id=request_id,
+            run=run_id,
             tenant=tenant,
             version=version,
             model=model,
@@ -105,90 +105,105 @@
             keyed=False,
             after=after,
         ),
-        line(at_ms + 9, "ran", worker=worker, id=name, run=run, whole=True),
+        record(at_ms + 9, "ran", worker=worker, id=request_id, run=run_id, whole=True),
     ]
 
 
 def result(
-    at_ms, name, status=200, seal="", complete=True, own=None, body="", mode="safe", events=()
+    at_ms,
+    request_id,
+    status=200,
+    seal="",
+    complete=True,
+    own_id=None,
+    body="",
+    mode="safe",
+    events=(),
 ):
-    """What came back."""
-    return line(
+    """Return the record of the result that a client got."""
+    return record(
         at_ms,
         "result",
-        id=name,
+        id=request_id,
         status=status,
         seal=seal,
         complete=complete,
-        ownId=name if own is None else own,
+        ownId=request_id if own_id is None else own_id,
         body=body,
         mode=mode,
-        events=[list(each) for each in events],
+        events=[list(event) for event in events],
         rest=0,
     )
 
 
-def answer(at_ms, name, run, seal, body="", events=0, status=200):
-    """What a worker sends."""
-    return line(
-        at_ms, "answer", id=name, run=run, seal=seal, status=status, body=body, events=events
+def answer(at_ms, request_id, run_id, seal, body="", events=0, status=200):
+    """Return the record of a response that a worker sent."""
+    return record(
+        at_ms,
+        "answer",
+        id=request_id,
+        run=run_id,
+        seal=seal,
+        status=status,
+        body=body,
+        events=events,
     )
 
 
-def good():
-    """A day on which nothing went wrong."""
-    second = copy.deepcopy(DOCUMENT) | {"version": 2}
-    pieces = [(number, "c", "w#3" if number < 3 else "w#4") for number in (1, 2, 3, 4)]
+def clean_records():
+    """Return the records of a run without any breach."""
+    second_document = copy.deepcopy(DOCUMENT) | {"version": 2}
+    events = [(event_id, "c", "w#3" if event_id < 3 else "w#4") for event_id in (1, 2, 3, 4)]
     return [
-        line(0, "sent", version=1, base=0, document=DOCUMENT, bad=False),
-        line(5, "told", version=1, base=0, status=200, bad=False),
-        asked(100, "a"),
-        *ran(110, "a", "w#1"),
+        record(0, "sent", version=1, base=0, document=DOCUMENT, bad=False),
+        record(5, "told", version=1, base=0, status=200, bad=False),
+        attempt(100, "a"),
+        *run_records(110, "a", "w#1"),
         answer(115, "a", "w#1", "s1", "B"),
         result(120, "a", seal="s1", body="B"),
-        asked(200, "b", "/lm/1"),
-        *ran(210, "b", "w#2", "/lm/1", "lm", 1, model="m"),
-        line(211, "read", run="w#2", new=5, origins=[["t", 1]]),
+        attempt(200, "b", "/lm/1"),
+        *run_records(210, "b", "w#2", "/lm/1", "lm", 1, model="m"),
+        record(211, "read", run="w#2", new=5, origins=[["t", 1]]),
         answer(212, "b", "w#2", "s2", events=2),
         result(220, "b", seal="s2", mode="streaming", events=[(1, "b", "w#2"), (2, "b", "w#2")]),
-        asked(300, "c", "/up/1"),
-        *ran(310, "c", "w#3", "/up/1", "lm", 1, model="m"),
+        attempt(300, "c", "/up/1"),
+        *run_records(310, "c", "w#3", "/up/1", "lm", 1, model="m"),
         answer(312, "c", "w#3", "s3", events=4),
-        *ran(330, "c", "w#4", "/up/1", "lm", 1, after="2", model="m"),
+        *run_records(330, "c", "w#4", "/up/1", "lm", 1, after="2", model="m"),
         answer(332, "c", "w#4", "s4", events=4),
-        result(350, "c", seal="s3", mode="streaming", events=pieces),
-        line(400, "order", worker="w", owner="core1", fence=3, model="m", version=2, status=202),
-        line(400, "naming", model="m", version=2),
-        line(450, "named", model="m", version=2),
-        asked(500, "d"),
-        line(505, "arrive", worker="w", service="app", id="d"),
-        line(506, "refused", worker="w", id="d", status=503),
+        result(350, "c", seal="s3", mode="streaming", events=events),
+        record(400, "order", worker="w", owner="core1", fence=3, model="m", version=2, status=202),
+        record(400, "naming", model="m", version=2),
+        record(450, "named", model="m", version=2),
+        attempt(500, "d"),
+        record(505, "arrive", worker="w", service="app", id="d"),
+        record(506, "refused", worker="w", id="d", status=503),
         result(510, "d", status=503, seal=""),
-        line(600, "sent", version=2, base=1, document=second, bad=False),
-        line(605, "told", version=2, base=1, status=200, bad=False),
-        line(610, "sent", version=3, base=1, document=DOCUMENT | {"version": 3}, bad=False),
-        line(615, "told", version=3, base=1, status=412, bad=False),
-        line(700, "shown", worker="v", state="draining"),
-        line(9000, "readBack", document=second),
+        record(600, "sent", version=2, base=1, document=second_document, bad=False),
+        record(605, "told", version=2, base=1, status=200, bad=False),
+        record(610, "sent", version=3, base=1, document=DOCUMENT | {"version": 3}, bad=False),
+        record(615, "told", version=3, base=1, status=412, bad=False),
+        record(700, "shown", worker="v", state="draining"),
+        record(9000, "readBack", document=second_document),
     ]
 
 
 class CheckerTest(unittest.TestCase):
-    def caught(self, rule, *more, change=None, **bounds):
-        """The breaches of a good day with some records added or changed."""
-        day = [*good(), *more]
-        for fits, fields in change or ():
-            found = [item for item in day if fits_all(item, fits)]
-            self.assertTrue(found, fits)
-            for item in found:
-                item.update(fields)
-        self.assertEqual(list(check(day, Bounds(**bounds))), [rule])
-
-    def test_a_good_day(self):
-        self.assertEqual(check(good()), {})
+    def assert_only_breach(self, rule, *added, change=None, **bounds):
+        """Assert that clean records with some added or changed breach this rule alone."""
+        records = [*clean_records(), *added]
+        for expected_fields, new_fields in change or ():
+            matching = [item for item in records if has_fields(item, expected_fields)]
+            self.assertTrue(matching, expected_fields)
+            for item in matching:
+                item.update(new_fields)
+        self.assertEqual(list(check(records, Bounds(**bounds))), [rule])
+
+    def test_clean_records_have_no_breach(self):
+        self.assertEqual(check(clean_records()), {})
 
     def test_mixed(self):
-        for fits, fields in [
+        for expected_fields, new_fields in [
             ({"kind": "result", "id": "a"}, {"seal": ""}),
             ({"kind": "result", "id": "a"}, {"seal": "s2"}),
             ({"kind": "result", "id": "a"}, {"body": "C"}),
@@ -196,15 +211,27 @@
             ({"kind": "ran", "id": "a"}, {"whole": False}),
             ({"kind": "answer", "id": "a"}, {"status": 500}),
         ]:
-            self.caught("MIXED", change=[(fits, fields)])
-        self.caught("MIXED", line(800, "surplus", data="HTTP"))
+            self.assert_only_breach("MIXED", change=[(expected_fields, new_fields)])
+        self.assert_only_breach("MIXED", record(800, "surplus", data="HTTP"))
         for status in (500, 502, 404):
-            sealed = result(820, "e", status=status, seal="s5")
-            made = answer(815, "e", "w#9", "s5", status=503)
-            self.caught("MIXED", asked(800, "e"), *ran(810, "e", "w#9"), made, sealed)
-            honest = made | {"status": status}
-            day = [*good(), asked(800, "e"), *ran(810, "e", "w#9"), honest, sealed]
-            self.assertEqual(check(day), {})
+            sealed_result = result(820, "e", status=status, seal="s5")
+            worker_answer = answer(815, "e", "w#9", "s5", status=503)
+            self.assert_only_breach(
+                "MIXED",
+                attempt(800, "e"),
+                *run_records(810, "e", "w#9"),
+                worker_answer,
+                sealed_result,
+            )
+            matching_answer = worker_answer | {"status": status}
+            records = [
+                *clean_records(),
+                attempt(800, "e"),
+                *run_records(810, "e", "w#9"),
+                matching_answer,
+                sealed_result,
+            ]
+            self.assertEqual(check(records), {})
 
     def test_unasked(self):
         for fields in (
@@ -215,34 +242,42 @@
             {"tenant": "u"},
             {"tenant": ""},
         ):
-            self.caught("UNASKED", change=[({"kind": "run", "id": "a"}, fields)])
-        self.caught("UNASKED", *ran(800, "nobody", "w#9"))
+            self.assert_only_breach("UNASKED", change=[({"kind": "run", "id": "a"}, fields)])
+        self.assert_only_breach("UNASKED", *run_records(800, "nobody", "w#9"))
 
     def test_twice(self):
-        self.caught("TWICE", *ran(111, "a", "w#9"), extra_retries=5)
-        self.caught("TWICE", *ran(111, "b", "w#9", "/lm/1", "lm"), extra_retries=5)
+        self.assert_only_breach("TWICE", *run_records(111, "a", "w#9"), extra_retries=5)
+        self.assert_only_breach(
+            "TWICE", *run_records(111, "b", "w#9", "/lm/1", "lm"), extra_retries=5
+        )
 
     def test_refused(self):
         for status in (408, 421, 429, 503):
-            self.caught(
+            self.assert_only_breach(
                 "REFUSED",
-                *ran(508, "d", "w#9"),
+                *run_records(508, "d", "w#9"),
                 change=[({"kind": "result", "id": "d"}, {"status": status})],
             )
 
     def test_route(self):
-        self.caught("ROUTE", change=[({"kind": "run", "id": "a"}, {"service": "lm"})])
-        self.caught("ROUTE", asked(800, "e", key="none"), *ran(801, "e", "w#9", tenant=""))
-        self.caught("ROUTE", asked(800, "e", target="/no/"), *ran(801, "e", "w#9", target="/no/"))
+        self.assert_only_breach("ROUTE", change=[({"kind": "run", "id": "a"}, {"service": "lm"})])
+        self.assert_only_breach(
+            "ROUTE", attempt(800, "e", key="none"), *run_records(801, "e", "w#9", tenant="")
+        )
+        self.assert_only_breach(
+            "ROUTE", attempt(800, "e", target="/no/"), *run_records(801, "e", "w#9", target="/no/")
+        )
 
     def test_stale(self):
-        self.caught(
+        self.assert_only_breach(
             "STALE", change=[({"kind": "read", "run": "w#2"}, {"origins": [["t", 1], ["t", 2]]})]
         )
 
     def test_wall(self):
-        self.caught("WALL", change=[({"kind": "read", "run": "w#2"}, {"origins": [["u", 1]]})])
-        self.caught(
+        self.assert_only_breach(
+            "WALL", change=[({"kind": "read", "run": "w#2"}, {"origins": [["u", 1]]})]
+        )
+        self.assert_only_breach(
             "WALL",
             change=[
                 ({"kind": "try", "id": "b"}, {"key": "l"}),
@@ -260,44 +295,46 @@
             [(1, "b", "w#2"), (2, "a", "w#2")],
             [],
         ):
-            self.caught(
+            self.assert_only_breach(
                 "ORDER",
                 change=[
                     ({"kind": "result", "id": "b"}, {"events": [list(each) for each in events]})
                 ],
             )
-        self.caught("ORDER", change=[({"kind": "run", "run": "w#4"}, {"after": "1"})])
+        self.assert_only_breach("ORDER", change=[({"kind": "run", "run": "w#4"}, {"after": "1"})])
 
     def test_budget(self):
-        more = [line(500 + at, "arrive", worker="w", service="app", id="a") for at in range(8)]
-        self.caught("BUDGET", *more, extra_retries=6)
-        self.assertEqual(check([*good(), *more], Bounds(extra_retries=8)), {})
+        retries = [
+            record(500 + index, "arrive", worker="w", service="app", id="a") for index in range(8)
+        ]
+        self.assert_only_breach("BUDGET", *retries, extra_retries=6)
+        self.assertEqual(check([*clean_records(), *retries], Bounds(extra_retries=8)), {})
 
-    def test_budget_counts_the_workers_of_a_try(self):
-        def spread(count, workers):
+    def test_budget_counts_the_workers_of_an_attempt(self):
+        def spread_requests(count, worker_count):
             return [
-                each
+                entry
                 for number in range(count)
-                for each in (
-                    asked(800, f"e{number}", "/safe/1"),
+                for entry in (
+                    attempt(800, f"e{number}", "/safe/1"),
                     *(
                         item
-                        for at in range(workers)
-                        for item in ran(
-                            801, f"e{number}", f"w{at}#{number}", "/safe/1", worker=f"w{at}"
+                        for index in range(worker_count)
+                        for item in run_records(
+                            801, f"e{number}", f"w{index}#{number}", "/safe/1", worker=f"w{index}"
                         )
                     ),
                 )
             ]
 
-        self.caught("BUDGET", *spread(4, 3), extra_retries=50)
-        for count, workers in ((3, 3), (4, 2)):
-            day = [*good(), *spread(count, workers)]
-            self.assertEqual(check(day, Bounds(extra_retries=50)), {})
+        self.assert_only_breach("BUDGET", *spread_requests(4, 3), extra_retries=50)
+        for count, worker_count in ((3, 3), (4, 2)):
+            records = [*clean_records(), *spread_requests(count, worker_count)]
+            self.assertEqual(check(records, Bounds(extra_retries=50)), {})
 
     def test_one(self):
         def order(at_ms, owner, fence, status=202):
-            return line(
+            return record(
                 at_ms,
                 "order",
                 worker="w",
@@ -308,209 +345,267 @@
                 status=status,
             )
 
-        self.caught("ONE", order(4000, "core2", 3))
-        self.caught("ONE", order(4000, "core1", 2))
-        self.caught("ONE", order(3000, "core2", 4))
-        self.caught("ONE", order(4000, "core1", 2, 412), checks_fences=False)
+        self.assert_only_breach("ONE", order(4000, "core2", 3))
+        self.assert_only_breach("ONE", order(4000, "core1", 2))
+        self.assert_only_breach("ONE", order(3000, "core2", 4))
+        self.assert_only_breach("ONE", order(4000, "core1", 2, 412), checks_fences=False)
         self.assertEqual(
-            check([*good(), order(4000, "core1", 2, 412), order(8000, "core2", 5)]), {}
+            check([*clean_records(), order(4000, "core1", 2, 412), order(8000, "core2", 5)]), {}
         )
 
     def test_version(self):
-        late = [asked(8500, "e", "/lm/1"), *ran(8510, "e", "w#9", "/lm/1", "lm", 1, model="m")]
-        self.caught("VERSION", *late)
-        for kept_by, broken_by in (
+        late = [
+            attempt(8500, "e", "/lm/1"),
+            *run_records(8510, "e", "w#9", "/lm/1", "lm", 1, model="m"),
+        ]
+        self.assert_only_breach("VERSION", *late)
+        for excusing_fault, unrelated_fault in (
             (["router1", 5600, 5600, PROCESS], ["router1", 5400, 5400, PROCESS]),
             (["core1", 2000, 2000, PROCESS], ["router2", 6000, 6000, PROCESS]),
             (["router2", 2000, 2000, LINK], ["router2", 460, 460, PROCESS]),
         ):
-            self.assertEqual(check([*good(), *late], Bounds(troubles=[kept_by])), {})
             self.assertEqual(
-                check([*good(), *late], Bounds(troubles=[broken_by])).keys(), {"VERSION"}
+                check([*clean_records(), *late], Bounds(troubles=[excusing_fault])), {}
+            )
+            self.assertEqual(
+                check([*clean_records(), *late], Bounds(troubles=[unrelated_fault])).keys(),
+                {"VERSION"},
             )
 
-    def test_version_counts_one_settled_stretch(self):
-        late = [asked(14500, "e", "/lm/1"), *ran(14510, "e", "w#9", "/lm/1", "lm", 1, model="m")]
+    def test_version_counts_one_fault_free_span(self):
+        late = [
+            attempt(14500, "e", "/lm/1"),
+            *run_records(14510, "e", "w#9", "/lm/1", "lm", 1, model="m"),
+        ]
         troubled = Bounds(troubles=[["core1", 5000, 6000, PROCESS]])
-        self.assertEqual(check([*good(), *late], troubled), {})
-        later = [asked(17500, "e", "/lm/1"), *ran(17510, "e", "w#9", "/lm/1", "lm", 1, model="m")]
-        self.assertEqual(check([*good(), *later], troubled).keys(), {"VERSION"})
+        self.assertEqual(check([*clean_records(), *late], troubled), {})
+        later = [
+            attempt(17500, "e", "/lm/1"),
+            *run_records(17510, "e", "w#9", "/lm/1", "lm", 1, model="m"),
+        ]
+        self.assertEqual(check([*clean_records(), *later], troubled).keys(), {"VERSION"})
 
-    def test_version_looks_at_workers_left_behind(self):
-        def end(at_ms, *versions):
+    def test_version_finds_workers_left_behind(self):
+        def traffic_end(at_ms, *versions):
             workers = [
-                {"worker": f"w{at}", "versions": {"m": version}}
-                for at, version in enumerate(versions)
+                {"worker": f"w{index}", "versions": {"m": version}}
+                for index, version in enumerate(versions)
             ]
-            return line(at_ms, "trafficEnds", workers=workers)
+            return record(at_ms, "trafficEnds", workers=workers)
 
-        self.caught("VERSION", end(12460, 1, 1, 2, 2))
-        for kept in (
-            end(12440, 1, 1, 2, 2),
-            end(12460, 1, 2, 2, 2),
-            end(12460, 1, 1, *[2] * 20),
+        self.assert_only_breach("VERSION", traffic_end(12460, 1, 1, 2, 2))
+        for accepted in (
+            traffic_end(12440, 1, 1, 2, 2),
+            traffic_end(12460, 1, 2, 2, 2),
+            traffic_end(12460, 1, 1, *[2] * 20),
         ):
-            self.assertEqual(check([*good(), kept]), {})
+            self.assertEqual(check([*clean_records(), accepted]), {})
         troubled = Bounds(troubles=[["core1", 5000, 6000, PROCESS]])
-        self.assertEqual(check([*good(), end(16440, 1, 1, 2, 2)], troubled), {})
-        self.assertEqual(check([*good(), end(16460, 1, 1, 2, 2)], troubled).keys(), {"VERSION"})
-        up = [line(460, "up", worker=f"w{at}", service="lm", versions={"m": 1}) for at in (0, 1)]
-        self.assertEqual(check([*good(), *up, end(12455, 1, 1, 2, 2)]), {})
+        self.assertEqual(check([*clean_records(), traffic_end(16440, 1, 1, 2, 2)], troubled), {})
+        self.assertEqual(
+            check([*clean_records(), traffic_end(16460, 1, 1, 2, 2)], troubled).keys(), {"VERSION"}
+        )
+        restarts = [
+            record(460, "up", worker=f"w{index}", service="lm", versions={"m": 1})
+            for index in (0, 1)
+        ]
+        self.assertEqual(check([*clean_records(), *restarts, traffic_end(12455, 1, 1, 2, 2)]), {})
 
     def test_drain(self):
-        late = [asked(3800, "e"), line(3801, "arrive", worker="v", service="app", id="e")]
-        self.caught("DRAIN", *late)
+        late = [attempt(3800, "e"), record(3801, "arrive", worker="v", service="app", id="e")]
+        self.assert_only_breach("DRAIN", *late)
+        self.assertEqual(
+            check(
+                [*clean_records(), *late, record(3802, "refused", worker="v", id="e", status=421)]
+            ),
+            {},
+        )
         self.assertEqual(
-            check([*good(), *late, line(3802, "refused", worker="v", id="e", status=421)]), {}
+            check([*clean_records(), *late], Bounds(troubles=[["router1", 1000, 1000]])), {}
         )
-        self.assertEqual(check([*good(), *late], Bounds(troubles=[["router1", 1000, 1000]])), {})
 
     def test_config(self):
         moved = copy.deepcopy(DOCUMENT) | {"version": 4}
         moved["routes"][0]["backend"], moved["customers"][1]["api-keys"] = "lm", []
-        change = [
-            line(700, "sent", version=4, base=2, document=moved, bad=False),
-            line(705, "told", version=4, base=2, status=200, bad=False),
-            line(9001, "readBack", document=moved),
+        changes = [
+            record(700, "sent", version=4, base=2, document=moved, bad=False),
+            record(705, "told", version=4, base=2, status=200, bad=False),
+            record(9001, "readBack", document=moved),
         ]
-        self.caught("CONFIG", *change, asked(3000, "e"), *ran(3001, "e", "w#9"))
-        self.caught(
+        self.assert_only_breach(
+            "CONFIG", *changes, attempt(3000, "e"), *run_records(3001, "e", "w#9")
+        )
+        self.assert_only_breach(
             "CONFIG",
-            *change,
-            asked(3000, "e", "/safe/1", key="l"),
-            *ran(3001, "e", "w#9", "/safe/1", tenant="u"),
+            *changes,
+            attempt(3000, "e", "/safe/1", key="l"),
+            *run_records(3001, "e", "w#9", "/safe/1", tenant="u"),
+        )
+        self.assertEqual(
+            check([*clean_records(), *changes, attempt(2000, "e"), *run_records(3001, "e", "w#9")]),
+            {},
         )
-        self.assertEqual(check([*good(), *change, asked(2000, "e"), *ran(3001, "e", "w#9")]), {})
         for status in (401, 403, 404):
-            self.caught("CONFIG", asked(3000, "e"), result(3010, "e", status=status))
-        self.caught("CONFIG", line(800, "told", version=9, base=2, status=200, bad=True))
-        self.caught(
+            self.assert_only_breach("CONFIG", attempt(3000, "e"), result(3010, "e", status=status))
+        self.assert_only_breach(
+            "CONFIG", record(800, "told", version=9, base=2, status=200, bad=True)
+        )
+        self.assert_only_breach(
             "CONFIG",
             change=[
                 ({"kind": "told", "version": 3}, {"status": 200}),
                 ({"kind": "readBack"}, {"document": DOCUMENT | {"version": 3}}),
             ],
         )
-        for back in (None, DOCUMENT, DOCUMENT | {"version": 2, "routes": []}):
-            self.caught("CONFIG", change=[({"kind": "readBack"}, {"document": back})])
+        for document in (None, DOCUMENT, DOCUMENT | {"version": 2, "routes": []}):
+            self.assert_only_breach(
+                "CONFIG", change=[({"kind": "readBack"}, {"document": document})]
+            )
 
-    def turned_away(self, count, status, at_ms=1000, **more):
-        """So many requests, each ended with a status."""
+    def denied_requests(self, count, status, at_ms=1000, **more):
+        """Return the records of `count` requests, each of which ends with this status."""
         return [
-            each
+            entry
             for number in range(count)
-            for each in (
-                asked(at_ms + number, f"e{number}", **more),
+            for entry in (
+                attempt(at_ms + number, f"e{number}", **more),
                 result(at_ms + number + 5, f"e{number}", status=status),
             )
         ]
 
     def test_denied(self):
         for status in (301, 400, 405, 409, 431, 499):
-            self.caught("DENIED", *self.turned_away(6, status))
-            self.assertEqual(check([*good(), *self.turned_away(5, status)]), {})
+            self.assert_only_breach("DENIED", *self.denied_requests(6, status))
+            self.assertEqual(check([*clean_records(), *self.denied_requests(5, status)]), {})
         for status in (408, 421, 429, 503, 502):
-            self.assertEqual(check([*good(), *self.turned_away(6, status)]), {})
+            self.assertEqual(check([*clean_records(), *self.denied_requests(6, status)]), {})
         troubled = Bounds(troubles=[["router1", 900, 900]])
-        self.assertEqual(check([*good(), *self.turned_away(6, 400)], troubled), {})
-        self.assertEqual(check([*good(), *self.turned_away(6, 404, target="/no/")]), {})
-        own = [answer(1002 + at, f"e{at}", "w#9", "", status=400) for at in range(6)]
-        self.assertEqual(check([*good(), *self.turned_away(6, 400), *own]), {})
+        self.assertEqual(check([*clean_records(), *self.denied_requests(6, 400)], troubled), {})
+        self.assertEqual(
+            check([*clean_records(), *self.denied_requests(6, 404, target="/no/")]), {}
+        )
+        worker_answers = [
+            answer(1002 + index, f"e{index}", "w#9", "", status=400) for index in range(6)
+        ]
+        self.assertEqual(
+            check([*clean_records(), *self.denied_requests(6, 400), *worker_answers]), {}
+        )
 
-    def cut(self, at_ms, end_ms, runs=(), **more):
-        """A request that is cut off."""
-        got = result(end_ms, "e", status=0, complete=False) | {"sent": True, "end": "cut"}
-        return [asked(at_ms, "e"), *runs, got | more]
+    def cut_off_request(self, at_ms, end_ms, runs=(), **more):
+        """Return the records of a request that is cut off."""
+        cut_result = result(end_ms, "e", status=0, complete=False) | {"sent": True, "end": "cut"}
+        return [attempt(at_ms, "e"), *runs, cut_result | more]
 
     def test_lost(self):
-        term = line(1000, "planned", machine="router1", what="term")
-        hup = line(1000, "planned", machine="router1", what="hup")
-        run = ran(1005, "e", "w#9")
-        self.caught("LOST", term, *self.cut(990, 1020, run))
-        self.caught("LOST", hup, *self.cut(2900, 2920, ran(2905, "e", "w#9")))
-        self.caught("LOST", term, *self.cut(990, 1300))
-        self.caught("LOST", term, *self.cut(4000, 9000, ran(4100, "e", "w#9")))
-        for more in (
-            self.cut(990, 1100),
-            self.cut(990, 1300, end="silence or deadline"),
-            self.cut(990, 1300, sent=False, end="not reached"),
-            self.cut(990, 1300, run, complete=True),
-            self.cut(10100, 10400, ran(10200, "e", "w#9")),
-            self.cut(990, 1020, [each | {"quirk": "cut"} for each in run]),
-            self.cut(990, 1020, [each for each in run if each["kind"] != "ran"]),
-            self.cut(990, 7900, ran(7700, "e", "w#9")),
-            self.cut(4000, 7900, ran(7700, "e", "w#9")),
+        term = record(1000, "planned", machine="router1", what="term")
+        hup = record(1000, "planned", machine="router1", what="hup")
+        run = run_records(1005, "e", "w#9")
+        self.assert_only_breach("LOST", term, *self.cut_off_request(990, 1020, run))
+        self.assert_only_breach(
+            "LOST", hup, *self.cut_off_request(2900, 2920, run_records(2905, "e", "w#9"))
+        )
+        self.assert_only_breach("LOST", term, *self.cut_off_request(990, 1300))
+        self.assert_only_breach(
+            "LOST", term, *self.cut_off_request(4000, 9000, run_records(4100, "e", "w#9"))
+        )
+        for added in (
+            self.cut_off_request(990, 1100),
+            self.cut_off_request(990, 1300, end="silence or deadline"),
+            self.cut_off_request(990, 1300, sent=False, end="not reached"),
+            self.cut_off_request(990, 1300, run, complete=True),
+            self.cut_off_request(10100, 10400, run_records(10200, "e", "w#9")),
+            self.cut_off_request(990, 1020, [entry | {"quirk": "cut"} for entry in run]),
+            self.cut_off_request(990, 1020, [entry for entry in run if entry["kind"] != "ran"]),
+            self.cut_off_request(990, 7900, run_records(7700, "e", "w#9")),
+            self.cut_off_request(4000, 7900, run_records(7700, "e", "w#9")),
         ):
-            self.assertEqual(check([*good(), term, *more]), {}, more)
-        for more in (
-            self.cut(990, 7900, ran(7600, "e", "w#9")),
-            self.cut(4010, 7900, ran(7700, "e", "w#9")),
-            self.cut(990, 6000, ran(5500, "e", "w#9")),
-            self.cut(990, 1020, [each for each in run if each["kind"] == "arrive"]),
+            self.assertEqual(check([*clean_records(), term, *added]), {}, added)
+        for added in (
+            self.cut_off_request(990, 7900, run_records(7600, "e", "w#9")),
+            self.cut_off_request(4010, 7900, run_records(7700, "e", "w#9")),
+            self.cut_off_request(990, 6000, run_records(5500, "e", "w#9")),
+            self.cut_off_request(990, 1020, [entry for entry in run if entry["kind"] == "arrive"]),
         ):
-            self.caught("LOST", term, *more)
-        self.caught("LOST", hup, *self.cut(990, 7900, ran(7700, "e", "w#9")))
+            self.assert_only_breach("LOST", term, *added)
+        self.assert_only_breach(
+            "LOST", hup, *self.cut_off_request(990, 7900, run_records(7700, "e", "w#9"))
+        )
         elsewhere = term | {"machine": "router2"}
-        self.assertEqual(check([*good(), elsewhere, *self.cut(990, 1020, run)]), {})
+        self.assertEqual(
+            check([*clean_records(), elsewhere, *self.cut_off_request(990, 1020, run)]), {}
+        )
         troubled = Bounds(troubles=[["router1", 0, 500]])
-        self.assertEqual(check([*good(), term, *self.cut(990, 1020, run)], troubled), {})
+        self.assertEqual(
+            check([*clean_records(), term, *self.cut_off_request(990, 1020, run)], troubled), {}
+        )
 
-    def unanswered(self, count, **more):
-        """So many requests from kept connections that a worker has run and that end without an answer."""
+    def unanswered_requests(self, count, **more):
+        """Return the records of `count` requests on reused connections that a worker ran and that end without an answer."""
         return [
-            each
-            for at in range(count)
-            for each in (
-                asked(1000, f"k{at}"),
-                *ran(1005, f"k{at}", f"w#{at + 20}"),
-                result(1100, f"k{at}", status=0, complete=False)
+            entry
+            for index in range(count)
+            for entry in (
+                attempt(1000, f"k{index}"),
+                *run_records(1005, f"k{index}", f"w#{index + 20}"),
+                result(1100, f"k{index}", status=0, complete=False)
                 | {"sent": True, "end": "cut", "kept": True}
                 | more,
             )
         ]
 
     def test_lost_without_planned_work(self):
-        self.caught("LOST", *self.unanswered(4))
-        for more in (
-            self.unanswered(3),
-            self.unanswered(4, kept=False),
-            self.unanswered(4, end="silence or deadline"),
-            [each for each in self.unanswered(4) if each["kind"] not in ("arrive", "run", "ran")],
+        self.assert_only_breach("LOST", *self.unanswered_requests(4))
+        for added in (
+            self.unanswered_requests(3),
+            self.unanswered_requests(4, kept=False),
+            self.unanswered_requests(4, end="silence or deadline"),
             [
-                each | ({"quirk": "reset"} if each["kind"] == "run" else {})
-                for each in self.unanswered(4)
+                entry
+                for entry in self.unanswered_requests(4)
+                if entry["kind"] not in ("arrive", "run", "ran")
+            ],
+            [
+                entry | ({"quirk": "reset"} if entry["kind"] == "run" else {})
+                for entry in self.unanswered_requests(4)
             ],
         ):
-            self.assertEqual(check([*good(), *more]), {}, more)
+            self.assertEqual(check([*clean_records(), *added]), {}, added)
         troubled = Bounds(troubles=[["router1", 0, 500]])
-        self.assertEqual(check([*good(), *self.unanswered(4)], troubled), {})
+        self.assertEqual(check([*clean_records(), *self.unanswered_requests(4)], troubled), {})
 
     def test_recover(self):
-        back = line(2000, "back", downMs=900)
-        late = self.turned_away(8, 503, at_ms=20000)
-        self.caught("RECOVER", back, *late)
+        recovery = record(2000, "back", downMs=900)
+        late = self.denied_requests(8, 503, at_ms=20000)
+        self.assert_only_breach("RECOVER", recovery, *late)
         served = [
-            *self.turned_away(6, 503, at_ms=20000),
-            *(asked(20100 + at, f"f{at}") for at in range(2)),
-            *(each for at in range(2) for each in ran(20105 + at, f"f{at}", f"w#{20 + at}")),
-            *(answer(20110 + at, f"f{at}", f"w#{20 + at}", f"t{at}", body="B") for at in range(2)),
-            *(result(20120 + at, f"f{at}", seal=f"t{at}", body="B") for at in range(2)),
+            *self.denied_requests(6, 503, at_ms=20000),
+            *(attempt(20100 + index, f"f{index}") for index in range(2)),
+            *(
+                entry
+                for index in range(2)
+                for entry in run_records(20105 + index, f"f{index}", f"w#{20 + index}")
+            ),
+            *(
+                answer(20110 + index, f"f{index}", f"w#{20 + index}", f"t{index}", body="B")
+                for index in range(2)
+            ),
+            *(result(20120 + index, f"f{index}", seal=f"t{index}", body="B") for index in range(2)),
         ]
-        self.assertEqual(check([*good(), back, *served]), {})
-        soon = self.turned_away(8, 503, at_ms=13000)
-        self.assertEqual(check([*good(), back, *soon]), {})
-
-    def leavers(self, count, target="/lm/1", end_ms=1900, whole=False, sent_ms=1010):
-        """Clients that leave at 1,200, and what became of their requests."""
-        for at in range(count):
-            name, run = f"left{at}", f"w#{40 + at}"
-            yield asked(1000, name, target)
-            yield line(1200, "left", id=name, router="router1")
-            yield line(1200, "result", id=name, status=0, end="left", **self.nothing)
-            arrived, begun, ended = ran(sent_ms, name, run, target, "lm", model="m")
-            yield from (arrived, begun, ended | {"atMs": end_ms, "whole": whole})
-
-    nothing = {
+        self.assertEqual(check([*clean_records(), recovery, *served]), {})
+        early = self.denied_requests(8, 503, at_ms=13000)
+        self.assertEqual(check([*clean_records(), recovery, *early]), {})
+
+    def closed_by_client(self, count, target="/lm/1", end_ms=1900, whole=False, sent_ms=1010):
+        """Yield the records of `count` requests whose clients close at 1,200 ms, and of their runs."""
+        for index in range(count):
+            request_id, run_id = f"left{index}", f"w#{40 + index}"
+            yield attempt(1000, request_id, target)
+            yield record(1200, "left", id=request_id, router="router1")
+            yield record(1200, "result", id=request_id, status=0, end="left", **self.empty_result)
+            arrival, begin, end = run_records(sent_ms, request_id, run_id, target, "lm", model="m")
+            yield from (arrival, begin, end | {"atMs": end_ms, "whole": whole})
+
+    empty_result = {
         "sent": True,
         "complete": False,
         "seal": "",
@@ -521,28 +616,30 @@
     }
 
     def test_gone(self):
-        self.caught("GONE", *self.leavers(4))
-        self.caught("GONE", *self.leavers(4, end_ms=2000, whole=True, sent_ms=1800))
-        unended = [each for each in self.leavers(4) if each["kind"] != "ran"]
-        self.caught("GONE", *unended)
-        for few in (
-            self.leavers(3),
-            self.leavers(9, end_ms=1600),
-            self.leavers(4, target="/once/1"),
-            self.leavers(3, end_ms=2000, sent_ms=1800),
+        self.assert_only_breach("GONE", *self.closed_by_client(4))
+        self.assert_only_breach(
+            "GONE", *self.closed_by_client(4, end_ms=2000, whole=True, sent_ms=1800)
+        )
+        unended = [entry for entry in self.closed_by_client(4) if entry["kind"] != "ran"]
+        self.assert_only_breach("GONE", *unended)
+        for accepted in (
+            self.closed_by_client(3),
+            self.closed_by_client(9, end_ms=1600),
+            self.closed_by_client(4, target="/once/1"),
+            self.closed_by_client(3, end_ms=2000, sent_ms=1800),
         ):
-            found = check([*good(), *few])
-            self.assertNotIn("GONE", found)
+            breaches = check([*clean_records(), *accepted])
+            self.assertNotIn("GONE", breaches)
         troubled = Bounds(troubles=[["router1", 0, 900]])
-        self.assertNotIn("GONE", check([*good(), *self.leavers(4)], troubled))
+        self.assertNotIn("GONE", check([*clean_records(), *self.closed_by_client(4)], troubled))
 
     def test_each_rule_has_a_planted_breach(self):
         self.assertEqual(
-            {name.lower() for name in RULES} - {name.removeprefix("test_") for name in dir(self)},
+            {key.lower() for key in RULES} - {key.removeprefix("test_") for key in dir(self)},
             set(),
         )
 
 
-def fits_all(item, fields):
-    """Whether a record has such fields."""
-    return all(item.get(name) == value for name, value in fields.items())
+def has_fields(item, fields):
+    """Return whether a record has these field values."""
+    return all(item.get(key) == value for key, value in fields.items())
