--- a/swiftdeck/sim/faults/processes.py
+++ b/swiftdeck/sim/faults/processes.py
@@ -84,8 +84,8 @@
         loop = world.loops.get(self.injector.pick(names))
         if loop:
             now_s = loop.time()
-            loop.rate = self.random.choice([0.97, 1.0, 1.03])
-            loop.offset = now_s - world.now * loop.rate
+            loop.clock_rate = self.random.choice([0.97, 1.0, 1.03])
+            loop.clock_offset_s = now_s - world.now * loop.clock_rate
 
     def jump_wall(self):
         """Let the wall clocks jump; nothing that decides may notice."""
--- a/swiftdeck/sim/model/cluster.py
+++ b/swiftdeck/sim/model/cluster.py
@@ -353,7 +353,7 @@
         for transport in list(self.net.open):
             if ip in (transport.local[0], transport.remote[0]) and not transport.loop.dead:
                 error = ConnectionResetError("reset by peer")
-                transport.loop.call_soon(self.net._arrive, transport, error)
+                transport.loop.call_soon(self.net._receive, transport, error)
 
     def _freeze(self, action):
         name = action.core
--- a/swiftdeck/sim/model/points.py
+++ b/swiftdeck/sim/model/points.py
@@ -127,7 +127,7 @@
 
     def _send_late(self, transport, item, late_s):
         target, frame = transport.remote[0], item[LENGTH_BYTES:]
-        self.world.call_after(late_s, lambda: self.deliver(transport.other, target, frame))
+        self.world.call_after(late_s, lambda: self.deliver(transport.peer, target, frame))
 
 
 class PointFolder(SimFolder):
--- a/swiftdeck/sim/sim_cluster.py
+++ b/swiftdeck/sim/sim_cluster.py
@@ -1,4 +1,4 @@
-"""A whole site in one process: cores, routers and stand-ins on simulated machines."""
+"""A whole site in one process: cores, routers and stand-ins for the rest on simulated machines."""
 
 import asyncio
 import random
@@ -19,14 +19,15 @@
 from swiftdeck.traffic.router import Router
 
 START_LIMIT_S = 30
-"""How long the cores may take to serve, and a router to coordinate."""
+"""Time limit for the cores to serve, and again for a router to become the coordinator."""
 
 
 class SimCluster:
-    """Starts the processes of a site in virtual time, and collects the records.
+    """Starts the processes of a site in virtual time and collects the records of its stand-ins.
 
-    `up` has the newest process of each name, `all` every one that ever ran. `settings` go to the
-    cores and routers; `version` is the newest one that an operator of this site knows.
+    `up` has the process started last under each name, `all` every core and router that ever ran.
+    `settings` go to the cores and routers; `version` is the newest configuration version that an
+    operator of this site knows. `folders` has the disks of the cores, which outlive them.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         **settings,
     ):
         self.world = World(seed)
-        self.late = LateMessages(self.world, random.Random(f"late {seed}"), again_share=1.0)
+        self.late = LateMessages(self.world, random.Random(f"late {seed}"), duplicate_share=1.0)
         self.ips = {}
         self.site = plan_site(
             site, self.ip, routers=routers, workers=workers, models=models, cores=cores
@@ -55,17 +56,17 @@
         self.version, self.all = 0, {}
 
     def ip(self, machine):
-        """The address of a machine."""
+        """Return the IP address of a machine; a new machine gets the next free one."""
         return self.ips.setdefault(
             machine, f"10.0.{len(self.ips) // 200}.{len(self.ips) % 200 + 1}"
         )
 
-    def record(self, who):
-        """The sink that takes what one stand-in saw."""
-        return ListRecord(self.records, who, lambda: self.world.now)
+    def record(self, name):
+        """Return the recorder of one stand-in, whose entries go to `records`."""
+        return ListRecord(self.records, name, lambda: self.world.now)
 
     def _settings(self, node):
-        founding = (
+        founder_settings = (
             {"founders": self.seeds, "mayFound": self.is_first_start} if self.names_founders else {}
         )
         return Settings(
@@ -76,12 +77,12 @@
             seeds=self.seeds,
             platform=self.site.platform,
             store=self.site.store,
-            **founding,
+            **founder_settings,
             **self.settings,
         )
 
     def start_core(self, name):
-        """Start a core on what its disk has."""
+        """Start a core on the contents of its disk."""
         node = self.addresses[name]
         folder = self.folders.setdefault(name, SimFolder())
 
@@ -108,7 +109,7 @@
         self.world.start(name, node["inner"].rpartition(":")[0], main)
 
     def start_worker(self, name, weights="w1", **more):
-        """Start a worker stand-in with an empty cache."""
+        """Start a worker stand-in with an empty cache; `more` are further options of `Worker`."""
         plan = next(worker for worker in self.site.workers if worker["name"] == name)
 
         async def main():
@@ -126,7 +127,7 @@
         self.world.start(name, plan["addr"].rpartition(":")[0], main)
 
     def start_store(self):
-        """Start the store, empty."""
+        """Start the prefix store, empty."""
 
         async def main():
             self.up["store"] = Store(self.site.store, self.record("store"))
@@ -135,7 +136,7 @@
         self.world.start("store", self.site.store.rpartition(":")[0], main)
 
     def start_platform(self):
-        """Start the platform."""
+        """Start the stand-in for the platform, with the list of workers."""
 
         async def main():
             self.up["platform"] = Platform(
@@ -146,7 +147,7 @@
         self.world.start("platform", self.site.platform.rpartition(":")[0], main)
 
     def start(self, **model):
-        """Start everything and put the first configuration, with these fields of its models."""
+        """Start all processes and send the first configuration, with these fields in its models."""
         for node in self.site.cores:
             self.start_core(node["name"])
         self.start_platform()
@@ -157,15 +158,15 @@
             self.start_router(node["name"])
         self._start_clients()
         self.world.run(until=self.cores_serve, limit_s=START_LIMIT_S)
-        answer = self.change("PUT", self.site.document(**model))
-        assert answer[0] == 200, answer
+        response = self.change("PUT", self.site.document(**model))
+        assert response[0] == 200, response
         self.is_first_start = False
         self.world.run(until=lambda: self.coordinator() is not None, limit_s=START_LIMIT_S)
         self.world.run(0.5)
         return self
 
     def _start_clients(self):
-        """Start the machines of operators and callers, which do nothing by themselves."""
+        """Start the processes of operators and callers, which idle until they are given a task."""
         for machine in ("operator", "callers"):
             self.world.start(machine, self.ip(machine), lambda: asyncio.sleep(0))
         names = {node["http"]: node["name"] for node in self.site.routers}
@@ -179,19 +180,19 @@
         )
 
     def cores_serve(self):
-        """Whether some core may answer for the chain."""
+        """Return whether some core may answer reads for the chain."""
         return any(self.up[name].chain.may_tell() for name in self.core_names() if name in self.up)
 
     def core_names(self):
-        """Cores that run."""
+        """Return the names of the running cores."""
         return [node["name"] for node in self.site.cores if node["name"] in self.world.loops]
 
     def router_names(self):
-        """Routers that run."""
+        """Return the names of the running routers."""
         return [node["name"] for node in self.site.routers if node["name"] in self.world.loops]
 
     def coordinator(self):
-        """The name of the router that keeps the books, if one does."""
+        """Return the first running router that is ready as coordinator and not frozen, or None."""
         for name in self.router_names():
             for coordinator in self.up[name].coordinators.values():
                 if coordinator.is_ready() and not self.world.loops[name].frozen:
@@ -199,7 +200,7 @@
         return None
 
     def coordinator_names(self):
-        """The routers that keep the books of some model now."""
+        """Return the running routers that hold the coordinator duty of some model."""
         return {
             name
             for name in self.router_names()
@@ -208,7 +209,10 @@
         }
 
     def counters(self):
-        """All counters of all processes that ever ran, with those of their HTTP servers."""
+        """Return the summed counters of all cores and routers that ever ran.
+
+        They include those of the HTTP servers, as `http.*`, and of late messages, as `late.*`.
+        """
         return sum(
             (
                 Counter(node.counters())
@@ -219,11 +223,11 @@
         )
 
     def slot_table(self):
-        """The books of the present coordinator."""
+        """Return the slots of each worker, as the current coordinator has them."""
         return next(iter(self.up[self.coordinator()].coordinators.values())).slot_table.table
 
     def ask(self, method, path, body=None, name=None, headers=(), timeout_ms=15000):
-        """An operator's exchange with a process."""
+        """Send an operator's HTTP request to a process, by default the first running core."""
         name = name or self.core_names()[0]
         return self.world.run_task(
             "operator",
@@ -233,38 +237,41 @@
         )
 
     def change(self, method, document, base=None, name=None, change_id=None):
-        """An operator's change on the newest version or on `base`, recorded with what came back."""
+        """Send an operator's change, based on the newest known version or on `base`, and record it.
+
+        Returns the response of `ask`.
+        """
         name = name or self.core_names()[0]
         base = self.version if base is None else base
         headers = [("change-id", change_id)] if change_id else []
         asked_ms = int(self.world.now * 1000)
-        got = self.ask(method, f"/v1/config?base={base}", document, name, headers)
-        if got and got[0] == 200:
-            self.version = max(self.version, got[1]["version"])
+        response = self.ask(method, f"/v1/config?base={base}", document, name, headers)
+        if response and response[0] == 200:
+            self.version = max(self.version, response[1]["version"])
         self.record("operator")(
             "change",
             method=method,
             base=base,
             document=document,
-            status=got[0] if got else 0,
-            answer=got[1] if got else {},
+            status=response[0] if response else 0,
+            answer=response[1] if response else {},
             askedMs=asked_ms,
         )
-        return got
+        return response
 
     def call(self, tenant, route, parts, **more):
-        """One call, to its return."""
+        """Make one call and return its result once it has ended."""
         return self.world.run_task(
             "callers", lambda: self.caller.call(tenant, route, parts, **more), limit_s=200
         )
 
     def spawn(self, make):
-        """Run a coroutine of the callers beside all else; its result will be in the list."""
-        box = []
+        """Start a coroutine in the callers' process; return a list that will get its result."""
+        results = []
 
         async def main():
-            box.append(await make())
+            results.append(await make())
 
         loop = self.world.loops["callers"]
         self.world.run_in("callers", lambda: loop.create_task(main()))
-        return box
+        return results
--- a/swiftdeck/sim/storm.py
+++ b/swiftdeck/sim/storm.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed, injected into a whole site in virtual time, judged by the records."""
+"""Injects random faults into a whole site in virtual time and checks the records of the run."""
 
 import time
 from collections import Counter
@@ -18,11 +18,14 @@
 FAULT_GROUPS = (ProcessFaults, NetworkFaults, DiskFaults, WorkerFaults, OperatorFaults)
 TRAFFIC_AFTER_FAULTS_S = 55
 READ_EVERY_S = 5
-QUIET_MS = 6000
+QUIET_PERIOD_MS = 6000
 
 
 class Storm:
-    """One run of a scenario under one seed."""
+    """One run of a scenario with one seed.
+
+    `seconds` is how long faults are injected; the seed also decides the site and its models.
+    """
 
     def __init__(self, scenario, seed, seconds=60.0, site=None, routers=9, speed=0.1, **settings):
         self.scenario, self.seed, self.seconds = scenario, seed, seconds
@@ -42,18 +45,18 @@
 
     @property
     def trace(self):
-        """The faults so far, as simulated seconds and text."""
+        """Return the faults so far, as pairs of simulated seconds and text."""
         return self.injector.trace
 
     def fault(self, name):
-        """The function that injects the fault of such a name."""
+        """Return the method that injects the fault of this name."""
         group = next(group for group in self.groups if hasattr(group, name))
         return getattr(group, name)
 
     def run(self) -> dict:
-        """Traffic while faults come, then a closing fault; returns breaches and sums."""
-        clock = time.time
-        with mock.patch("time.time", lambda: clock() + self.injector.wall_offset_s):
+        """Run traffic under faults, then a closing fault; return the breaches and totals."""
+        real_time = time.time
+        with mock.patch("time.time", lambda: real_time() + self.injector.wall_offset_s):
             self._run()
         return self._result()
 
@@ -61,14 +64,14 @@
         cluster, world = self.cluster, self.cluster.world
         cluster.start(cap=self.random.choice([2, 4, 8]))
         self.traffic()
-        self.quiet()
+        self.run_quiet_period()
         self._inject_faults()
         self.injector.end_all()
         cluster.record("operator")("closing")
-        self.ask_steadily()
+        self.call_routes_steadily()
         world.run(14)
         self.closing()
-        self.ask_steadily()
+        self.call_routes_steadily()
         world.run(16)
         self.operator.read()
         cluster.caller.stopping = True
@@ -117,39 +120,42 @@
         return breaches
 
     def traffic(self):
-        """Start agents with long conversations and short calls, either crowded or mostly short."""
+        """Start agents with long conversations along with short calls.
+
+        Depending on the seed, every tenant has agents, or only the first three do.
+        """
         cluster = self.cluster
         cluster.caller.returns = 3
         is_crowded = self.seed // 2 % 2
         agents = {
-            name: int(1 + (at < 2) if is_crowded else at < 3)
-            for at, name in enumerate(cluster.site.keys)
+            name: int(1 + (index < 2) if is_crowded else index < 3)
+            for index, name in enumerate(cluster.site.keys)
         }
         short_rate = 1.5 if is_crowded else 1.0
         seconds = self.seconds + TRAFFIC_AFTER_FAULTS_S
         cluster.spawn(lambda: cluster.caller.run(seconds, agents, short_rate))
 
-    def quiet(self):
-        """Some seconds in which nothing fails and changes are made."""
+    def run_quiet_period(self):
+        """Run six seconds with four changes and without faults."""
         world = self.cluster.world
-        self.cluster.record("operator")("quiet", untilMs=int(world.now * 1000) + QUIET_MS)
+        self.cluster.record("operator")("quiet", untilMs=int(world.now * 1000) + QUIET_PERIOD_MS)
         for _ in range(4):
             self.fault(self.random.choice(["patch", "rekey", "race", "route"]))()
             world.run(1.5)
 
     def closing(self):
-        """Inject the last fault of the run."""
+        """Inject the last fault of the run and record its time."""
         ClosingFaults(self.injector, self.operator).inject()
         self.cluster.record("operator")("closing")
 
-    def ask_steadily(self, seconds=12):
-        """Call each route once a second, for all agents may be waiting out an outage."""
+    def call_routes_steadily(self, seconds=12):
+        """Call each route every second from now on, as all agents may be waiting out an outage."""
         cluster = self.cluster
-        for at in range(seconds):
+        for delay_s in range(seconds):
             for route in sorted(cluster.caller.book):
-                cluster.world.call_after(at, lambda route=route: self._ask(route))
+                cluster.world.call_after(delay_s, lambda route=route: self._call_route(route))
 
-    def _ask(self, route):
+    def _call_route(self, route):
         caller, tenant = self.cluster.caller, self.injector.pick(self.cluster.site.keys)
         parts = [caller.book[route], "again"]
         self.cluster.spawn(
--- a/swiftdeck/sim/transport.py
+++ b/swiftdeck/sim/transport.py
@@ -1,158 +1,158 @@
-"""The ends of simulated streams and datagrams, as a process sees them."""
+"""Transports of simulated streams and datagrams."""
 
 import asyncio
 
 HIGH_WATER_BYTES = 65536
-"""How much may be on its way before a writer is paused; it is resumed at a quarter of it."""
+"""Unacknowledged bytes above which a writer is paused; it is resumed at a quarter."""
 
 StreamItem = bytes | ConnectionResetError | None
-"""What travels on a stream: bytes, a reset, or None for the end of what is written."""
+"""An item of a stream: bytes, a reset, or None for end of file."""
 
 
 def reset_error() -> ConnectionResetError:
-    """Return the error that the other end of a reset stream gets."""
+    """Return the error that the peer of a reset stream receives."""
     return ConnectionResetError("reset by peer")
 
 
 class SimTransport(asyncio.Transport):
     """One end of a simulated stream.
 
-    `local` and `remote` are addresses as (IP, port); `other` is the other end. What has arrived and
-    isn't taken yet stands in `inbox`; `outstanding` counts bytes that were written here and not
-    taken there. Nothing of this end arrives before `ready_at`, in seconds of the world, so that
-    what was sent keeps its order. `closing` says that this end was closed, `gone` that its protocol
-    was told so.
+    `local` and `remote` are addresses as (IP, port); `peer` is the other end. `inbox` has the items
+    that arrived and aren't delivered to the protocol yet; `unacknowledged_bytes` counts the bytes
+    written here that the peer has not delivered yet. Items sent from this end arrive no earlier
+    than `earliest_arrival_s`, in seconds of the world, so that they keep their order. `closing` is
+    set once this end was closed, `gone` once its protocol was notified of it.
     """
 
     def __init__(self, net, loop, local, remote):
         super().__init__({"sockname": local, "peername": remote})
         self.net, self.loop, self.local, self.remote = net, loop, local, remote
-        self.protocol = self.other = None
+        self.protocol = self.peer = None
         self.closing = self.gone = self.eof_sent = False
         self.read_paused = self.write_paused = False
         self.inbox: list[StreamItem] = []
-        self.outstanding, self.ready_at = 0, 0.0
+        self.unacknowledged_bytes, self.earliest_arrival_s = 0, 0.0
 
     def get_protocol(self):
-        """Return the protocol that takes what arrives."""
+        """Return the protocol that receives the data."""
         return self.protocol
 
     def set_protocol(self, protocol):
-        """Let another protocol take what arrives."""
+        """Set the protocol that receives the data."""
         self.protocol = protocol
 
     def is_closing(self):
-        """Whether this end was closed or reset."""
+        """Return whether this end was closed or reset."""
         return self.closing
 
     def get_write_buffer_size(self):
-        """Return the bytes that were written and not yet taken at the other end."""
-        return self.outstanding
+        """Return how many written bytes the peer has not delivered yet."""
+        return self.unacknowledged_bytes
 
     def set_write_buffer_limits(self, high=None, low=None):
         """Do nothing: the limits are fixed."""
 
     def write(self, data):
-        """Send bytes; those of a frozen process are sent when it thaws."""
+        """Send bytes; those of a frozen process are sent when it is resumed."""
         if self.closing or not data:
             return
         if self.loop.frozen:
-            self.loop.held.insert(0, asyncio.Handle(self.write, (bytes(data),), self.loop))
+            self.loop.held_handles.insert(0, asyncio.Handle(self.write, (bytes(data),), self.loop))
             return
-        self.outstanding += len(data)
-        self.post(bytes(data))
-        if self.outstanding > HIGH_WATER_BYTES and not self.write_paused:
+        self.unacknowledged_bytes += len(data)
+        self.send_item(bytes(data))
+        if self.unacknowledged_bytes > HIGH_WATER_BYTES and not self.write_paused:
             self.write_paused = True
             self.protocol.pause_writing()
 
     def write_eof(self):
-        """Say that nothing more will be sent."""
+        """Send end of file."""
         if not self.closing and not self.eof_sent:
             self.eof_sent = True
-            self.post(None)
+            self.send_item(None)
 
     def can_write_eof(self):
-        """Streams can be closed in one direction."""
+        """Return True: a stream can be closed in one direction."""
         return True
 
-    def post(self, item: StreamItem):
-        """Put one item on the network, whatever state this end is in."""
+    def send_item(self, item: StreamItem):
+        """Pass an item to the network, in whatever state this end is."""
         self.net.send(self, item)
 
     def close(self):
-        """Close this end once all that was written is sent."""
+        """Close this end after sending what was written."""
         if not self.closing:
             self.closing = True
             if not self.eof_sent:
-                self.post(None)
-            self.loop.call_soon(self._lost, None)
+                self.send_item(None)
+            self.loop.call_soon(self._notify_lost, None)
 
     def abort(self):
         """Reset the stream."""
         if not self.closing:
             self.closing = True
-            self.post(reset_error())
-            self.loop.call_soon(self._lost, None)
+            self.send_item(reset_error())
+            self.loop.call_soon(self._notify_lost, None)
 
-    def _lost(self, error):
+    def _notify_lost(self, error):
         if not self.gone:
             self.gone = self.closing = True
             self.net.open.pop(self, None)
             self.protocol.connection_lost(error)
 
     def pause_reading(self):
-        """Hold what arrives back."""
+        """Keep arriving data in the inbox."""
         self.read_paused = True
 
     def resume_reading(self):
-        """Hand on what was held back, and what arrives."""
+        """Deliver the inbox and the data that arrives from now on."""
         self.read_paused = False
-        self.loop.call_soon(self.drain)
+        self.loop.call_soon(self.deliver_inbox)
 
     def is_reading(self):
-        """Whether what arrives is handed on."""
+        """Return whether arriving data is delivered to the protocol."""
         return not self.read_paused
 
-    def begin(self, protocol: asyncio.Protocol):
-        """Hand this end to its protocol, with all that arrived before."""
+    def start(self, protocol: asyncio.Protocol):
+        """Attach the protocol and deliver what arrived before."""
         self.protocol = protocol
         protocol.connection_made(self)
-        self.drain()
+        self.deliver_inbox()
 
-    def arrive(self, item: StreamItem):
-        """Take what came over the network."""
+    def receive(self, item: StreamItem):
+        """Queue an item from the network and deliver the inbox."""
         self.inbox.append(item)
-        self.drain()
+        self.deliver_inbox()
 
-    def drain(self):
-        """Hand on what arrived, as far as reading isn't paused."""
+    def deliver_inbox(self):
+        """Deliver the inbox, up to the first bytes if reading is paused and this end open."""
         while self.inbox and not self.gone and self.protocol is not None:
             item = self.inbox[0]
             if isinstance(item, bytes) and self.read_paused and not self.closing:
                 return
             self.inbox.pop(0)
             if isinstance(item, bytes):
-                self._receive(item)
+                self._deliver_data(item)
             elif item is None:
-                self._receive_eof()
+                self._deliver_eof()
             else:
-                self._lost(item)
+                self._notify_lost(item)
 
-    def _receive(self, data: bytes):
-        self.other.acknowledge(len(data))
+    def _deliver_data(self, data: bytes):
+        self.peer.acknowledge(len(data))
         if not self.closing:
             self.protocol.data_received(data)
 
-    def _receive_eof(self):
+    def _deliver_eof(self):
         if not self.closing and not self.protocol.eof_received():
             self.closing = True
-            self.post(None)
-            self._lost(None)
+            self.send_item(None)
+            self._notify_lost(None)
 
-    def acknowledge(self, count: int):
-        """Take in that so many bytes were taken at the other end."""
-        self.outstanding -= count
-        if self.write_paused and self.outstanding <= HIGH_WATER_BYTES // 4:
+    def acknowledge(self, byte_count: int):
+        """Count bytes as delivered by the peer; resume the writer if few enough are left."""
+        self.unacknowledged_bytes -= byte_count
+        if self.write_paused and self.unacknowledged_bytes <= HIGH_WATER_BYTES // 4:
             self.write_paused = False
             if not self.gone and not self.loop.dead:
                 self.loop.call_soon(self.protocol.resume_writing)
@@ -172,12 +172,12 @@
     def close(self):
         """Close the endpoint."""
         self.closing = True
-        self.net.datagrams.pop(self.local, None)
+        self.net.datagram_endpoints.pop(self.local, None)
 
     abort = close
 
     def is_closing(self):
-        """Whether the endpoint was closed."""
+        """Return whether the endpoint was closed."""
         return self.closing
 
 
@@ -188,8 +188,8 @@
         self.net, self.address = net, address
 
     def close(self):
-        """Stop listening; streams that are open stay so."""
+        """Stop listening; open streams stay open."""
         self.net.listeners.pop(self.address, None)
 
     async def wait_closed(self):
-        """Return at once: a listener is closed without delay."""
+        """Return at once: `close` takes effect immediately."""
--- a/tests/cases/coordinators.py
+++ b/tests/cases/coordinators.py
@@ -300,7 +300,7 @@
         name, other = [router for router in cluster.router_names() if router != coordinator][:2]
         ip = cluster.addresses[name]["inner"].rpartition(":")[0]
         worker = cluster.site.workers[0]["addr"].rpartition(":")[0]
-        cluster.world.net.slow[(ip, worker)] = link_s
+        cluster.world.net.extra_delay_s[(ip, worker)] = link_s
         with mock.patch.object(Claims, "claim", self.freezing_claim(cluster, name, is_claimed)):
             late = self.call_at(cluster, name, "oita", ["b", "y"], idempotency="k")
             cluster.world.run(6)
--- a/tests/cases/doctor.py
+++ b/tests/cases/doctor.py
@@ -56,7 +56,7 @@
         cluster.world.net.cut([ip], [cluster.site.platform.rpartition(":")[0], *others])
         cluster.world.kill("worker2")
         loop = cluster.world.loops["router2"]
-        loop.offset, loop.rate = loop.time() - cluster.world.now * 1.2, 1.2
+        loop.clock_offset_s, loop.clock_rate = loop.time() - cluster.world.now * 1.2, 1.2
         cluster.world.run(4)
         self.assertLessEqual({709, 712, 715}, self.codes(cluster))
 
