--- a/swiftdeck/sim/model/__init__.py
+++ b/swiftdeck/sim/model/__init__.py
@@ -1,1 +1,1 @@
-"""Model checks of the control side: whole cores under schedules of faults, each placed at a point of the run."""
+"""Model checks of the control plane: whole cores run under schedules of faults at event points."""
--- a/swiftdeck/sim/model/clients.py
+++ b/swiftdeck/sim/model/clients.py
@@ -1,4 +1,4 @@
-"""What calls the cores in a run: operators that insist, a reader, and a router that renews its lease."""
+"""Clients of the cores in a run: operators that retry, a reader, and a router with a lease."""
 
 import asyncio
 import contextlib
@@ -13,109 +13,129 @@
 from swiftdeck.wire.mesh import Mesh
 from swiftdeck.wire.messages import ConfigChanged, LeaseAsk
 
-ANSWER_MS, LEASE_ASK_MS = 1000, 400
-PAUSE_S, PAUSE_MOST_S, PAUSE_GROWTH = 0.1, 1.0, 1.5
-READ_EVERY_S, LEASE_EVERY_S, TRY_AGAIN_S = 0.25, 0.1, 0.2
-NUMBER_STEP = 2
-FINAL_READS = 30
+ANSWER_TIMEOUT_MS, LEASE_TIMEOUT_MS = 1000, 400
+MIN_PAUSE_S, MAX_PAUSE_S, PAUSE_GROWTH = 0.1, 1.0, 1.5
+READ_EVERY_S, LEASE_EVERY_S, RETRY_PAUSE_S = 0.25, 0.1, 0.2
+VERSION_STEP = 2
+MAX_READS = 30
 
 
-def document_of(order: Order) -> dict:
-    """The configuration that an order carries."""
+def config_document(order: Order) -> dict:
+    """Return the configuration document that an order sends."""
     return {"version": order.number, "routes": [], "backends": [], "note": order.body}
 
 
 class Clients:
-    """The processes outside the cores; they write down what they see on their sockets."""
+    """Clients of the cores, which record in `history` what they send and receive.
 
-    def __init__(self, history, doors, now):
-        self.history, self.doors, self.now = history, doors, now
-        self.turn, self.held, self.lives = 0, 0, 0
+    `operator_addrs` returns the cores' operator addresses, `now` the time of the run in seconds.
+    `held_version` is the configuration version that the router holds, `life_count` its starts.
+    """
 
-    def _next_door(self):
-        doors = self.doors()
+    def __init__(self, history, operator_addrs, now):
+        self.history, self.operator_addrs, self.now = history, operator_addrs, now
+        self.turn, self.held_version, self.life_count = 0, 0, 0
+
+    def _next_addr(self):
+        addrs = self.operator_addrs()
         self.turn += 1
-        return doors[self.turn % len(doors)]
+        return addrs[self.turn % len(addrs)]
+
+    async def send_until_decided(self, order: Order, limit_s: float) -> int:
+        """Send an order to one core after another until it is acknowledged or refused.
 
-    async def insist(self, order: Order, limit_s: float) -> int:
-        """Send an order to one core after another until it has a clear answer; gives its status."""
-        pause_s, end_s = PAUSE_S, self.now() + limit_s
+        Returns the HTTP status, or 0 when `limit_s` has passed.
+        """
+        pause_s, end_s = MIN_PAUSE_S, self.now() + limit_s
         while self.now() < end_s:
             attempt = await self.send(order)
             if attempt.is_acknowledged() or attempt.is_refused():
                 return attempt.status
             await asyncio.sleep(pause_s)
-            pause_s = min(PAUSE_MOST_S, pause_s * PAUSE_GROWTH)
+            pause_s = min(MAX_PAUSE_S, pause_s * PAUSE_GROWTH)
         return 0
 
     async def send(self, order: Order) -> Attempt:
-        """Send an order once."""
+        """Send an order once, to the next core, and record the attempt."""
         begin_s, headers = self.now(), [(BASE_HEADER, str(order.base))]
-        got = await fetch_json(
-            self._next_door(), "PUT", CONFIG_PATH, document_of(order), headers, ANSWER_MS
+        response = await fetch_json(
+            self._next_addr(),
+            "PUT",
+            CONFIG_PATH,
+            config_document(order),
+            headers,
+            ANSWER_TIMEOUT_MS,
         )
-        attempt = Attempt(order, begin_s, self.now(), 0 if is_fault(got) else got[0])
+        attempt = Attempt(order, begin_s, self.now(), 0 if is_fault(response) else response[0])
         self.history.attempts.append(attempt)
         return attempt
 
-    async def read(self, source=Source.READ, door="") -> Observation | None:
-        """Read the configuration once, at one core or at the next."""
+    async def read(self, source=Source.READ, addr="") -> Observation | None:
+        """Read the configuration once, from the core at `addr` or the next one; None on failure."""
         begin_s = self.now()
-        door = door or self._next_door()
-        got = await fetch_json(door, "GET", CONFIG_PATH, timeoutMs=ANSWER_MS)
-        if is_fault(got) or got[0] != ACKNOWLEDGED:
+        addr = addr or self._next_addr()
+        response = await fetch_json(addr, "GET", CONFIG_PATH, timeoutMs=ANSWER_TIMEOUT_MS)
+        if is_fault(response) or response[0] != ACKNOWLEDGED:
             return None
-        return self._observed(source, begin_s, got[1])
+        return self._record_observation(source, begin_s, response[1])
 
-    def _observed(self, source, begin_s, document):
+    def _record_observation(self, source, begin_s, document):
         number, body = document["version"], document.get("note", "")
-        seen = Observation(source, begin_s, self.now(), number, body)
-        self.history.observations.append(seen)
-        return seen
+        observation = Observation(source, begin_s, self.now(), number, body)
+        self.history.observations.append(observation)
+        return observation
 
-    async def read_until_it_comes(self, source, tries=FINAL_READS) -> Observation | None:
-        """Read again and again until there is an answer."""
+    async def read_until_answered(self, source, tries=MAX_READS) -> Observation | None:
+        """Read until there is an answer, at most `tries` times."""
         for _ in range(tries):
-            seen = await self.read(source)
-            if seen is not None:
-                return seen
-            await asyncio.sleep(TRY_AGAIN_S)
+            observation = await self.read(source)
+            if observation is not None:
+                return observation
+            await asyncio.sleep(RETRY_PAUSE_S)
         return None
 
     async def operate(self, body: str, after_s: float, limit_s: float) -> int:
-        """One operator: wait, read, and send a change of what was read."""
+        """Act as one operator: wait `after_s`, read, and send a change of what was read.
+
+        Returns the HTTP status, or 0 without an answer.
+        """
         await asyncio.sleep(after_s)
-        seen = await self.read_until_it_comes(Source.READ)
-        if seen is None:
+        observation = await self.read_until_answered(Source.READ)
+        if observation is None:
             return 0
-        return await self.insist(Order(seen.number, seen.number + NUMBER_STEP, body), limit_s)
+        return await self.send_until_decided(
+            Order(observation.number, observation.number + VERSION_STEP, body), limit_s
+        )
 
-    async def reading(self):
-        """Read at every core now and then, for ever."""
+    async def read_forever(self):
+        """Read from every core at regular intervals, forever."""
         while True:
-            await asyncio.gather(*(self.read(door=door) for door in self.doors()))
+            await asyncio.gather(*(self.read(addr=addr) for addr in self.operator_addrs()))
             await asyncio.sleep(READ_EVERY_S)
 
-    async def renewing(self, addr: str, core_addrs):
-        """One life of a router: renew the lease now and then, and at once when the tail nudges."""
-        mesh, nudged = Mesh(addr), asyncio.Event()
-        self.held, self.lives = 0, self.lives + 1
-        mesh.register(ConfigChanged, lambda nudge, sender: nudged.set())
+    async def run_router(self, addr: str, core_addrs):
+        """Run a router until it is killed: renew its lease regularly, and at once when notified.
+
+        The notification is the tail's `ConfigChanged` message.
+        """
+        mesh, notified = Mesh(addr), asyncio.Event()
+        self.held_version, self.life_count = 0, self.life_count + 1
+        mesh.register(ConfigChanged, lambda message, sender: notified.set())
         await mesh.start()
         while True:
-            nudged.clear()
-            held = self.held
+            notified.clear()
+            version = self.held_version
             for core_addr in core_addrs():
                 await self._renew(mesh, core_addr)
-            if self.held == held:
+            if self.held_version == version:
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(nudged.wait(), LEASE_EVERY_S)
+                    await asyncio.wait_for(notified.wait(), LEASE_EVERY_S)
 
     async def _renew(self, mesh, core_addr):
         begin_s = self.now()
-        ask = LeaseAsk(router=f"router1/{self.lives}", addr=mesh.addr, held=self.held)
-        got = await mesh.request(core_addr, ask, LEASE_ASK_MS)
-        if not is_fault(got):
-            self.held = max(self.held, got.version)
-            document = configs.shown(msgspec.json.decode(got.document or b"{}"))
-            self._observed(Source.LEASE, begin_s, document)
+        ask = LeaseAsk(router=f"router1/{self.life_count}", addr=mesh.addr, held=self.held_version)
+        lease = await mesh.request(core_addr, ask, LEASE_TIMEOUT_MS)
+        if not is_fault(lease):
+            self.held_version = max(self.held_version, lease.version)
+            document = configs.shown(msgspec.json.decode(lease.document or b"{}"))
+            self._record_observation(Source.LEASE, begin_s, document)
--- a/swiftdeck/sim/model/command.py
+++ b/swiftdeck/sim/model/command.py
@@ -1,4 +1,4 @@
-"""The command `swiftdeck-bench model`: replay one schedule, explore level by level, or search at random."""
+"""The command `swiftdeck-bench model`: plays a schedule, explores, or searches at random."""
 
 import json
 from concurrent.futures import ProcessPoolExecutor
@@ -11,13 +11,13 @@
 from swiftdeck.sim.model.run import play
 from swiftdeck.sim.model.schedule import BadFaultPointError, Kind, Schedule, parse_fault_point
 
-ORDERS = (0.0, 0.0)
-SHOWN = 20
-CHUNK = 4
+DEFAULT_ORDERS_S = (0.0, 0.0)
+MAX_SHOWN = 20
+CHUNK_SIZE = 4
 
 
 class Mode(StrEnum):
-    """What the command does."""
+    """Modes of the command."""
 
     PLAY = "play"
     EXPLORE = "explore"
@@ -31,9 +31,9 @@
             typer.echo(f"{number} {label}")
         for attempt in outcome.history.attempts:
             typer.echo(attempt)
-    for each in outcome.told():
-        typer.echo(each)
-    skipped = [str(each) for each in outcome.skipped]
+    for fault in outcome.describe_faults():
+        typer.echo(fault)
+    skipped = [str(action) for action in outcome.skipped]
     figures = {"points": len(outcome.labels), "states": len(set(outcome.states))}
     figures |= {"simulatedS": round(outcome.simulated_s, 3), "skipped": skipped}
     typer.echo(json.dumps(figures | {"failed": len(outcome.faults)}))
@@ -41,27 +41,31 @@
 
 
 def _show_failed(failed):
-    for played in failed[:SHOWN]:
+    for played in failed[:MAX_SHOWN]:
         typer.echo(f"{played.schedule.command()}: {'; '.join(played.faults)}")
 
 
-def _show_exploration(schedule, depth, most, kinds, jobs):
+def _show_exploration(schedule, depth, max_schedules, kinds, jobs):
     with ProcessPoolExecutor(jobs) as pool:
-        account = explore(
-            schedule, depth, most, kinds, lambda work, all_: pool.map(work, all_, chunksize=CHUNK)
+        result = explore(
+            schedule,
+            depth,
+            max_schedules,
+            kinds,
+            lambda function, schedules: pool.map(function, schedules, chunksize=CHUNK_SIZE),
         )
-    _show_failed(account.failed())
-    typer.echo(json.dumps(account.told()))
-    return bool(account.failed())
+    _show_failed(result.failed())
+    typer.echo(json.dumps(result.to_dict()))
+    return bool(result.failed())
 
 
 def _show_search(cores, seed, count):
     from swiftdeck.sim.model.draw import search
 
-    account = search(cores, seed, count)
-    _show_failed([account.failed] if account.failed else [])
-    typer.echo(json.dumps(account.told()))
-    return account.failed is not None
+    result = search(cores, seed, count)
+    _show_failed([result.failed] if result.failed else [])
+    typer.echo(json.dumps(result.to_dict()))
+    return result.failed is not None
 
 
 def model(
@@ -89,11 +93,11 @@
 ):
     """Check the control side under schedules of faults; the status is 1 when something broke."""
     try:
-        strikes = tuple(parse_fault_point(each) for each in strike or ())
+        strikes = tuple(parse_fault_point(text) for text in strike or ())
     except BadFaultPointError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from error
-    schedule = Schedule(cores, seed, tuple(order or ORDERS), strikes, cold, router)
+    schedule = Schedule(cores, seed, tuple(order or DEFAULT_ORDERS_S), strikes, cold, router)
     if mode is Mode.PLAY:
         failed = _show_play(schedule, trace)
     elif mode is Mode.EXPLORE:
--- a/swiftdeck/sim/model/draw.py
+++ b/swiftdeck/sim/model/draw.py
@@ -1,16 +1,15 @@
-"""Draws schedules at random with hypothesis, and shrinks one that fails."""
+"""Searches random schedules with hypothesis and shrinks one that fails."""
 
 import itertools
 import time
 
 import attrs
-from hypothesis import HealthCheck, Phase, given, seed, settings
-from hypothesis import strategies as draws
+from hypothesis import HealthCheck, Phase, given, seed, settings, strategies
 
 from swiftdeck.sim.model.explore import Played, play_briefly
 from swiftdeck.sim.model.schedule import Action, FaultPoint, Kind, Schedule
 
-GAP_MOST, SEEDS_MOST, STRIKES_MOST, ORDERS_MOST = 60, 1000, 5, 4
+MAX_GAP, MAX_SEED, MAX_STRIKES, MAX_ORDERS = 60, 1000, 5, 4
 OFFSETS_S = (0.0, 0.01, 0.3, 1.5, 3.0)
 DURATIONS_S = (0.05, 0.3, 0.9, 1.6, 2.5, 4.0)
 
@@ -20,8 +19,8 @@
 
 
 @attrs.define
-class Draws:
-    """What a random search has gone through."""
+class SearchResult:
+    """The result of a random search."""
 
     schedules: int = 0
     seconds: float = 0.0
@@ -29,48 +28,58 @@
     strikes: int = 0
     failed: Played | None = None
 
-    def told(self) -> dict:
-        """The figures."""
+    def to_dict(self) -> dict:
+        """Return the figures that the command prints."""
         return {
             "schedules": self.schedules,
             "failed": int(self.failed is not None),
             "states": len(self.states),
             "strikes": self.strikes,
             "schedulesPerSecond": round(self.schedules / max(self.seconds, 1e-9), 1),
-            "depth": STRIKES_MOST,
+            "depth": MAX_STRIKES,
         }
 
 
 def _strikes(steps):
-    """Strikes from actions and the points between them, so that most come before the end."""
+    """Build strikes from (gap, action) pairs.
+
+    Points are sums of small gaps, so that most come before the end of the run.
+    """
     points = itertools.accumulate(gap for gap, _ in steps)
-    return tuple(FaultPoint(point, each) for point, (_, each) in zip(points, steps, strict=True))
+    return tuple(
+        FaultPoint(point, action) for point, (_, action) in zip(points, steps, strict=True)
+    )
 
 
 def schedules(cores):
-    """Schedules for so many cores, simple ones first."""
+    """Return a strategy for schedules with this number of cores; it shrinks to simple ones."""
     names = Schedule(cores=cores).core_names()
-    actions = draws.builds(
-        Action, draws.sampled_from(Kind), draws.sampled_from(names), draws.sampled_from(DURATIONS_S)
+    actions = strategies.builds(
+        Action,
+        strategies.sampled_from(Kind),
+        strategies.sampled_from(names),
+        strategies.sampled_from(DURATIONS_S),
+    )
+    steps = strategies.lists(
+        strategies.tuples(strategies.integers(0, MAX_GAP), actions), max_size=MAX_STRIKES
     )
-    steps = draws.lists(draws.tuples(draws.integers(0, GAP_MOST), actions), max_size=STRIKES_MOST)
-    orders = draws.lists(draws.sampled_from(OFFSETS_S), min_size=1, max_size=ORDERS_MOST)
-    return draws.builds(
+    orders = strategies.lists(strategies.sampled_from(OFFSETS_S), min_size=1, max_size=MAX_ORDERS)
+    return strategies.builds(
         Schedule,
-        draws.just(cores),
-        draws.integers(1, SEEDS_MOST),
+        strategies.just(cores),
+        strategies.integers(1, MAX_SEED),
         orders.map(tuple),
         steps.map(_strikes),
-        draws.booleans(),
-        draws.booleans(),
+        strategies.booleans(),
+        strategies.booleans(),
     )
 
 
-def search(cores: int, number: int, count: int) -> Draws:
-    """Play so many schedules drawn from a seed until one fails; what failed is shrunk."""
-    account, begin_s = Draws(), time.monotonic()
+def search(cores: int, seed_number: int, count: int) -> SearchResult:
+    """Play up to `count` random schedules until one fails, and shrink that one."""
+    result, begin_s = SearchResult(), time.monotonic()
 
-    @seed(number)
+    @seed(seed_number)
     @settings(
         max_examples=count,
         deadline=None,
@@ -80,19 +89,19 @@
         report_multiple_bugs=False,
     )
     @given(schedules(cores))
-    def stands(schedule):
+    def holds(schedule):
         played = play_briefly(schedule)
-        account.schedules += 1
-        account.states.update(played.states)
-        account.strikes += played.strikes
+        result.schedules += 1
+        result.states.update(played.states)
+        result.strikes += played.strikes
         if played.faults:
-            account.failed = played
+            result.failed = played
             raise ScheduleFailedError(schedule.command())
 
     try:
-        stands()
+        holds()
     except ScheduleFailedError:
         pass
     finally:
-        account.seconds = time.monotonic() - begin_s
-    return account
+        result.seconds = time.monotonic() - begin_s
+    return result
--- a/swiftdeck/sim/model/explore.py
+++ b/swiftdeck/sim/model/explore.py
@@ -1,7 +1,8 @@
-"""Goes through schedules level by level: every action at every distinct point of the runs of the level before.
+"""Explores schedules level by level: each level adds every action at every distinct event point.
 
-A point is distinct by the state of the run there (`fingerprint`). A schedule holds at most one crash or emptied disk, one
-trouble of network, clock or disk speed, and one replacement.
+The points are those of the runs of the previous level; they are distinct if the `fingerprint` of
+the run differs. A schedule has at most one crash or wiped disk, one fault of the network, clock or
+disk speed, and one replacement.
 """
 
 import hashlib
@@ -18,7 +19,7 @@
 
 @attrs.frozen
 class Played:
-    """What is kept of one run: its verdict, the states at its points, and how many strikes came."""
+    """Summary of one run: its faults, the states at its points, and how many actions applied."""
 
     schedule: Schedule
     faults: tuple[str, ...]
@@ -28,52 +29,52 @@
 
 @attrs.define
 class Level:
-    """The schedules with so many strikes: how many there are, how many were played, and what failed."""
+    """Schedules with the same number of strikes: how many exist, were played, and failed."""
 
     strikes: int
-    there: int
+    total: int
     played: int = 0
     failed: list[Played] = attrs.Factory(list)
 
 
 @attrs.define
-class Account:
-    """What an exploration has gone through."""
+class Exploration:
+    """The result of an exploration."""
 
     levels: list[Level] = attrs.Factory(list)
     states: set[bytes] = attrs.Factory(set)
     seconds: float = 0.0
 
     def schedules(self) -> int:
-        """How many schedules were played."""
+        """Return how many schedules were played."""
         return sum(level.played for level in self.levels)
 
     def failed(self) -> list[Played]:
-        """The runs that broke something."""
-        return [each for level in self.levels for each in level.failed]
+        """Return the runs that broke something."""
+        return [played for level in self.levels for played in level.failed]
 
     def depth(self) -> int:
-        """Up to how many strikes every schedule was played; -1 where not even the run without any was."""
-        whole = [level.strikes for level in self.levels if level.played == level.there]
-        return max(whole, default=-1)
+        """Return up to how many strikes all schedules were played; -1 if not even the first was."""
+        complete = [level.strikes for level in self.levels if level.played == level.total]
+        return max(complete, default=-1)
 
-    def told(self) -> dict:
-        """The figures."""
+    def to_dict(self) -> dict:
+        """Return the figures that the command prints."""
         return {
             "schedules": self.schedules(),
             "failed": len(self.failed()),
             "states": len(self.states),
             "schedulesPerSecond": round(self.schedules() / max(self.seconds, 1e-9), 1),
             "depth": self.depth(),
-            "levels": [[level.strikes, level.played, level.there] for level in self.levels],
+            "levels": [[level.strikes, level.played, level.total] for level in self.levels],
         }
 
 
 def play_briefly(schedule: Schedule) -> Played:
-    """Play a schedule and keep its verdict and the states that it went through."""
+    """Play a schedule and return its summary."""
     outcome = play(schedule)
-    states = (hashlib.blake2b(each, digest_size=DIGEST_BYTES).digest() for each in outcome.states)
-    return Played(schedule, tuple(outcome.told()), tuple(states), len(outcome.applied))
+    states = (hashlib.blake2b(state, digest_size=DIGEST_BYTES).digest() for state in outcome.states)
+    return Played(schedule, tuple(outcome.describe_faults()), tuple(states), len(outcome.applied))
 
 
 def _group(kind):
@@ -83,41 +84,52 @@
 
 
 def followers(played: Played, kinds, seen: set) -> list[Schedule]:
-    """The schedules with one more strike, later than the last one, at a state and with actions not yet seen."""
-    schedule, found = played.schedule, []
-    used = [each.action.kind for each in schedule.strikes]
-    free = [kind for kind in kinds if not any(kind in _group(each) for each in used)]
-    last = schedule.strikes[-1].point if schedule.strikes else -1
-    for point in range(last + 1, len(played.states)):
+    """Return the schedules with one more strike, after the last one, that aren't in `seen`.
+
+    `seen` gets the state, the kinds of faults and the core of each.
+    """
+    schedule, schedules = played.schedule, []
+    used = [strike.action.kind for strike in schedule.strikes]
+    free = [kind for kind in kinds if not any(kind in _group(used_kind) for used_kind in used)]
+    last_point = schedule.strikes[-1].point if schedule.strikes else -1
+    for point in range(last_point + 1, len(played.states)):
         for kind in free:
             for core in schedule.core_names():
-                key = (played.states[point], *sorted(each.value for each in used), kind, core)
+                key = (
+                    played.states[point],
+                    *sorted(used_kind.value for used_kind in used),
+                    kind,
+                    core,
+                )
                 if key not in seen:
                     seen.add(key)
                     strikes = (*schedule.strikes, FaultPoint(point, action(kind, core)))
-                    found.append(attrs.evolve(schedule, strikes=strikes))
-    return found
+                    schedules.append(attrs.evolve(schedule, strikes=strikes))
+    return schedules
 
 
-def explore(base: Schedule, depth: int, most: int, kinds=tuple(Kind), run_all=None) -> Account:
-    """Play all schedules with up to `depth` strikes; where a level has more than `most`, a sample drawn by the seed.
+def explore(
+    base: Schedule, depth: int, max_schedules: int, kinds=tuple(Kind), run_all=None
+) -> Exploration:
+    """Play all schedules with up to `depth` strikes.
 
-    `run_all` plays schedules side by side; by default they are played one after another.
+    Of a level with more than `max_schedules`, a sample drawn with the seed of `base` is played.
+    `run_all` maps a function over schedules, for instance in parallel; the default is `map`.
     """
-    account, level, begin_s = Account(), [base], time.monotonic()
-    draw = random.Random(base.seed)
+    result, level, begin_s = Exploration(), [base], time.monotonic()
+    sampler = random.Random(base.seed)
     for strikes in range(depth + 1):
-        chosen = level if len(level) <= most else draw.sample(level, most)
-        told, results, seen = Level(strikes, len(level)), [], set()
-        account.levels.append(told)
+        chosen = level if len(level) <= max_schedules else sampler.sample(level, max_schedules)
+        summary, passed, seen = Level(strikes, len(level)), [], set()
+        result.levels.append(summary)
         for played in (run_all or map)(play_briefly, chosen):
-            told.played += 1
-            account.states.update(played.states)
+            summary.played += 1
+            result.states.update(played.states)
             if played.faults:
-                told.failed.append(played)
+                summary.failed.append(played)
             else:
-                results.append(played)
+                passed.append(played)
         if strikes < depth:
-            level = [each for played in results for each in followers(played, kinds, seen)]
-    account.seconds = time.monotonic() - begin_s
-    return account
+            level = [follower for played in passed for follower in followers(played, kinds, seen)]
+    result.seconds = time.monotonic() - begin_s
+    return result
--- a/swiftdeck/sim/model/invariants.py
+++ b/swiftdeck/sim/model/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold inside the cores at every point of a run."""
+"""Invariants of the cores that must hold at every event point of a run."""
 
 from enum import Enum
 
@@ -15,7 +15,7 @@
 
 
 class Invariant(Enum):
-    """What a run may break."""
+    """Invariants that a run is checked against."""
 
     ONE_VIEW = "two views under one number"
     COPIES = "an acknowledged entry on too few disks"
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Breach:
-    """An invariant that broke, and how."""
+    """A broken invariant, with details."""
 
     invariant: Invariant
     detail: str
@@ -35,14 +35,14 @@
 
 @attrs.frozen(order=True)
 class Promised:
-    """How far a voter is bound by its disk: the view it knows and the ballot promised for the next."""
+    """What a voter's disk commits it to: the view it knows and the ballot promised for the next."""
 
     view: int = 0
     ballot: int = 0
 
 
-def promised_on(folder) -> Promised:
-    """What a power loss would leave of a voter's promises."""
+def read_promised(folder) -> Promised:
+    """Return the promises of a voter that would survive a loss of power."""
     copy = SimFolder()
     copy.written = {AGREEMENT_LOG: bytearray(folder.synced.get(AGREEMENT_LOG, b""))}
     records = Journal(copy, AGREEMENT_LOG).load()
@@ -56,32 +56,32 @@
 
 
 class Invariants:
-    """Watches the cores of one run and collects what broke, each breach once."""
+    """Checks the cores of one run and collects breaches, each once."""
 
     def __init__(self, cluster):
         self.cluster, self.breaches = cluster, []
         self.views, self.promised = {}, {}
 
-    def broke(self, invariant, detail):
-        """Note a breach."""
+    def record_breach(self, invariant, detail):
+        """Record a breach."""
         breach = Breach(invariant, detail)
         if breach not in self.breaches:
             self.breaches.append(breach)
 
     def check(self):
-        """Look at all cores that run."""
+        """Check the views of all running cores."""
         cores = self.cluster.running()
-        self._one_view(cores)
-        self._one_serves(cores)
+        self._check_views(cores)
+        self._check_serving(cores)
 
-    def _one_view(self, cores):
+    def _check_views(self, cores):
         for core in cores.values():
             view = core.agreement.decided
             data = bytes(view)
             if view.number and self.views.setdefault(view.number, data) != data:
-                self.broke(Invariant.ONE_VIEW, f"view {view.number}")
+                self.record_breach(Invariant.ONE_VIEW, f"view {view.number}")
 
-    def _one_serves(self, cores):
+    def _check_serving(self, cores):
         serving = {name: core for name, core in cores.items() if core.agreement.may_serve()}
         numbers = {core.agreement.decided.number for core in serving.values()}
         if len(numbers) < 2:
@@ -90,80 +90,92 @@
         members = ids(newest.agreement.decided.members)
         for name, core in serving.items():
             if core.agreement.core_id not in members:
-                self.broke(Invariant.ONE_SERVES, f"{name}, which the newest view has left out")
-        for role, holds in (("tail", lambda each: each.chain.may_tell()), ("head", self._heads)):
+                self.record_breach(
+                    Invariant.ONE_SERVES, f"{name}, which the newest view has left out"
+                )
+        for role, holds in (("tail", lambda core: core.chain.may_tell()), ("head", self._is_head)):
             holders = [name for name, core in serving.items() if holds(core)]
             if len(holders) > 1:
-                self.broke(Invariant.ONE_SERVES, f"{role}s {sorted(holders)}")
+                self.record_breach(Invariant.ONE_SERVES, f"{role}s {sorted(holders)}")
 
     @staticmethod
-    def _heads(core):
+    def _is_head(core):
         return core.chain.is_first() and core.chain.is_whole()
 
-    def on_disk(self, folder, name):
-        """A file of a core has been synced."""
+    def on_synced(self, folder, name):
+        """Check that a core's promises and view number don't fall; called after each sync."""
         if name != AGREEMENT_LOG:
             return
-        now, before = promised_on(folder), self.promised.get(folder.owner, Promised())
-        if now < before:
-            self.broke(Invariant.ONLY_RISES, f"{folder.owner}: {before} then {now}")
-        self.promised[folder.owner] = now
+        current, previous = read_promised(folder), self.promised.get(folder.owner, Promised())
+        if current < previous:
+            self.record_breach(Invariant.ONLY_RISES, f"{folder.owner}: {previous} then {current}")
+        self.promised[folder.owner] = current
 
     def on_promise(self, owner, promise):
-        """A voter says that it has promised or accepted; one that is past that ballot's view is bound by the view."""
+        """Check that a voter's disk has the promise it sends.
+
+        A voter that is past the view of the ballot is bound by the view, and isn't checked.
+        """
         core = self.cluster.running().get(owner)
         if core is None or not promise.granted or core.agreement.slot.promised != promise.ballot:
             return
-        if promised_on(self.cluster.folders[owner]).ballot < promise.ballot:
-            self.broke(Invariant.ONLY_RISES, f"{owner} promised before its disk had it")
+        if read_promised(self.cluster.folders[owner]).ballot < promise.ballot:
+            self.record_breach(Invariant.ONLY_RISES, f"{owner} promised before its disk had it")
 
-    def forget(self, owner):
-        """A core's disk is emptied."""
+    def forget_promises(self, owner):
+        """Forget the promises of a core whose disk was wiped."""
         self.promised.pop(owner, None)
 
     def on_acknowledged(self, change_id, losses_since):
-        """A change is acknowledged, with so many disks lost since it was sent."""
+        """Check that an acknowledged change is on enough disks.
+
+        `losses_since` is the number of disks lost since the change was first sent.
+        """
         holders, view = self._holders(change_id), self.newest_view()
-        members = [each for each in ids(view.members) if each in holders]
-        voters = [each for each in ids(view.voters) if each in holders]
-        enough = self.cluster.losses_borne + 1 - losses_since
-        if len(members) < enough and len(voters) * 2 <= len(view.voters):
+        members = [core_id for core_id in ids(view.members) if core_id in holders]
+        voters = [core_id for core_id in ids(view.voters) if core_id in holders]
+        required = self.cluster.losses_borne + 1 - losses_since
+        if len(members) < required and len(voters) * 2 <= len(view.voters):
             detail = f"{len(members)} of {len(view.members)} members, {len(voters)} voters"
-            self.broke(Invariant.COPIES, f"{change_id[:12]} on the disks of {detail}")
+            self.record_breach(Invariant.COPIES, f"{change_id[:12]} on the disks of {detail}")
 
     def on_settled(self, change_ids):
-        """All cores are whole members: each has on its disk whatever was acknowledged."""
+        """Check that each member of a settled cluster has all acknowledged changes on disk."""
         members = set(ids(self.newest_view().members))
         for change_id in change_ids:
-            lacking = members - self._holders(change_id)
-            if lacking:
-                self.broke(Invariant.COPIES, f"{change_id[:12]}: not at {len(lacking)} members")
+            missing = members - self._holders(change_id)
+            if missing:
+                self.record_breach(
+                    Invariant.COPIES, f"{change_id[:12]}: not at {len(missing)} members"
+                )
 
     def newest_view(self):
-        """The view with the highest number that a running core knows."""
+        """Return the view with the highest number that a running core knows."""
         cores = self.cluster.running().values()
         views = [core.agreement.decided for core in cores]
         return max(views, key=lambda view: view.number, default=View())
 
     def _holders(self, change_id):
-        """The identities of the cores whose disk has a change."""
-        found = set()
+        """Return the identities of the cores whose disk has a change."""
+        holders = set()
         for folder in self.cluster.folders.values():
             if change_id.encode() in folder.synced.get(CHAIN_LOG, b""):
-                found.add(_identity(folder))
-        return found
+                holders.add(_read_core_id(folder))
+        return holders
 
 
-def _identity(folder):
+def _read_core_id(folder):
     copy = SimFolder()
     copy.written = {AGREEMENT_LOG: bytearray(folder.synced.get(AGREEMENT_LOG, b""))}
     records = Journal(copy, AGREEMENT_LOG).load()
-    own = [] if is_fault(records) else [each["id"] for each in records if each["k"] == "me"]
-    return own[-1] if own else ""
+    core_ids = (
+        [] if is_fault(records) else [record["id"] for record in records if record["k"] == "me"]
+    )
+    return core_ids[-1] if core_ids else ""
 
 
 def fingerprint(cluster, label) -> bytes:
-    """The state of a run in brief: what the cores know, hold and may do, and which event comes."""
+    """Encode the state of a run: what the cores know, hold and may do, and the next event."""
     state = [label, sorted(cluster.net.cuts), cluster.progress()]
     for name, core in sorted(cluster.running().items()):
         agreement, chain = core.agreement, core.chain
--- a/swiftdeck/sim/model/points.py
+++ b/swiftdeck/sim/model/points.py
@@ -1,7 +1,7 @@
-"""The event points of a run: messages of the control side as they are sent, disk syncs as they begin and end, orders."""
+"""Event points of a run: control messages as they are sent, disk syncs as they begin and end."""
 
 from swiftdeck.sim.folder import SimFolder
-from swiftdeck.sim.model.schedule import ON_THE_NETWORK
+from swiftdeck.sim.model.schedule import NETWORK_FAULTS
 from swiftdeck.sim.net import SimNet
 from swiftdeck.sim.world import World
 from swiftdeck.wire.mesh import HEAD
@@ -25,7 +25,7 @@
 )
 
 LENGTH_BYTES = 4
-WATCHED = frozenset(
+WATCHED_MESSAGES = frozenset(
     {
         Accept,
         CopyAsk,
@@ -47,78 +47,79 @@
 
 
 class EventPoints:
-    """Counts the points of a run and says which actions are due.
+    """Counts the event points of a run and applies the actions scheduled at them.
 
-    A cut acts before the message of its point is on its way; anything else right after the event that the point belongs to.
+    Network faults are applied at once, before the message of their point is sent; all others right
+    after the event to which the point belongs. Points count only while `is_recording`.
     """
 
     def __init__(self, strikes, apply):
         self.strikes, self.apply = {}, apply
-        for each in strikes:
-            self.strikes.setdefault(each.point, []).append(each.action)
-        self.labels, self.due, self.is_open, self.watchers = [], [], False, []
+        for strike in strikes:
+            self.strikes.setdefault(strike.point, []).append(strike.action)
+        self.labels, self.due, self.is_recording, self.watchers = [], [], False, []
         self.on_promise = lambda owner, promise: None
 
-    def reached(self, label: str):
-        """An event of the run."""
-        if not self.is_open:
+    def on_event(self, label: str):
+        """Record an event point and apply or queue its actions."""
+        if not self.is_recording:
             return
         number = len(self.labels)
         self.labels.append(label)
         for watch in self.watchers:
             watch(number, label)
         for action in self.strikes.get(number, ()):
-            if action.kind in ON_THE_NETWORK:
+            if action.kind in NETWORK_FAULTS:
                 self.apply(action)
             else:
                 self.due.append(action)
 
-    def strike(self):
-        """Apply what is due."""
+    def apply_due(self):
+        """Apply the queued actions."""
         due, self.due = self.due, []
         for action in due:
             self.apply(action)
 
 
-def kind_of(data: bytes):
-    """The kind of the first message of some bytes between processes, None where it isn't known."""
+def message_type(data: bytes):
+    """Return the type of the first message in `data`, or None if it is unknown or incomplete."""
     if len(data) < LENGTH_BYTES + HEAD.size:
         return None
     return KINDS.get(HEAD.unpack_from(data, LENGTH_BYTES)[0])
 
 
-def body_of(data: bytes):
-    """The first message of some bytes between processes."""
+def parse_message(data: bytes):
+    """Parse the first message in `data`."""
     end = LENGTH_BYTES + int.from_bytes(data[:LENGTH_BYTES], "big")
     number, _, _, sender_length = HEAD.unpack_from(data, LENGTH_BYTES)
     return KINDS[number]().parse(data[LENGTH_BYTES + HEAD.size + sender_length : end])
 
 
 class PointNet(SimNet):
-    """A network that tells of the messages that it takes, and lets single ones come late.
+    """A network that reports control messages as event points and can delay single ones.
 
     Attributes:
-        late_s: by how much the next message of a machine comes late, by its IP.
-        deliver: brings a late frame to a machine; takes the stream's other end, IP and frame.
+        late_s: the delay in seconds of the next control message of a machine, by IP.
+        deliver: called with the receiving transport, the IP and the frame of a late message.
     """
 
     def __init__(self, world, points, inner_port, names):
         super().__init__(world)
         self.points, self.inner_port, self.names = points, inner_port, names
         self.late_s: dict[str, float] = {}
-        self.deliver = lambda far, ip, frame: None
+        self.deliver = lambda transport, ip, frame: None
 
     def send(self, transport, item):
-        """Carry one piece of a stream, after its point."""
+        """Report the event point of a control message, then send the item."""
         ports = (transport.local[1], transport.remote[1])
         if isinstance(item, bytes) and self.inner_port in ports:
-            kind = kind_of(item)
-            if kind in WATCHED:
+            kind = message_type(item)
+            if kind in WATCHED_MESSAGES:
                 source, target = transport.local[0], transport.remote[0]
                 label = f"{self.names[source]}>{self.names[target]} {kind.kind_name}"
                 if kind is Promise:
-                    self.points.on_promise(self.names[source], body_of(item))
-                self.points.reached(label)
+                    self.points.on_promise(self.names[source], parse_message(item))
+                self.points.on_event(label)
                 late_s = self.late_s.pop(source, None)
                 if late_s is not None:
                     self._send_late(transport, item, late_s)
@@ -131,31 +132,31 @@
 
 
 class PointFolder(SimFolder):
-    """A disk that tells when a sync begins and when it is done."""
+    """A disk that reports the begin and end of each sync as event points."""
 
-    def __init__(self, points, owner, watch):
+    def __init__(self, points, owner, on_synced):
         super().__init__()
-        self.points, self.owner, self.watch = points, owner, watch
+        self.points, self.owner, self.on_synced = points, owner, on_synced
 
     async def sync(self, name):
-        """Make a file last."""
-        self.points.reached(f"{self.owner} syncs {name}")
+        """Sync a file."""
+        self.points.on_event(f"{self.owner} syncs {name}")
         await super().sync(name)
-        self._lasts(name)
+        self._on_synced(name)
 
     async def replace(self, name, data):
-        """Put new contents in place of a file."""
-        self.points.reached(f"{self.owner} rewrites {name}")
+        """Replace the contents of a file."""
+        self.points.on_event(f"{self.owner} rewrites {name}")
         await super().replace(name, data)
-        self._lasts(name)
+        self._on_synced(name)
 
-    def _lasts(self, name):
-        self.watch(self, name)
-        self.points.reached(f"{self.owner} has {name}")
+    def _on_synced(self, name):
+        self.on_synced(self, name)
+        self.points.on_event(f"{self.owner} has {name}")
 
 
 class PointWorld(World):
-    """Virtual time with a network that has points."""
+    """Virtual time with a network that reports event points."""
 
     def __init__(self, seed, points, inner_port, names):
         super().__init__(seed)
--- a/swiftdeck/sim/model/schedule.py
+++ b/swiftdeck/sim/model/schedule.py
@@ -1,14 +1,14 @@
-"""What a run of the model is told: its members, its orders, and the fault that strikes at a point."""
+"""Input of a model run: its cores, its orders, and the faults at its event points."""
 
 from enum import Enum
 
 import attrs
 
-OUTAGE_S, TROUBLE_S = 0.3, 2.5
+SHORT_FAULT_S, LASTING_FAULT_S = 0.3, 2.5
 
 
 class Kind(Enum):
-    """What may strike a core."""
+    """Kinds of faults that can be applied to a core."""
 
     KILL = "kill"
     LEAVE = "leave"
@@ -28,9 +28,9 @@
     LATE = "late"
 
 
-LOSES_DISK = frozenset({Kind.WIPE, Kind.REPLACE, Kind.BLACKOUT, Kind.CLOSING})
-ON_THE_NETWORK = frozenset({Kind.CUT, Kind.LINK, Kind.SPLIT, Kind.MUTE, Kind.LATE})
-LASTING = frozenset(
+DISK_LOSSES = frozenset({Kind.WIPE, Kind.REPLACE, Kind.BLACKOUT, Kind.CLOSING})
+NETWORK_FAULTS = frozenset({Kind.CUT, Kind.LINK, Kind.SPLIT, Kind.MUTE, Kind.LATE})
+LASTING_FAULTS = frozenset(
     {Kind.CUT, Kind.LINK, Kind.SPLIT, Kind.MUTE, Kind.FREEZE, Kind.STALL, Kind.LATE}
 )
 CRASHES = frozenset(
@@ -49,12 +49,14 @@
 
 @attrs.frozen
 class Action:
-    """One fault of one core, and how long until the core is back or well.
-
-    A blackout takes the power of all cores and the disk of this one, an outage only the power. A closing fault takes the power of
-    the router too, and the disks of as many cores as may be lost, from this one on. A cut parts the core from all others, a link
-    from the next one alone, a split this one and its followers from the other half; a mute core hears the others, who don't hear it.
-    Late is the next message of the control side that the core sends: it comes after that time, whatever was sent meanwhile.
+    """One fault of one core, and after how many seconds it ends.
+
+    `blackout` cuts the power of all cores and wipes the disk of this one; `outage` only cuts the
+    power. `closing` also cuts the power of the router, and wipes as many disks as may be lost, from
+    this core on. `cut` separates the core from all others, `link` only from the next one, `split`
+    separates this core and its followers from the other half. A `mute` core receives messages, but
+    its own are lost. `late` delays the next control message that the core sends by `for_s`, past
+    whatever is sent meanwhile.
     """
 
     kind: Kind
@@ -66,13 +68,13 @@
 
 
 def action(kind: Kind, core: str) -> Action:
-    """A fault with its usual duration."""
-    return Action(kind, core, TROUBLE_S if kind in LASTING else OUTAGE_S)
+    """Return a fault with the default duration of its kind."""
+    return Action(kind, core, LASTING_FAULT_S if kind in LASTING_FAULTS else SHORT_FAULT_S)
 
 
 @attrs.frozen
 class FaultPoint:
-    """An action and the number of the event point at which it comes."""
+    """An action and the number of the event point at which it is applied."""
 
     point: int
     action: Action
@@ -82,11 +84,14 @@
 
 
 class BadFaultPointError(ValueError):
-    """A text that is not a strike."""
+    """A text that doesn't describe a fault point."""
 
 
 def parse_fault_point(text: str) -> FaultPoint:
-    """The strike that a text names, as POINT:KIND:CORE:SECONDS."""
+    """Parse a fault point from POINT:KIND:CORE:SECONDS.
+
+    Raises BadFaultPointError.
+    """
     try:
         point, kind, core, for_s = text.split(":")
         return FaultPoint(int(point), Action(Kind(kind), core, float(for_s)))
@@ -96,10 +101,10 @@
 
 @attrs.frozen
 class Schedule:
-    """One run: the same schedule gives the same run, event for event.
+    """The input of one run; the same schedule always gives the same sequence of events.
 
     `orders` holds, for each operator, the seconds until it begins. Points count from the first
-    event of the cluster if `is_cold`, else from the moment when the cluster serves and has taken
+    event of the cluster if `is_cold`, else from the moment when the cluster serves and has accepted
     its first configuration.
     """
 
@@ -111,14 +116,14 @@
     has_router: bool = True
 
     def command(self) -> str:
-        """The command that replays this schedule."""
+        """Return the shell command that replays this schedule."""
         words = ["swiftdeck-bench model play", f"--cores {self.cores}", f"--seed {self.seed}"]
-        words += [f"--order {each:g}" for each in self.orders]
+        words += [f"--order {delay_s:g}" for delay_s in self.orders]
         words += ["--cold"] if self.is_cold else []
         words += [] if self.has_router else ["--no-router"]
-        words += [f"--strike {each}" for each in self.strikes]
+        words += [f"--strike {strike}" for strike in self.strikes]
         return " ".join(words)
 
     def core_names(self) -> list[str]:
-        """The cores that are there at the start."""
-        return [f"core{at}" for at in range(1, self.cores + 1)]
+        """Return the names of the cores at the start."""
+        return [f"core{number}" for number in range(1, self.cores + 1)]
