--- a/swiftdeck/sim/faults/closing.py
+++ b/swiftdeck/sim/faults/closing.py
@@ -1,4 +1,4 @@
-"""The last fault of a simulated run, which nobody mends, or an outage that ends by itself."""
+"""The last fault of a simulated run: one that is not repaired, or an outage that ends by itself."""
 
 from swiftdeck.sim.faults.injector import FaultGroup
 
@@ -6,10 +6,10 @@
 
 
 class ClosingFaults(FaultGroup):
-    """Faults after which the site must serve again by itself."""
+    """Faults from which the site must recover by itself."""
 
     def inject(self):
-        """Inject one of the closing faults."""
+        """Inject a closing fault chosen at random."""
         faults = {
             "kill some": self._kill_some,
             "cut a zone": self._cut_zone,
@@ -24,7 +24,7 @@
         faults[name]()
 
     def _tail(self):
-        """The core where the chain ends."""
+        """Return the name of the core at the tail of the chain, or None."""
         cluster = self.cluster
         return next(
             (name for name in cluster.core_names() if cluster.up[name].chain.is_last()), None
@@ -37,19 +37,19 @@
         worker = self.injector.pick(self.injector.worker_names())
         for name in (self._tail(), coordinator, router, worker):
             if name:
-                self.injector.note_fault(name)
+                self.injector.record_fault(name)
                 self.cluster.world.kill(name, silent=True)
 
     def _cut_zone(self):
         zone, site = self.random.choice(ZONES), self.cluster.site
         nodes = [node for node in [*site.cores, *site.routers] if node["zone"] == zone]
         workers = [worker for worker in site.workers if worker["zone"] == zone]
-        near = [self.injector.address(node["name"]) for node in nodes]
-        near += [worker["addr"].rpartition(":")[0] for worker in workers]
+        zone_ips = [self.injector.address(node["name"]) for node in nodes]
+        zone_ips += [worker["addr"].rpartition(":")[0] for worker in workers]
         for node in [*nodes, *workers]:
-            self.injector.note_fault(node["name"])
-        far = [ip for ip in self.cluster.ips.values() if ip not in near]
-        self.cluster.world.net.cut(near, far)
+            self.injector.record_fault(node["name"])
+        other_ips = [ip for ip in self.cluster.ips.values() if ip not in zone_ips]
+        self.cluster.world.net.cut(zone_ips, other_ips)
 
     def _kill_all_cores(self):
         for name in self.cluster.core_names():
@@ -58,14 +58,14 @@
     def _freeze_keeper_and_tail(self):
         for name in (self._tail(), self.cluster.coordinator()):
             if name:
-                self.injector.note_fault(name)
+                self.injector.record_fault(name)
                 self.cluster.world.freeze(name)
 
     def _cut_core(self):
-        alone = self.injector.pick(self.cluster.core_names())
-        others = [name for name in self.cluster.addresses if name != alone]
-        far = [self.injector.address(name) for name in others]
-        self.cluster.world.net.cut([self.injector.address(alone)], far)
+        core = self.injector.pick(self.cluster.core_names())
+        others = [name for name in self.cluster.addresses if name != core]
+        other_ips = [self.injector.address(name) for name in others]
+        self.cluster.world.net.cut([self.injector.address(core)], other_ips)
 
     def _kill_all(self):
         cluster = self.cluster
@@ -76,6 +76,6 @@
     def _restart_platform(self):
         world, platform = self.cluster.world, self.cluster.up["platform"]
         world.kill("platform")
-        self.injector.note_fault("platform")
+        self.injector.record_fault("platform")
         address = self.injector.platform_address()
-        self.injector.later(lambda: world.start("platform", address, platform.start), 1, 4)
+        self.injector.run_later(lambda: world.start("platform", address, platform.start), 1, 4)
--- a/swiftdeck/sim/faults/disks.py
+++ b/swiftdeck/sim/faults/disks.py
@@ -1,12 +1,12 @@
-"""Faults of the cores' disks and of their power, also in the moment of an acknowledgement."""
+"""Faults of the cores' disks and of their power, also right at an acknowledgement."""
 
 from swiftdeck.sim.faults.injector import FaultGroup
 
-SLOW_SYNC_S = 0.9
+MAX_SLOW_SYNC_S = 0.9
 
 
 class DiskFaults(FaultGroup):
-    """Disks that are lost, full or slow, power that goes, and cores that come back empty."""
+    """Lost, full and slow disks, losses of power, and cores that restart with an empty disk."""
 
     def _all_cores_are_members(self):
         cluster = self.cluster
@@ -15,7 +15,7 @@
         )
 
     def lose_disk(self):
-        """Kill a core and lose its disk, right after a change was sent."""
+        """Kill a core and wipe its disk, right after a change was sent."""
         if self._all_cores_are_members():
             name = self.injector.pick(self.cluster.core_names())
             self.operator.patch(self.operator.line_change())
@@ -37,40 +37,40 @@
         for other in [*cluster.core_names(), *cluster.router_names()]:
             cluster.up[other].membership.set_seeds(cluster.seeds)
         self.injector.log(f"empty {name} at a new address")
-        self.injector.later(lambda: self.injector.restart(name), 2, 6)
+        self.injector.run_later(lambda: self.injector.restart(name), 2, 6)
 
     def fill_disk(self):
-        """Let a core's disk have no room left."""
+        """Fill a core's disk for up to 15 seconds."""
         name = self.injector.pick(self.cluster.core_names())
         folder = self.cluster.folders.get(name)
         if folder:
             folder.full = True
             self.injector.log(f"full {name}")
-            self.injector.later(lambda: setattr(folder, "full", False), 1, 15)
+            self.injector.run_later(lambda: setattr(folder, "full", False), 1, 15)
 
     def stall_disk(self):
-        """Let each sync of a core's disk take up to five seconds."""
+        """Make each sync of a core's disk take up to five seconds, for a while."""
         name = self.injector.pick(self.cluster.core_names())
         folder = self.cluster.folders.get(name)
         if folder:
             folder.stall_s = self.random.choice([0.05, 0.3, 5.0])
             self.injector.log(f"stall {name} {folder.stall_s}")
-            self.injector.later(lambda: setattr(folder, "stall_s", 0.0), 1, 10)
+            self.injector.run_later(lambda: setattr(folder, "stall_s", 0.0), 1, 10)
 
     def slow_disk(self):
-        """Let each sync of a core's disk take up to nine tenths of a second."""
+        """Make each sync of a core's disk take up to 0.9 seconds, for a while."""
         name = self.injector.pick(self.cluster.core_names())
-        self._slow_disk(name, self.random.uniform(0.02, SLOW_SYNC_S))
+        self._slow_disk(name, self.random.uniform(0.02, MAX_SLOW_SYNC_S))
 
     def _slow_disk(self, name, stall_s):
         folder = self.cluster.folders.get(name)
         if folder:
             folder.stall_s = stall_s
             self.injector.log(f"slow disk {name} {stall_s:.2f}")
-            self.injector.later(lambda: setattr(folder, "stall_s", 0.0), 2, 15)
+            self.injector.run_later(lambda: setattr(folder, "stall_s", 0.0), 2, 15)
 
     def power_after_ack(self):
-        """Cut the power of one core or of all, in the moment of an acknowledgement."""
+        """Cut the power of one core or of all, right when a change is acknowledged."""
         names = self.cluster.core_names()
         if self.random.random() >= 0.5:
             names = [self.injector.pick(names)]
@@ -84,10 +84,10 @@
         )
 
     def power_before_sync(self):
-        """Cut the head's power after operators may have read what its slow disk hasn't synced."""
+        """Cut the head's power before its slow disk syncs a change that may have been read."""
         cluster = self.cluster
         name = next(
-            (each for each in cluster.core_names() if cluster.up[each].chain.is_first()), None
+            (core for core in cluster.core_names() if cluster.up[core].chain.is_first()), None
         )
         if (
             name is None
@@ -96,30 +96,30 @@
         ):
             return
         folder = cluster.folders[name]
-        folder.stall_s = SLOW_SYNC_S
+        folder.stall_s = MAX_SLOW_SYNC_S
         self.injector.log(f"power before sync {name}")
         document = self.operator.line_change()
-        others = [each for each in cluster.core_names() if each != name]
+        others = [core for core in cluster.core_names() if core != name]
         self.operator.patch(document, name=self.injector.pick(others))
 
         def lose_power():
             folder.stall_s = 0.0
             self.injector.kill(name, least_s=0.05, most_s=0.3)
 
-        self.injector.later(self.operator.read, 0.4, 0.5)
-        self.injector.later(lose_power, 0.6, 0.8)
+        self.injector.run_later(self.operator.read, 0.4, 0.5)
+        self.injector.run_later(lose_power, 0.6, 0.8)
 
     def kill_after_fault(self):
-        """Kill a core soon after its disk became slow, or it was frozen or cut off."""
+        """Kill a core soon after its disk became slow, or after it was frozen or cut off."""
         name = self.injector.pick(self.cluster.core_names())
         if name is None or not self.injector.all_cores_run():
             return
-        first = self.random.choice(["slow", "freeze", "cut"])
+        first_fault = self.random.choice(["slow", "freeze", "cut"])
         self.operator.patch(self.operator.cap_change())
-        if first == "slow":
-            self._slow_disk(name, self.random.uniform(0.1, SLOW_SYNC_S))
-        elif first == "freeze":
+        if first_fault == "slow":
+            self._slow_disk(name, self.random.uniform(0.1, MAX_SLOW_SYNC_S))
+        elif first_fault == "freeze":
             self.injector.freeze(name)
         else:
             self.injector.cut([self.injector.address(name)], self.random.random() < 0.5)
-        self.injector.later(lambda: self.injector.kill(name, least_s=0.2, most_s=4.0), 0.2, 2.0)
+        self.injector.run_later(lambda: self.injector.kill(name, least_s=0.2, most_s=4.0), 0.2, 2.0)
--- a/swiftdeck/sim/faults/injector.py
+++ b/swiftdeck/sim/faults/injector.py
@@ -1,4 +1,4 @@
-"""Primitives of fault injection: what takes a process or link down, and what restores it."""
+"""Primitives of fault injection, which take processes and links down and restore them."""
 
 CORE_COUNT = 3
 TORN_BYTES = [0, 0, 1, 7, 40]
@@ -7,8 +7,8 @@
 class FaultInjector:
     """Injects faults into a simulated site and ends each of them after a random time.
 
-    Every fault is noted twice: in `trace`, as simulated seconds and text, for people; and among the
-    site's records, as `kill` and `back`, for the checker.
+    Faults are logged in `trace`, as simulated seconds and text, for people. Those that impair a
+    process are also recorded, as `kill` and `back`, for the checker.
     """
 
     def __init__(self, cluster):
@@ -19,11 +19,11 @@
         self.is_rolling, self.pending_restarts = False, {}
 
     def log(self, text):
-        """Note a fault in the trace."""
+        """Add a fault to the trace."""
         self.trace.append((round(self.cluster.world.now, 3), text))
 
-    def note_fault(self, name):
-        """Record that a process is not well; returns the function to call when it is well again."""
+    def record_fault(self, name):
+        """Record that a process is impaired; return the function to call once it has recovered."""
         self.fault_count += 1
         number, cluster = self.fault_count, self.cluster
         self.open_faults[number] = name
@@ -37,33 +37,33 @@
 
         return recovered
 
-    def later(self, action, least_s=1.0, most_s=12.0):
-        """Run an action after a random time between two bounds."""
+    def run_later(self, action, least_s=1.0, most_s=12.0):
+        """Run an action after a random delay between two bounds in seconds."""
         self.cluster.world.call_after(self.random.uniform(least_s, most_s), action)
 
     def pick(self, names):
-        """One of some names at random; None when there are none."""
+        """Return one of the names at random, or None when there are none."""
         return self.random.choice(sorted(names)) if names else None
 
     def address(self, name):
-        """The IP address of a core or router."""
+        """Return the IP address of a core or router."""
         return self.cluster.addresses[name]["inner"].rpartition(":")[0]
 
     def platform_address(self):
-        """The IP address of the platform."""
+        """Return the IP address of the platform."""
         return self.cluster.site.platform.rpartition(":")[0]
 
     def worker_names(self):
-        """Workers that run."""
+        """Return the names of the running workers."""
         names = [worker["name"] for worker in self.cluster.site.workers]
         return [name for name in names if name in self.cluster.world.loops]
 
     def all_cores_run(self):
-        """Whether no core is down."""
+        """Return whether all cores run."""
         return len(self.cluster.core_names()) == CORE_COUNT
 
     def restart(self, name):
-        """Start a process that is down; does nothing to one that runs."""
+        """Start a process that is down; do nothing if it runs."""
         cluster = self.cluster
         if name in cluster.world.loops:
             return
@@ -75,11 +75,14 @@
             cluster.start_worker(name, weights=self.random.choice(["w1", self.weights]))
 
     def kill(self, name, silent=False, least_s=1.0, most_s=12.0):
-        """End a process, with the power of its disk; `silent` when no reset is sent."""
+        """End a process and the power of its disk, and start it again later.
+
+        With `silent`, its machine vanishes and no reset is sent.
+        """
         cluster = self.cluster
         if name is None or name not in cluster.world.loops:
             return
-        recovered = self.note_fault(name)
+        recovered = self.record_fault(name)
         cluster.world.kill(name, silent)
         if name in cluster.folders:
             cluster.folders[name].lose_power(torn=self.random.choice(TORN_BYTES))
@@ -89,15 +92,15 @@
             self.restart(name)
             recovered()
 
-        self.later(start_again, least_s, most_s)
+        self.run_later(start_again, least_s, most_s)
 
     def freeze(self, name, most_s=15, least_s=0.5):
-        """Stop a process in its tracks for a while."""
+        """Suspend a process for a random time."""
         cluster = self.cluster
         if not name or cluster.world.loops[name].frozen:
             return
         cluster.world.freeze(name)
-        recovered, loop = self.note_fault(name), cluster.world.loops[name]
+        recovered, loop = self.record_fault(name), cluster.world.loops[name]
         self.log(f"freeze {name}")
 
         def thaw():
@@ -105,51 +108,54 @@
                 cluster.world.thaw(name)
             recovered()
 
-        self.later(thaw, least_s, most_s)
+        self.run_later(thaw, least_s, most_s)
 
     def cut(self, near, both=True):
-        """Cut some addresses off from all others, in one direction or in both."""
+        """Cut some addresses off from the cores, routers and platform, and sometimes the workers.
+
+        Without `both`, only what these addresses send is lost.
+        """
         cluster = self.cluster
         far = [self.address(name) for name in cluster.addresses] + [self.platform_address()]
         workers = [worker["addr"].rpartition(":")[0] for worker in cluster.site.workers]
         if self.random.random() < 0.3:
             far += workers
         names = [name for name in cluster.router_names() if self.address(name) in near]
-        recoveries = [self.note_fault(name) for name in names]
+        recoveries = [self.record_fault(name) for name in names]
         pairs = cluster.world.net.cut(near, [ip for ip in far if ip not in near], both)
         self.log(f"cut {near} both={both}")
         self.heal_later(pairs, recoveries, 1, 15)
 
     def heal_later(self, pairs, recoveries, least_s, most_s):
-        """Undo some cuts after a random time, and note that the processes are well again."""
+        """Undo some cuts after a random time, and record the recovery of the processes."""
 
         def heal():
             self.cluster.world.net.heal(pairs)
             for recovered in recoveries:
                 recovered()
 
-        self.later(heal, least_s, most_s)
+        self.run_later(heal, least_s, most_s)
 
     def end_all(self):
-        """End all faults."""
+        """End all faults and start all processes that are down."""
         self.is_rolling = False
         for start_again in list(self.pending_restarts.values()):
             start_again()
-        self._mend_network_and_disks()
-        self._mend_processes()
-        self._mend_workers()
+        self._restore_network_and_disks()
+        self._restore_processes()
+        self._restore_workers()
         for number, name in list(self.open_faults.items()):
             del self.open_faults[number]
             self.cluster.record("operator")("back", id=number, target=name)
 
-    def _mend_network_and_disks(self):
+    def _restore_network_and_disks(self):
         net = self.cluster.world.net
         net.heal()
         net.loss_rate = self.cluster.late.share = 0.0
         for folder in self.cluster.folders.values():
             folder.full, folder.stall_s = False, 0.0
 
-    def _mend_processes(self):
+    def _restore_processes(self):
         cluster = self.cluster
         for name in [*cluster.addresses, *(worker["name"] for worker in cluster.site.workers)]:
             if name in cluster.world.loops and cluster.world.loops[name].frozen:
@@ -160,7 +166,7 @@
         if "store" not in cluster.world.loops:
             cluster.start_store()
 
-    def _mend_workers(self):
+    def _restore_workers(self):
         cluster = self.cluster
         platform = cluster.up["platform"]
         for plan in cluster.site.workers:
@@ -173,7 +179,7 @@
 
 
 class FaultGroup:
-    """Faults of one kind; each public method injects one, which then ends by itself."""
+    """Faults of one kind; each public method injects one fault, which ends by itself."""
 
     def __init__(self, injector, operator):
         self.injector, self.operator = injector, operator
--- a/swiftdeck/sim/faults/processes.py
+++ b/swiftdeck/sim/faults/processes.py
@@ -1,9 +1,9 @@
-"""Faults of processes: kills, freezes, clocks that drift or jump, and rolling restarts."""
+"""Faults of processes: kills, freezes, drifting or jumping clocks, and rolling restarts."""
 
 from swiftdeck.sim.faults.injector import FaultGroup
 
 GRANT_WATCH_S = 3.0
-LONGER_THAN_A_GRANT_S = 3.2
+BEYOND_GRANT_S = 3.2
 ROLL_EVERY_S = 8
 DAY_S = 86400.0
 
@@ -16,7 +16,7 @@
         self.injector.kill(self.injector.pick(self.injector.worker_names()))
 
     def vanish_worker(self):
-        """Take a worker's machine away; nothing is reset."""
+        """Cut the power of a worker's machine; its connections are not reset."""
         self.injector.kill(self.injector.pick(self.injector.worker_names()), silent=True)
 
     def kill_router(self):
@@ -59,18 +59,18 @@
         self.injector.freeze(self.injector.pick(self.injector.worker_names()), most_s=6)
 
     def freeze_busy(self):
-        """Freeze a router that holds a grant it has not acted on, until its slot is given away."""
+        """Freeze a router that holds an unused grant, until its slot is granted to another call."""
         world = self.cluster.world
         end_s = world.now + GRANT_WATCH_S
 
-        def look():
+        def freeze_or_check_again():
             for name in self.cluster.router_names():
                 if name != self.cluster.coordinator() and self._holds_unused_grant(name):
-                    return self.injector.freeze(name, least_s=LONGER_THAN_A_GRANT_S)
+                    return self.injector.freeze(name, least_s=BEYOND_GRANT_S)
             if world.now < end_s:
-                world.call_after(0.001, look)
+                world.call_after(0.001, freeze_or_check_again)
 
-        look()
+        freeze_or_check_again()
 
     def _holds_unused_grant(self, name):
         ledgers = [running.call.ledger for running in self.cluster.up[name].running.values()]
@@ -78,7 +78,7 @@
         return any(attempt.grant is not None and not attempt.was_sent for attempt in attempts)
 
     def slow_clock(self):
-        """Let the clock of a core or a router run a little slow, right or fast."""
+        """Make the clock of a core or router run 3% slow, at the right rate or 3% fast."""
         world = self.cluster.world
         names = [*self.cluster.core_names(), *self.cluster.router_names()]
         loop = world.loops.get(self.injector.pick(names))
@@ -88,27 +88,27 @@
             loop.clock_offset_s = now_s - world.now * loop.clock_rate
 
     def jump_wall(self):
-        """Let the wall clocks jump; nothing that decides may notice."""
+        """Make the wall clocks jump, which must not affect any decision."""
         self.injector.wall_offset_s += self.random.choice([-DAY_S, -30.0, 30.0, DAY_S])
         self.injector.log("wall clock")
 
     def roll_nodes(self):
-        """Stop all routers and cores politely and start them again, one after another."""
+        """Shut all routers and cores down gracefully and restart them, one after another."""
         if self.injector.is_rolling:
             return
         self.injector.is_rolling = True
         names = sorted(self.cluster.addresses)
         self.random.shuffle(names)
-        for at, name in enumerate(names):
-            least_s = 1 + ROLL_EVERY_S * at
-            self.injector.later(lambda name=name: self._roll(name), least_s, least_s + 1)
+        for index, name in enumerate(names):
+            least_s = 1 + ROLL_EVERY_S * index
+            self.injector.run_later(lambda name=name: self._roll(name), least_s, least_s + 1)
         self.injector.log("roll nodes")
 
     def _roll(self, name):
         cluster, world, injector = self.cluster, self.cluster.world, self.injector
         if not injector.is_rolling or name not in world.loops or world.loops[name].frozen:
             return
-        recovered, loop = injector.note_fault(name), world.loops[name]
+        recovered, loop = injector.record_fault(name), world.loops[name]
         world.run_in(name, lambda: loop.create_task(cluster.up[name].stop()))
 
         def start_again():
@@ -122,4 +122,4 @@
             recovered()
 
         injector.pending_restarts[name] = start_again
-        injector.later(start_again, 4, 6)
+        injector.run_later(start_again, 4, 6)
--- a/swiftdeck/sim/faults/scenarios.py
+++ b/swiftdeck/sim/faults/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of simulated runs: the faults each draws from, and what they must exercise."""
+"""Scenarios of simulated runs: the faults each draws from, and the counters they must raise."""
 
 CONTROL = ["patch", "race", "invalid", "rekey", "route"]
 SCENARIOS = {
@@ -100,5 +100,5 @@
 
 
 def unexercised(scenario, counters):
-    """Counters that a scenario is there to raise and that stayed at zero in all its runs."""
+    """Return the expected counters of a scenario that stayed at zero in all its runs."""
     return [name for name in EXPECTED_COUNTERS[scenario] if not counters.get(name)]
--- a/tests/sim/test_folder.py
+++ b/tests/sim/test_folder.py
@@ -7,7 +7,7 @@
 
 
 class SimFolderTest(unittest.TestCase):
-    def test_only_synced_bytes_outlast_power(self):
+    def test_only_synced_bytes_survive_a_power_loss(self):
         world, folder = World(), SimFolder()
 
         async def main():
--- a/tests/sim/test_net.py
+++ b/tests/sim/test_net.py
@@ -8,11 +8,11 @@
 
 class SimNetTest(unittest.TestCase):
     def test_streams_keep_order_across_a_cut(self):
-        world, got = World(), []
+        world, received = World(), []
 
         class Sink(asyncio.Protocol):
             def data_received(self, data):
-                got.append(data)
+                received.append(data)
 
         async def serve():
             await asyncio.get_running_loop().create_server(Sink, "10.0.0.1", 80)
@@ -30,14 +30,14 @@
         world.run(2.5)
         world.net.cut(["10.0.0.2"], ["10.0.0.1"])
         world.run(2)
-        self.assertEqual(b"".join(got), b"012")
+        self.assertEqual(b"".join(received), b"012")
         world.net.heal()
         world.run(3)
-        self.assertEqual(b"".join(got), b"012345")
+        self.assertEqual(b"".join(received), b"012345")
 
-    def test_what_comes_before_the_caller_knows_that_it_is_connected_waits_for_it(self):
+    def test_data_that_arrives_before_the_client_is_connected_is_kept(self):
         for seed in range(8):
-            world, got = World(seed), []
+            world, received = World(seed), []
 
             class Greeter(asyncio.Protocol):
                 def connection_made(self, transport):
@@ -45,8 +45,8 @@
                     transport.write(b"there")
 
             class Caller(asyncio.Protocol):
-                def data_received(self, data, got=got):
-                    got.append(data)
+                def data_received(self, data, received=received):
+                    received.append(data)
 
             async def serve(greeter=Greeter):
                 await asyncio.get_running_loop().create_server(greeter, "10.0.0.1", 80)
@@ -57,4 +57,4 @@
             world.start("s", "10.0.0.1", serve)
             world.start("c", "10.0.0.2", call)
             world.run(until=lambda world=world: world.steps > 100, limit_s=1)
-            self.assertEqual(b"".join(got), b"hello there", seed)
+            self.assertEqual(b"".join(received), b"hello there", seed)
--- a/tests/sim/test_storm.py
+++ b/tests/sim/test_storm.py
@@ -7,7 +7,7 @@
 
 
 class StormTest(unittest.TestCase):
-    def test_a_scenario_that_does_not_bite_is_found(self):
+    def test_a_scenario_that_raises_no_counter_is_reported(self):
         self.assertEqual(set(EXPECTED_COUNTERS), set(SCENARIOS))
         self.assertEqual(
             unexercised("routers", {"takeovers": 3, "legsReclaimed": 0}), ["legsReclaimed"]
@@ -19,16 +19,16 @@
         self.assertEqual([name for name in sorted(names) if not callable(storm.fault(name))], [])
 
     def test_a_seed_gives_the_same_trace_each_time(self):
-        got = [Storm("mix", 5, 8.0, routers=3).run() for _ in range(2)]
-        self.assertEqual(got[0], got[1])
+        results = [Storm("mix", 5, 8.0, routers=3).run() for _ in range(2)]
+        self.assertEqual(results[0], results[1])
 
     def test_each_route_is_asked_after_the_closing_fault_also_when_its_agents_rest(self):
-        class Rest(Storm):
+        class RestingStorm(Storm):
             def closing(self):
                 super().closing()
                 self.cluster.caller.stopping = True
 
-        storm = Rest("mix", 5, 2.0, routers=3)
+        storm = RestingStorm("mix", 5, 2.0, routers=3)
         self.assertEqual(storm.run()["breaches"], {})
         records = storm.cluster.records
         for end_ms in [item["atMs"] for item in records if item["kind"] == "closing"]:
