--- a/swiftdeck/soak/__init__.py
+++ b/swiftdeck/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A site of real processes on loopback under overlapping troubles, and the verdict over it."""
+"""Soak test of a site of real processes on loopback under traffic and overlapping troubles."""
--- a/swiftdeck/soak/addresses.py
+++ b/swiftdeck/soak/addresses.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-LOCK_HOST, LOCK_PORT = 250, 7999
+CLAIM_HOST, CLAIM_PORT = 250, 7999
 INNER_PORT, FILTER_PORT, HTTP_PORT, READY_PORT = 7000, 7020, 8080, 8081
 CLAIM_ATTEMPTS = 200
 LIST_HOST, STORE_HOST = 240, 241
@@ -24,7 +24,7 @@
             prefix = f"127.{random.randrange(16, 240)}.{random.randrange(256)}"
             claim_socket = socket.socket()
             try:
-                claim_socket.bind((f"{prefix}.{LOCK_HOST}", LOCK_PORT))
+                claim_socket.bind((f"{prefix}.{CLAIM_HOST}", CLAIM_PORT))
                 claim_socket.listen(1)
             except OSError:
                 claim_socket.close()
--- a/swiftdeck/soak/run.py
+++ b/swiftdeck/soak/run.py
@@ -43,7 +43,7 @@
 
 
 class Soak:
-    """Start the site and its surroundings, play the schedule of troubles and judge the records."""
+    """Starts the site and its surroundings, plays the schedule of troubles and judges the run."""
 
     def __init__(self, seed, folder, size=None, program=PROGRAM, say=print, schedule=None):
         self.seed, self.folder, self.size, self.say = seed, Path(folder), size or SoakSize(), say
--- a/swiftdeck/soak/stalls.py
+++ b/swiftdeck/soak/stalls.py
@@ -23,5 +23,5 @@
         self.longest_s = max(self.longest_s, delay_s)
         if delay_s > STALL_S:
             self.count += 1
-            noted = [EVERY_MACHINE, begin_ms, self.troubles.now_ms(), PROCESS]
-            self.troubles.noted.append(noted)
+            period = [EVERY_MACHINE, begin_ms, self.troubles.now_ms(), PROCESS]
+            self.troubles.noted.append(period)
--- a/swiftdeck/soak/troubles.py
+++ b/swiftdeck/soak/troubles.py
@@ -17,11 +17,12 @@
 """Stands for all machines, as the checker takes trouble of any core as trouble of every machine."""
 POLL_TIMEOUT_MS, POLL_PAUSE_S, START_TIMEOUT_S = 1000, 0.1, 30.0
 CRASH_UNNOTICED_S, DRAIN_S = 3.0, 4.6
+"""Time until a crashed worker leaves the platform's list, and until a draining worker is ended."""
 CUT_RENEWAL_S = 0.2
 
 
 class Troubles:
-    """Run the troubles of a schedule and keep the periods of trouble in the checker's form.
+    """Runs the troubles of a schedule and keeps the periods of trouble in the checker's form.
 
     `noted` holds unplanned and `planned` planned trouble, as [machine, begin ms, end ms, kind].
     """
@@ -67,9 +68,9 @@
         self.noted.append([machine, self.now_ms(), FOREVER_MS, kind])
         return self.noted[-1]
 
-    def end_trouble(self, noted):
+    def end_trouble(self, period):
         """Set the end of a period of trouble to now."""
-        noted[2] = self.now_ms()
+        period[2] = self.now_ms()
 
     def unexplained_late_stops(self):
         """Describe planned stops that exceeded their grace without unplanned trouble there."""
@@ -82,8 +83,8 @@
     def _had_trouble(self, machine, begin_ms, end_ms):
         """Return whether unplanned trouble of the machine or of all machines overlaps this time."""
         return any(
-            name in (machine, EVERY_MACHINE) and begin <= end_ms and end_trouble >= begin_ms
-            for name, begin, end_trouble, _ in self.noted
+            name in (machine, EVERY_MACHINE) and begin <= end_ms and end >= begin_ms
+            for name, begin, end, _ in self.noted
         )
 
     async def wait_answering(self, machine):
@@ -127,40 +128,40 @@
 
     async def _kill(self, trouble):
         process = self.processes.by_name[trouble.target]
-        noted = self.begin_trouble(trouble.target)
+        period = self.begin_trouble(trouble.target)
         was_replaced, process.is_replaced = process.is_replaced, True
         process.kill()
         await asyncio.sleep(trouble.for_s)
         if not was_replaced:
             await self._restart(process)
-        self.end_trouble(noted)
+        self.end_trouble(period)
 
     async def _kill_cores(self, trouble):
         processes = [self.processes.by_name[core.name] for core in self.site.cores]
         to_restart = [process for process in processes if not process.is_replaced]
-        noted = [self.begin_trouble(process.machine.name) for process in processes]
+        periods = [self.begin_trouble(process.machine.name) for process in processes]
         for process in to_restart:
             process.is_replaced = True
         for process in processes:
             process.kill()
         await asyncio.sleep(trouble.for_s)
         await asyncio.gather(*(self._restart(process) for process in to_restart))
-        for period in noted:
+        for period in periods:
             self.end_trouble(period)
 
     async def _pause(self, trouble):
-        process, noted = self.processes.by_name[trouble.target], self.begin_trouble(trouble.target)
+        process, period = self.processes.by_name[trouble.target], self.begin_trouble(trouble.target)
         life = process.life
         process.pause()
         await asyncio.sleep(trouble.for_s)
         if process.life == life:
             process.resume()
-        self.end_trouble(noted)
+        self.end_trouble(period)
 
     async def _cut(self, trouble):
         """Cut the links between a machine and others: inbound, outbound or both."""
         direction, outcome = trouble.how.split()
-        noted, links = self.begin_trouble(trouble.target, LINK), []
+        period, links = self.begin_trouble(trouble.target, LINK), []
         own, others = (
             self.site.machines[trouble.target],
             [self.site.machines[name] for name in trouble.others],
@@ -172,7 +173,7 @@
         self.cuts[id(trouble)] = (links, outcome == "late")
         await asyncio.sleep(trouble.for_s)
         del self.cuts[id(trouble)]
-        self.end_trouble(noted)
+        self.end_trouble(period)
 
     async def _delay_messages(self, trouble):
         """Delay a share of the messages to a machine.
@@ -180,12 +181,12 @@
         Delayed messages still arrive up to `MAX_LATE_S` after the delaying has ended, so the
         trouble is recorded as lasting that much longer.
         """
-        noted = self.begin_trouble(trouble.target, LINK)
+        period = self.begin_trouble(trouble.target, LINK)
         self.late_shares[id(trouble)] = (trouble.target, trouble.share)
         await asyncio.sleep(trouble.for_s)
         del self.late_shares[id(trouble)]
         await asyncio.sleep(MAX_LATE_S)
-        self.end_trouble(noted)
+        self.end_trouble(period)
 
     async def _send_cuts(self):
         """Send each process its current cut repeatedly, as a cut that is not renewed expires."""
